--- a/bench/spread.cpp
+++ b/bench/spread.cpp
@@ -129,7 +129,7 @@
               warm, loss, seconds(60),
               [&](node_schedule& schedule) {
                   scheduled_node& node = schedule.m_nodes[0];
-                  join_suspension(node.m_facts, suspended[0]);
+                  merge_suspension(node.m_facts, suspended[0]);
                   node.m_members.m_facts_digest = facts_digest(node.m_facts);
                   carry_out(schedule, 0,
                             membership_spread(node.m_members, suspended, {}, schedule.m_now));
--- a/src/ctl/replay_player.cpp
+++ b/src/ctl/replay_player.cpp
@@ -61,7 +61,7 @@
         return distribution_fetch_failed(state, now);
     }
     if (name == "gone") {
-        distribution_gone(state, input.text("from_instance"));
+        distribution_peer_gone(state, input.text("from_instance"));
         return {};
     }
     const std::size_t live = input.count("live");
@@ -79,13 +79,13 @@
     }
     const std::string instance = input.text("from_instance");
     if (name == "received") {
-        return distribution_received(state, instance, text_of(input), live, now);
+        return distribution_text_received(state, instance, text_of(input), live, now);
     }
     if (name == "joined") {
-        return distribution_joined(state, instance, version, input.count("predecessor_version"),
-                                   live, now);
+        return distribution_join_reply(state, instance, version, input.count("predecessor_version"),
+                                       live, now);
     }
-    return distribution_heard(state, instance, version, live, now);
+    return distribution_peer_version(state, instance, version, live, now);
 }
 
 std::string replay_distribution(replayed_process& process, const replay_input& input) {
@@ -140,11 +140,11 @@
         return {};
     }
     if (input.m_input == "suspension") {
-        join_suspension(facts,
-                        {input.text("move"), input.text("service"), input.text("version"),
-                         input.text("seen_by"), input.text("reason"), input.number("at_ms")});
+        merge_suspension(facts,
+                         {input.text("move"), input.text("service"), input.text("version"),
+                          input.text("seen_by"), input.text("reason"), input.number("at_ms")});
     } else if (const auto record = decode_move(input.text("record"), input.count("revision"))) {
-        join_record(facts, *record);
+        merge_record(facts, *record);
     }
     return std::to_string(move_weight(facts, process.m_service, process.m_move_id));
 }
--- a/src/decide/acceptance.cpp
+++ b/src/decide/acceptance.cpp
@@ -47,21 +47,21 @@
 
 // A whole text is written at least every so many versions, so that nodes, which keep as many texts,
 // mostly hold the base of a new delta.
-constexpr std::uint64_t whole_interval = 8;
+constexpr std::uint64_t full_text_interval = 8;
 
 // Versions before the latest whole text whose values are kept for readers that are late.
-constexpr std::uint64_t kept_before_whole = 8;
+constexpr std::uint64_t versions_kept_before_full = 8;
 
 // A delta of up to this many bytes, or this share of the text, is small. The differences since the
 // last whole text are contained in each following delta; beyond this size seven of them cost more
 // than a compressed whole text, which takes a twelfth of the text with names that hardly compress.
 constexpr std::size_t small_delta_bytes = 4'096;
-constexpr std::size_t small_delta_share = 64;
+constexpr std::size_t small_delta_divisor = 64;
 
 // Names the base in the record; absent for texts stored whole.
-std::optional<text_name> base_field(const boost::json::object& object) {
+std::optional<text_id> parse_base(const boost::json::object& object) {
     if (!object.contains("base_version")) {
-        return text_name{};
+        return text_id{};
     }
     const auto version = unsigned_field(object, "base_version");
     const boost::json::string* hash_text = string_field(object, "base_hash");
@@ -71,7 +71,7 @@
     if (!version || *version == 0 || !hash) {
         return std::nullopt;
     }
-    return text_name{*version, *hash};
+    return text_id{*version, *hash};
 }
 
 } // namespace
@@ -124,7 +124,7 @@
         return fail(reason, error_kind::invalid_text,
                     "accepted record: accepted_ms missing or too large");
     }
-    const auto base = base_field(object);
+    const auto base = parse_base(object);
     if (!base || base->m_version >= *version) {
         return fail(reason, error_kind::invalid_text, "accepted record: base wrong");
     }
@@ -146,42 +146,43 @@
     return fmt::format("caraway/accepted-delta/{}-{:016x}", version, hash);
 }
 
-text_name whole_text_of(const accepted_record& record) {
-    return record.m_base.m_version == 0 ? text_name{record.m_version, record.m_hash}
-                                        : record.m_base;
+text_id full_text_of(const accepted_record& record) {
+    return record.m_base.m_version == 0 ? text_id{record.m_version, record.m_hash} : record.m_base;
 }
 
 bool is_small_delta(std::size_t delta_bytes, std::size_t text_bytes) {
-    return delta_bytes <= std::max(small_delta_bytes, text_bytes / small_delta_share);
+    return delta_bytes <= std::max(small_delta_bytes, text_bytes / small_delta_divisor);
 }
 
-bool stores_whole(std::uint64_t version, std::uint64_t base_version, std::size_t delta_bytes,
-                  std::size_t text_bytes) {
-    return base_version == 0 || version >= base_version + whole_interval ||
+bool should_store_full(std::uint64_t version, std::uint64_t base_version, std::size_t delta_bytes,
+                       std::size_t text_bytes) {
+    return base_version == 0 || version >= base_version + full_text_interval ||
            !is_small_delta(delta_bytes, text_bytes);
 }
 
 // The base of the committed record never falls, so a value that is not needed now is never needed
 // again. An accepter that was paused past its lease knows an older record and removes less.
-bool is_removable(std::string_view key, const accepted_record& committed) {
+bool is_obsolete_key(std::string_view key, const accepted_record& committed) {
     const std::size_t begin = key.rfind('/') + 1;
     std::uint64_t version = 0;
     const auto [stop, fault] =
         std::from_chars(key.data() + begin, key.data() + key.size(), version);
     return key.starts_with(accepted_prefix) && fault == std::errc{} &&
            stop != key.data() + key.size() && *stop == '-' &&
-           version + kept_before_whole < whole_text_of(committed).m_version;
+           version + versions_kept_before_full < full_text_of(committed).m_version;
 }
 
-text_source choose_source(const submitted_revisions& seen, std::uint64_t judged,
-                          std::uint64_t decided, std::uint64_t unusable_delta, duration waited) {
-    if (seen.m_text == 0 || seen.m_text == judged || seen.m_text <= decided) {
+text_source choose_text_source(const submitted_revisions& revisions, std::uint64_t last_evaluated,
+                               std::uint64_t highest_decided, std::uint64_t unusable_delta,
+                               duration wait_elapsed) {
+    if (revisions.m_text == 0 || revisions.m_text == last_evaluated ||
+        revisions.m_text <= highest_decided) {
         return text_source::nothing;
     }
-    if (seen.m_delta > seen.m_text && seen.m_delta != unusable_delta) {
+    if (revisions.m_delta > revisions.m_text && revisions.m_delta != unusable_delta) {
         return text_source::delta;
     }
-    return waited < submitted_delta_wait ? text_source::wait : text_source::whole;
+    return wait_elapsed < submitted_delta_wait ? text_source::wait : text_source::whole;
 }
 
 // A revision is judged once: it is skipped when it was refused, or when it is not newer than the
--- a/src/decide/acceptance.hpp
+++ b/src/decide/acceptance.hpp
@@ -18,10 +18,10 @@
 
 // Names a version's text by its content, so that a text of a dead accepter that was never committed
 // isn't taken for the committed one of the same version.
-struct text_name {
+struct text_id {
     std::uint64_t m_version = 0;
     std::uint64_t m_hash = 0;
-    friend bool operator==(const text_name&, const text_name&) = default;
+    friend bool operator==(const text_id&, const text_id&) = default;
 };
 
 // The accepted record as the store keeps it (a JSON object on one line). The text itself is stored
@@ -33,7 +33,7 @@
     std::uint64_t m_hash = 0;            // content hash of the text
     std::string m_accepter;
     std::int64_t m_accepted_ms = 0; // Unix milliseconds
-    text_name m_base;               // version 0: the text itself is stored whole
+    text_id m_base;                 // version 0: the text itself is stored whole
     friend bool operator==(const accepted_record&, const accepted_record&) = default;
 };
 
@@ -50,19 +50,19 @@
 std::string delta_key(std::uint64_t version, std::uint64_t hash);
 
 // The whole text that the record's text is restored from: its own or the base.
-text_name whole_text_of(const accepted_record& record);
+text_id full_text_of(const accepted_record& record);
 
 // True if a version is to be stored whole, given the version of the latest whole text (0: none that
 // the accepter has) and the size of the difference from it in bytes.
-bool stores_whole(std::uint64_t version, std::uint64_t base_version, std::size_t delta_bytes,
-                  std::size_t text_bytes);
+bool should_store_full(std::uint64_t version, std::uint64_t base_version, std::size_t delta_bytes,
+                       std::size_t text_bytes);
 
 // True for a delta so small that readers should use it instead of the whole text.
 bool is_small_delta(std::size_t delta_bytes, std::size_t text_bytes);
 
 // True if a key below accepted_prefix is no longer needed once the record is committed: neither for
 // its text nor for the texts of the versions before it that readers may still be fetching.
-bool is_removable(std::string_view key, const accepted_record& committed);
+bool is_obsolete_key(std::string_view key, const accepted_record& committed);
 
 // Store revisions of the submitted text and of the difference that carawayctl writes after it, 0
 // when absent.
@@ -82,8 +82,9 @@
 // Chooses the source. judged is the revision judged last and decided the highest one that was
 // accepted or refused; unusable_delta is the revision of a difference that belongs to an older
 // text; waited is the time since the text was seen first.
-text_source choose_source(const submitted_revisions& seen, std::uint64_t judged,
-                          std::uint64_t decided, std::uint64_t unusable_delta, duration waited);
+text_source choose_text_source(const submitted_revisions& revisions, std::uint64_t last_evaluated,
+                               std::uint64_t highest_decided, std::uint64_t unusable_delta,
+                               duration wait_elapsed);
 
 // What the accepter does with a submitted text.
 struct acceptance_decision {
--- a/src/decide/claim.cpp
+++ b/src/decide/claim.cpp
@@ -35,9 +35,9 @@
 }
 
 // The latest first start of a name that every ready node knew before the caller first sent the key.
-std::int64_t settled_before(std::int64_t first_sent_ms) {
+std::int64_t settled_name_cutoff(std::int64_t first_sent_ms) {
     constexpr auto allowance =
-        (clock_skew_allowance + view_spread_allowance + suspicion_allowance).count();
+        (clock_skew_allowance + membership_convergence_allowance + suspicion_allowance).count();
     return std::max(first_sent_ms, allowance) - allowance;
 }
 
@@ -54,9 +54,10 @@
     const std::string combined = claim_key(service, key);
     std::vector<std::pair<std::uint64_t, std::string_view>> weighted;
     weighted.reserve(instances.size());
-    for (const known_instance& each : instances) {
-        if (!cutoff_ms || is_started_before(each, *cutoff_ms)) {
-            weighted.emplace_back(rendezvous_weight(combined, each.m_instance), each.m_instance);
+    for (const known_instance& instance : instances) {
+        if (!cutoff_ms || is_started_before(instance, *cutoff_ms)) {
+            weighted.emplace_back(rendezvous_weight(combined, instance.m_instance),
+                                  instance.m_instance);
         }
     }
     const std::size_t count = std::min(registrar_count, weighted.size());
@@ -71,7 +72,7 @@
 }
 
 std::optional<std::int64_t> settled_cutoff(std::optional<std::int64_t> first_sent_ms) {
-    return first_sent_ms ? std::optional(settled_before(*first_sent_ms)) : std::nullopt;
+    return first_sent_ms ? std::optional(settled_name_cutoff(*first_sent_ms)) : std::nullopt;
 }
 
 bool contains(const std::vector<std::string>& names, std::string_view name) {
@@ -79,85 +80,86 @@
 }
 
 // The registrars among the names first started before a time.
-struct dated_registrars {
+struct registrar_snapshot {
     std::optional<std::int64_t> m_cutoff_ms; // absent: all names
     std::vector<std::string> m_names;
 };
 
 // The registrars as of the first time and after each name that changed them, up to the last time.
-std::vector<dated_registrars> registrars_between(std::string_view service, std::string_view key,
-                                                 std::span<const known_instance> instances,
-                                                 std::int64_t from_ms,
-                                                 std::optional<std::int64_t> until_ms) {
+std::vector<registrar_snapshot> registrars_between(std::string_view service, std::string_view key,
+                                                   std::span<const known_instance> instances,
+                                                   std::int64_t from_ms,
+                                                   std::optional<std::int64_t> until_ms) {
     std::vector<std::int64_t> cutoffs{from_ms};
-    for (const known_instance& each : instances) {
-        const auto after = static_cast<std::int64_t>(each.m_first_incarnation) + 1;
-        if (after > from_ms && (!until_ms || after < *until_ms)) {
-            cutoffs.push_back(after);
+    for (const known_instance& instance : instances) {
+        const auto after_start_ms = static_cast<std::int64_t>(instance.m_first_incarnation) + 1;
+        if (after_start_ms > from_ms && (!until_ms || after_start_ms < *until_ms)) {
+            cutoffs.push_back(after_start_ms);
         }
     }
     std::sort(cutoffs.begin(), cutoffs.end());
-    std::vector<dated_registrars> dated;
+    std::vector<registrar_snapshot> snapshots;
     for (const std::int64_t cutoff : cutoffs) {
         auto names = registrars_before(service, key, instances, cutoff);
-        if (dated.empty() || names != dated.back().m_names) {
-            dated.push_back({cutoff, std::move(names)});
+        if (snapshots.empty() || names != snapshots.back().m_names) {
+            snapshots.push_back({cutoff, std::move(names)});
         }
     }
-    auto present = registrars_before(service, key, instances, until_ms);
-    if (present != dated.back().m_names) {
-        dated.push_back({until_ms, std::move(present)});
+    auto latest = registrars_before(service, key, instances, until_ms);
+    if (latest != snapshots.back().m_names) {
+        snapshots.push_back({until_ms, std::move(latest)});
     }
-    return dated;
+    return snapshots;
 }
 
 // All sets of registrars that a claim needs. Names that joined after the key was first sent change
 // nothing, nor does a loss after which no name counts. Of the sets from before names that joined
 // lately an empty one means a new service and is left out; before a loss it means doubt and stays.
-std::vector<dated_registrars> registrars_since(std::string_view service, std::string_view key,
-                                               std::span<const known_instance> instances,
-                                               std::optional<std::int64_t> first_sent_ms,
-                                               std::optional<std::int64_t> loss_ms) {
-    const auto settled = settled_cutoff(first_sent_ms);
-    std::vector<dated_registrars> dated;
-    if (settled) {
-        const std::int64_t joined =
-            std::max(*first_sent_ms, join_window.count()) - join_window.count();
-        dated = registrars_between(service, key, instances, joined,
-                                   std::min(*settled, loss_ms.value_or(*settled)));
-        std::erase_if(dated, [](const dated_registrars& each) { return each.m_names.empty(); });
+std::vector<registrar_snapshot> registrars_since(std::string_view service, std::string_view key,
+                                                 std::span<const known_instance> instances,
+                                                 std::optional<std::int64_t> first_sent_ms,
+                                                 std::optional<std::int64_t> loss_ms) {
+    const auto settled_ms = settled_cutoff(first_sent_ms);
+    std::vector<registrar_snapshot> snapshots;
+    if (settled_ms) {
+        const std::int64_t joined_since_ms =
+            std::max(*first_sent_ms, recent_join_window.count()) - recent_join_window.count();
+        snapshots = registrars_between(service, key, instances, joined_since_ms,
+                                       std::min(*settled_ms, loss_ms.value_or(*settled_ms)));
+        std::erase_if(snapshots,
+                      [](const registrar_snapshot& snapshot) { return snapshot.m_names.empty(); });
     }
-    if (loss_ms && (!settled || *loss_ms < *settled)) {
-        const auto later = registrars_between(service, key, instances, *loss_ms, settled);
-        dated.insert(dated.end(), later.begin(), later.end());
-    } else if (!settled) {
-        dated.push_back({settled, registrars_before(service, key, instances, settled)});
+    if (loss_ms && (!settled_ms || *loss_ms < *settled_ms)) {
+        const auto later = registrars_between(service, key, instances, *loss_ms, settled_ms);
+        snapshots.insert(snapshots.end(), later.begin(), later.end());
+    } else if (!settled_ms) {
+        snapshots.push_back({settled_ms, registrars_before(service, key, instances, settled_ms)});
     }
-    return dated;
+    return snapshots;
 }
 
 // Takes the departed members back in, the latest first, until this instance is no longer among the
 // registrars: that departure made it one.
-std::optional<wall_time> promoted_before(std::string_view service, std::string_view key,
-                                         std::optional<std::int64_t> cutoff_ms,
-                                         std::string_view self,
-                                         std::span<const known_instance> instances,
-                                         std::span<const departure> departures) {
+std::optional<wall_time> promotion_time_at_cutoff(std::string_view service, std::string_view key,
+                                                  std::optional<std::int64_t> cutoff_ms,
+                                                  std::string_view self,
+                                                  std::span<const known_instance> instances,
+                                                  std::span<const departure> departures) {
     std::vector<departure> latest_first(departures.begin(), departures.end());
     std::sort(latest_first.begin(), latest_first.end(),
               [](const departure& a, const departure& b) { return a.m_left > b.m_left; });
     std::vector<known_instance> members(instances.begin(), instances.end());
-    for (const departure& left : latest_first) {
-        const bool came_back =
-            std::any_of(members.begin(), members.end(), [&left](const known_instance& each) {
-                return each.m_instance == left.m_instance.m_instance;
+    for (const departure& departed : latest_first) {
+        const bool has_returned = std::any_of(
+            members.begin(), members.end(), [&departed](const known_instance& instance) {
+                return instance.m_instance == departed.m_instance.m_instance;
             });
-        if (came_back) {
+        if (has_returned) {
             continue;
         }
-        members.push_back(left.m_instance);
+        members.push_back(departed.m_instance);
         if (!contains(registrars_before(service, key, members, cutoff_ms), self)) {
-            return left.m_left;
+            return departed.m_left;
         }
     }
     return std::nullopt;
@@ -174,96 +176,99 @@
     return combined;
 }
 
-std::vector<std::string> registrars_of(std::string_view service, std::string_view key,
-                                       std::span<const known_instance> instances,
-                                       std::optional<std::int64_t> first_sent_ms) {
+std::vector<std::string> select_registrars(std::string_view service, std::string_view key,
+                                           std::span<const known_instance> instances,
+                                           std::optional<std::int64_t> first_sent_ms) {
     return registrars_before(service, key, instances, settled_cutoff(first_sent_ms));
 }
 
 std::optional<std::int64_t> loss_cutoff_ms(std::optional<std::int64_t> first_sent_ms,
                                            std::span<const member_loss> losses) {
     std::optional<std::int64_t> earliest;
-    for (const member_loss& each : losses) {
-        const bool over = first_sent_ms && each.m_until_ms &&
-                          *each.m_until_ms + heal_spread_allowance.count() < *first_sent_ms;
-        if (!over) {
-            earliest = std::min(earliest.value_or(each.m_from_ms), each.m_from_ms);
+    for (const member_loss& loss : losses) {
+        const bool ended = first_sent_ms && loss.m_until_ms &&
+                           *loss.m_until_ms + heal_convergence_allowance.count() < *first_sent_ms;
+        if (!ended) {
+            earliest = std::min(earliest.value_or(loss.m_from_ms), loss.m_from_ms);
         }
     }
-    return earliest ? std::optional(*earliest - loss_allowance.count()) : std::nullopt;
+    return earliest ? std::optional(*earliest - loss_detection_allowance.count()) : std::nullopt;
 }
 
-key_registrars choose_registrars(std::string_view service, std::string_view key,
-                                 std::span<const known_instance> instances,
-                                 std::optional<std::int64_t> first_sent_ms,
-                                 std::span<const member_loss> losses) {
-    key_registrars chosen;
-    chosen.m_cutoff_ms = loss_cutoff_ms(first_sent_ms, losses);
-    for (const dated_registrars& each :
-         registrars_since(service, key, instances, first_sent_ms, chosen.m_cutoff_ms)) {
-        std::vector<std::size_t>& places = chosen.m_sets.emplace_back();
-        for (const std::string& name : each.m_names) {
-            const auto found = std::find(chosen.m_names.begin(), chosen.m_names.end(), name);
-            places.push_back(static_cast<std::size_t>(found - chosen.m_names.begin()));
-            if (found == chosen.m_names.end()) {
-                chosen.m_names.push_back(name);
+registrar_sets select_registrar_sets(std::string_view service, std::string_view key,
+                                     std::span<const known_instance> instances,
+                                     std::optional<std::int64_t> first_sent_ms,
+                                     std::span<const member_loss> losses) {
+    registrar_sets selected;
+    selected.m_cutoff_ms = loss_cutoff_ms(first_sent_ms, losses);
+    for (const registrar_snapshot& snapshot :
+         registrars_since(service, key, instances, first_sent_ms, selected.m_cutoff_ms)) {
+        std::vector<std::size_t>& indices = selected.m_sets.emplace_back();
+        for (const std::string& name : snapshot.m_names) {
+            const auto found = std::find(selected.m_names.begin(), selected.m_names.end(), name);
+            indices.push_back(static_cast<std::size_t>(found - selected.m_names.begin()));
+            if (found == selected.m_names.end()) {
+                selected.m_names.push_back(name);
             }
         }
     }
-    return chosen;
+    return selected;
 }
 
-std::optional<wall_time> promoted_at(std::string_view service, std::string_view key,
-                                     std::optional<std::int64_t> first_sent_ms,
-                                     std::string_view self,
-                                     std::span<const known_instance> instances,
-                                     std::span<const departure> departures) {
-    return promoted_before(service, key, settled_cutoff(first_sent_ms), self, instances,
-                           departures);
+std::optional<wall_time> promotion_time(std::string_view service, std::string_view key,
+                                        std::optional<std::int64_t> first_sent_ms,
+                                        std::string_view self,
+                                        std::span<const known_instance> instances,
+                                        std::span<const departure> departures) {
+    return promotion_time_at_cutoff(service, key, settled_cutoff(first_sent_ms), self, instances,
+                                    departures);
 }
 
-std::optional<wall_time> promoted_at(const claim_request& request, std::string_view self,
-                                     std::span<const known_instance> instances,
-                                     std::span<const departure> departures) {
+std::optional<wall_time> promotion_time(const claim_request& request, std::string_view self,
+                                        std::span<const known_instance> instances,
+                                        std::span<const departure> departures) {
     std::optional<wall_time> latest;
-    bool chosen = false;
-    for (const dated_registrars& each :
+    bool is_registrar = false;
+    for (const registrar_snapshot& snapshot :
          registrars_since(request.m_service, request.m_key, instances, request.m_first_sent_ms,
                           request.m_cutoff_ms)) {
-        if (contains(each.m_names, self)) {
-            chosen = true;
-            latest =
-                std::max(latest, promoted_before(request.m_service, request.m_key, each.m_cutoff_ms,
-                                                 self, instances, departures));
+        if (contains(snapshot.m_names, self)) {
+            is_registrar = true;
+            latest = std::max(latest, promotion_time_at_cutoff(request.m_service, request.m_key,
+                                                               snapshot.m_cutoff_ms, self,
+                                                               instances, departures));
         }
     }
-    return chosen ? latest
-                  : promoted_at(request.m_service, request.m_key, request.m_first_sent_ms, self,
-                                instances, departures);
+    return is_registrar ? latest
+                        : promotion_time(request.m_service, request.m_key, request.m_first_sent_ms,
+                                         self, instances, departures);
 }
 
 // A registrar that would not choose itself is not asked by the nodes that share its view: on a side
 // that lost no member, claims pass by the registrars from before the other side's loss. A name from
 // before the loss is known on both sides. A newer one may count only if the claimant
 // asks the registrars from before the loss, too.
-bool covers_losses(const claim_request& request, std::string_view self,
-                   std::span<const known_instance> instances, std::span<const member_loss> losses) {
-    const key_registrars known = choose_registrars(request.m_service, request.m_key, instances,
-                                                   request.m_first_sent_ms, losses);
-    if (!contains(known.m_names, self)) {
+bool is_partition_safe(const claim_request& request, std::string_view self,
+                       std::span<const known_instance> instances,
+                       std::span<const member_loss> losses) {
+    const registrar_sets selected = select_registrar_sets(
+        request.m_service, request.m_key, instances, request.m_first_sent_ms, losses);
+    if (!contains(selected.m_names, self)) {
         return false;
     }
-    const auto cutoff = known.m_cutoff_ms;
+    const auto cutoff = selected.m_cutoff_ms;
     if (!cutoff) {
         return true;
     }
     const auto own =
-        std::find_if(instances.begin(), instances.end(),
-                     [self](const known_instance& each) { return each.m_instance == self; });
+        std::find_if(instances.begin(), instances.end(), [self](const known_instance& instance) {
+            return instance.m_instance == self;
+        });
     if (own != instances.end() && is_started_before(*own, *cutoff)) {
         return true;
     }
-    return request.m_cutoff_ms && *request.m_cutoff_ms <= *cutoff + loss_view_difference.count();
+    return request.m_cutoff_ms &&
+           *request.m_cutoff_ms <= *cutoff + max_loss_start_difference.count();
 }
 
 claim_reply grant_claim(claim_table& table, const claim_request& request, time_point now,
@@ -274,9 +279,9 @@
     const auto found = table.m_entries.find(combined);
     if (found != table.m_entries.end() && found->second.m_expires > now) {
         const claim_entry& entry = found->second;
-        const bool same =
+        const bool same_attempt =
             entry.m_claimant == request.m_claimant && entry.m_claim_id == request.m_claim_id;
-        reply.m_status = same ? claim_status::granted : claim_status::held;
+        reply.m_status = same_attempt ? claim_status::granted : claim_status::held;
         reply.m_claimant = entry.m_claimant;
         reply.m_claim_id = entry.m_claim_id;
         return reply;
@@ -326,7 +331,7 @@
 claim_decision decide_claim(std::span<const claim_reply> replies) {
     claim_decision decision;
     std::size_t granted = 0;
-    std::size_t known_free = 0;
+    std::size_t complete_unclaimed = 0;
     bool unreachable = false;
     bool full = false;
     for (const claim_reply& reply : replies) {
@@ -342,10 +347,10 @@
         full = full || reply.m_status == claim_status::full;
         const bool replied =
             reply.m_status == claim_status::granted || reply.m_status == claim_status::full;
-        known_free += replied && reply.m_history_complete ? 1 : 0;
+        complete_unclaimed += replied && reply.m_history_complete ? 1 : 0;
     }
-    const bool surely_free = 2 * known_free > replies.size();
-    if (!surely_free) {
+    const bool is_confirmed_unclaimed = 2 * complete_unclaimed > replies.size();
+    if (!is_confirmed_unclaimed) {
         decision.m_kind = claim_decision::kind::unknown;
         decision.m_reason = error_kind::key_history_incomplete;
         return decision;
@@ -359,7 +364,7 @@
     return decision;
 }
 
-claim_decision decide_claim(const key_registrars& registrars,
+claim_decision decide_claim(const registrar_sets& registrars,
                             std::span<const claim_reply> replies) {
     using kind = claim_decision::kind;
     const auto severity = [](kind value) {
@@ -370,33 +375,33 @@
     if (registrars.m_sets.empty()) {
         return decide_claim(std::span<const claim_reply>{});
     }
-    claim_decision worst;
-    worst.m_kind = kind::run;
-    for (const std::vector<std::size_t>& places : registrars.m_sets) {
-        std::vector<claim_reply> of_set;
-        of_set.reserve(places.size());
-        for (const std::size_t place : places) {
-            of_set.push_back(replies[place]);
+    claim_decision most_severe;
+    most_severe.m_kind = kind::run;
+    for (const std::vector<std::size_t>& indices : registrars.m_sets) {
+        std::vector<claim_reply> set_replies;
+        set_replies.reserve(indices.size());
+        for (const std::size_t index : indices) {
+            set_replies.push_back(replies[index]);
         }
-        const claim_decision decision = decide_claim(of_set);
-        if (severity(decision.m_kind) > severity(worst.m_kind)) {
-            worst = decision;
+        const claim_decision decision = decide_claim(set_replies);
+        if (severity(decision.m_kind) > severity(most_severe.m_kind)) {
+            most_severe = decision;
         }
     }
-    return worst;
+    return most_severe;
 }
 
-bool begin_result(result_table& table, std::string_view combined_key, std::uint64_t claim_id,
-                  time_point now) {
+bool reserve_result(result_table& table, std::string_view combined_key, std::uint64_t claim_id,
+                    time_point now) {
     const std::string key(combined_key);
     const auto found = table.m_results.find(key);
     if (found != table.m_results.end()) {
-        const stored_result& known = found->second;
-        const bool over = known.m_state != result_state::running && known.m_expires <= now;
-        if (known.m_state != result_state::withdrawn && !over) {
+        const stored_result& existing = found->second;
+        const bool ended = existing.m_state != result_state::running && existing.m_expires <= now;
+        if (existing.m_state != result_state::withdrawn && !ended) {
             return false;
         }
-        table.m_total_bytes -= known.m_body.size();
+        table.m_total_bytes -= existing.m_body.size();
     } else if (table.m_results.size() >= table.m_max_entries) {
         return false;
     }
@@ -427,7 +432,8 @@
     table.m_total_bytes += body.size();
 }
 
-// Keeps the entry for a short while, see withdrawn_retention; begin_result may replace it at once.
+// Keeps the entry for a short while, see withdrawn_retention; reserve_result may replace it at
+// once.
 void withdraw_result(result_table& table, std::string_view combined_key) {
     const auto found = table.m_results.find(std::string(combined_key));
     if (found == table.m_results.end() || found->second.m_state != result_state::running) {
--- a/src/decide/claim.hpp
+++ b/src/decide/claim.hpp
@@ -22,22 +22,22 @@
 // that every ready node knows the name by then. Executing nodes that differ in the names they know
 // could take different registrars for the same key, and both get a majority. In schedules of up to
 // 1,000 nodes, 4.5 s passed until all knew 20 instances that started at once.
-constexpr milliseconds view_spread_allowance{5'000};
+constexpr milliseconds membership_convergence_allowance{5'000};
 // A name counts this much later still, so that a partition that hid it from others has shown itself
 // as the suspicion of a member by the time the name counts.
 constexpr milliseconds suspicion_allowance{5'000};
 // The member table before a loss is taken this much earlier than the first suspicion: by then every
 // node on either side of a partition knew the same names, although each noticed it at another time.
 // In a schedule of 400 nodes cut in halves, 54 s passed until each suspected all of the other half.
-constexpr milliseconds loss_allowance{75'000};
+constexpr milliseconds loss_detection_allowance{75'000};
 // Names first started within this time before the key was sent need the majority of the earlier
 // ones besides, since a partition may not have been noticed yet.
-constexpr milliseconds join_window{60'000};
+constexpr milliseconds recent_join_window{60'000};
 // Views of the start of one loss differ by less than this; it is a part of the allowance above.
-constexpr milliseconds loss_view_difference{10'000};
+constexpr milliseconds max_loss_start_difference{10'000};
 // After a lost member is back, names of the other side are known everywhere within this time: two
 // rounds of the comparison of member tables.
-constexpr milliseconds heal_spread_allowance{60'000};
+constexpr milliseconds heal_convergence_allowance{60'000};
 constexpr std::size_t max_key_bytes = 256;
 
 // An instance of a service as a possible registrar.
@@ -67,23 +67,23 @@
 // they are forgotten) those with the highest rendezvous weights. With a first-sent time, only names
 // first started before it minus both allowances count, so that instances that join under new names
 // leave the registrars of earlier keys as they are; the result may be empty.
-std::vector<std::string> registrars_of(std::string_view service, std::string_view key,
-                                       std::span<const known_instance> instances,
-                                       std::optional<std::int64_t> first_sent_ms);
+std::vector<std::string> select_registrars(std::string_view service, std::string_view key,
+                                           std::span<const known_instance> instances,
+                                           std::optional<std::int64_t> first_sent_ms);
 
 // The nodes to ask for a key. Without a loss there is one set, the present registrars. After a loss
 // the sets are those as of every time from before the loss up to now, and a majority of each must
 // grant: the two sides of a partition share the set as of its start, whenever each noticed it, and
 // attempts before and after a loss share the present one.
-struct key_registrars {
+struct registrar_sets {
     std::vector<std::string> m_names;
     std::vector<std::vector<std::size_t>> m_sets; // places in m_names; the last one is the present
     std::optional<std::int64_t> m_cutoff_ms;      // of the loss
 };
-key_registrars choose_registrars(std::string_view service, std::string_view key,
-                                 std::span<const known_instance> instances,
-                                 std::optional<std::int64_t> first_sent_ms,
-                                 std::span<const member_loss> losses);
+registrar_sets select_registrar_sets(std::string_view service, std::string_view key,
+                                     std::span<const known_instance> instances,
+                                     std::optional<std::int64_t> first_sent_ms,
+                                     std::span<const member_loss> losses);
 
 // One key as its registrar knows it.
 struct claim_entry {
@@ -129,25 +129,26 @@
 
 // When this instance became a registrar of the key because registrars before it left: its table
 // can't know claims made earlier. Nothing if it was one all along.
-std::optional<wall_time> promoted_at(std::string_view service, std::string_view key,
-                                     std::optional<std::int64_t> first_sent_ms,
-                                     std::string_view self,
-                                     std::span<const known_instance> instances,
-                                     std::span<const departure> departures);
+std::optional<wall_time> promotion_time(std::string_view service, std::string_view key,
+                                        std::optional<std::int64_t> first_sent_ms,
+                                        std::string_view self,
+                                        std::span<const known_instance> instances,
+                                        std::span<const departure> departures);
 // The same for all sets of registrars since the loss that the claimant allowed for; the latest
 // time.
-std::optional<wall_time> promoted_at(const claim_request& request, std::string_view self,
-                                     std::span<const known_instance> instances,
-                                     std::span<const departure> departures);
+std::optional<wall_time> promotion_time(const claim_request& request, std::string_view self,
+                                        std::span<const known_instance> instances,
+                                        std::span<const departure> departures);
 
 // False if nodes with this registrar's view would not ask it, or if its own name may be unknown on
 // the other side of a partition that the claimant has not allowed for: the claim could then be
 // granted on both sides.
-bool covers_losses(const claim_request& request, std::string_view self,
-                   std::span<const known_instance> instances, std::span<const member_loss> losses);
+bool is_partition_safe(const claim_request& request, std::string_view self,
+                       std::span<const known_instance> instances,
+                       std::span<const member_loss> losses);
 
 // The registrar's answer. The same claimant and claim id is granted again (a lost reply). promoted
-// is the result of promoted_at.
+// is the result of promotion_time.
 claim_reply grant_claim(claim_table& table, const claim_request& request, time_point now,
                         wall_time wall_now, std::optional<wall_time> promoted = std::nullopt);
 
@@ -172,7 +173,7 @@
 };
 claim_decision decide_claim(std::span<const claim_reply> replies);
 // The same for several sets of registrars: all must allow the run.
-claim_decision decide_claim(const key_registrars& registrars, std::span<const claim_reply> replies);
+claim_decision decide_claim(const registrar_sets& registrars, std::span<const claim_reply> replies);
 
 // Results kept by the claimant for requests sent again.
 enum class result_state : std::uint8_t { running, stored, too_large, withdrawn };
@@ -198,8 +199,8 @@
 
 // Reserves a place before the claim; false when the table is full (answer: queue_full, not run) or
 // when this node already has the key (look it up with find_result).
-bool begin_result(result_table& table, std::string_view combined_key, std::uint64_t claim_id,
-                  time_point now);
+bool reserve_result(result_table& table, std::string_view combined_key, std::uint64_t claim_id,
+                    time_point now);
 // Stores the whole answer, or that it was too large to keep.
 void store_result(result_table& table, std::string_view combined_key, std::uint16_t status,
                   std::string_view content_type, std::string_view body, time_point now);
--- a/src/decide/distribution.cpp
+++ b/src/decide/distribution.cpp
@@ -16,13 +16,13 @@
 constexpr milliseconds first_fetch_backoff{50};
 constexpr milliseconds max_fetch_backoff{2'000};
 // Peers looked at per search for a holder; bounds the work of one event in a large mesh.
-constexpr std::size_t holders_scanned = 256;
+constexpr std::size_t max_holders_scanned = 256;
 // Before it is ready, a node skips a version while it knows of a higher one, unless this many
 // fetches have failed. A restarted node then doesn't apply a version below its predecessor's just
 // because a peer that lags was the first to reply.
 constexpr std::uint32_t failures_before_older = 6;
 // Failed holders remembered; in a mesh with more holders a repeated choice is unlikely.
-constexpr std::size_t max_fetch_failed = 16;
+constexpr std::size_t max_failed_holders = 16;
 
 void set_peer_version(distribution_state& state, std::string_view instance, std::uint64_t version) {
     auto found = state.m_peer_versions.find(instance);
@@ -31,61 +31,64 @@
             return;
         }
         state.m_peer_versions.emplace(instance, version);
-        ++state.m_holders[version];
+        ++state.m_holder_counts[version];
         return;
     }
     if (found->second == version) {
         return;
     }
-    const auto count = state.m_holders.find(found->second);
+    const auto count = state.m_holder_counts.find(found->second);
     if (--count->second == 0) {
-        state.m_holders.erase(count);
+        state.m_holder_counts.erase(count);
     }
     if (version == 0) {
         state.m_peer_versions.erase(found);
         return;
     }
     found->second = version;
-    ++state.m_holders[version];
+    ++state.m_holder_counts[version];
 }
 
 // Whether enough peers hold the version or a later one: a node that restarts while the store is
 // down then learns at least this version from one of them.
 bool has_replicas(const distribution_state& state, std::uint64_t version,
                   std::size_t live_members) {
-    const std::size_t needed = std::min(state.m_replicas, live_members);
+    const std::size_t needed = std::min(state.m_required_replicas, live_members);
     std::size_t holders = 0;
-    for (auto at = state.m_holders.lower_bound(version);
-         at != state.m_holders.end() && holders < needed; ++at) {
-        holders += at->second;
+    for (auto count = state.m_holder_counts.lower_bound(version);
+         count != state.m_holder_counts.end() && holders < needed; ++count) {
+        holders += count->second;
     }
     return holders >= needed;
 }
 
 // Whether the node knows a version below which it must not go. Without the store it has asked at
-// least joined_before_apply members, or all it knows if these are fewer.
-bool floor_known(const distribution_state& state, std::size_t live_members) {
+// least join_replies_before_apply members, or all it knows if these are fewer.
+bool is_min_version_known(const distribution_state& state, std::size_t live_members) {
     if (state.m_store_read) {
         return true;
     }
-    return live_members > 0 && state.m_joined.size() >= std::min(joined_before_apply, live_members);
+    return live_members > 0 &&
+           state.m_join_replies.size() >= std::min(join_replies_before_apply, live_members);
 }
 
 // Applies the highest candidate that may be applied, and becomes ready with it.
 void try_apply(distribution_state& state, std::size_t live_members, actions& out) {
-    if (!floor_known(state, live_members)) {
+    if (!is_min_version_known(state, live_members)) {
         return;
     }
-    for (auto at = state.m_candidates.rbegin(); at != state.m_candidates.rend(); ++at) {
-        const std::uint64_t version = *at;
-        if (version <= state.m_applied || version < state.m_floor) {
+    for (auto candidate = state.m_candidates.rbegin(); candidate != state.m_candidates.rend();
+         ++candidate) {
+        const std::uint64_t version = *candidate;
+        if (version <= state.m_applied || version < state.m_min_version) {
             break;
         }
-        const bool older_than_heard = version < state.m_highest && version > state.m_from_store;
-        if (!state.m_ready && older_than_heard && state.m_fetch_failures < failures_before_older) {
+        const bool older_than_known =
+            version < state.m_highest_known && version > state.m_store_version;
+        if (!state.m_ready && older_than_known && state.m_fetch_failures < failures_before_older) {
             continue;
         }
-        const bool from_store = version <= state.m_from_store && state.m_store_waited;
+        const bool from_store = version <= state.m_store_version && state.m_store_wait_over;
         if (!from_store && !has_replicas(state, version, live_members)) {
             continue;
         }
@@ -95,7 +98,7 @@
         out.push_back({kind::apply, {}, version});
         break;
     }
-    if (!state.m_ready && state.m_applied > 0 && state.m_applied >= state.m_floor) {
+    if (!state.m_ready && state.m_applied > 0 && state.m_applied >= state.m_min_version) {
         state.m_ready = true;
         out.push_back({kind::ready, {}, state.m_applied});
     }
@@ -105,41 +108,41 @@
 // still known, else one found by a bounded search that continues where the last one ended.
 std::optional<std::string> choose_holder(distribution_state& state, std::uint64_t held) {
     const auto& peers = state.m_peer_versions;
-    if (!state.m_fetch_next.empty()) {
-        const auto preferred = peers.find(std::exchange(state.m_fetch_next, {}));
+    if (!state.m_preferred_holder.empty()) {
+        const auto preferred = peers.find(std::exchange(state.m_preferred_holder, {}));
         if (preferred != peers.end() && preferred->second > held) {
             return preferred->first;
         }
     }
-    if (peers.empty() || state.m_holders.upper_bound(held) == state.m_holders.end()) {
+    if (peers.empty() || state.m_holder_counts.upper_bound(held) == state.m_holder_counts.end()) {
         return std::nullopt;
     }
-    auto at = peers.lower_bound(state.m_scan_from);
+    auto peer = peers.lower_bound(state.m_scan_start);
     const std::string* best = nullptr;
     std::uint64_t best_version = held;
     std::uint64_t ties = 0;
     const std::string* failed = nullptr;
-    for (std::size_t step = 0; step < std::min(holders_scanned, peers.size()); ++step, ++at) {
-        if (at == peers.end()) {
-            at = peers.begin();
+    for (std::size_t step = 0; step < std::min(max_holders_scanned, peers.size()); ++step, ++peer) {
+        if (peer == peers.end()) {
+            peer = peers.begin();
         }
-        if (at->second <= held) {
+        if (peer->second <= held) {
             continue;
         }
-        if (state.m_fetch_failed.contains(at->first)) {
-            failed = &at->first;
+        if (state.m_failed_holders.contains(peer->first)) {
+            failed = &peer->first;
             continue;
         }
-        ties = at->second > best_version ? 1 : ties + (at->second == best_version ? 1 : 0);
-        if (at->second > best_version ||
-            (at->second == best_version && state.m_random.below(ties) == 0)) {
-            best = &at->first;
-            best_version = at->second;
+        ties = peer->second > best_version ? 1 : ties + (peer->second == best_version ? 1 : 0);
+        if (peer->second > best_version ||
+            (peer->second == best_version && state.m_random.below(ties) == 0)) {
+            best = &peer->first;
+            best_version = peer->second;
         }
     }
-    state.m_scan_from = at == peers.end() ? std::string{} : at->first;
+    state.m_scan_start = peer == peers.end() ? std::string{} : peer->first;
     if (best == nullptr && failed != nullptr) {
-        state.m_fetch_failed.clear();
+        state.m_failed_holders.clear();
         best = failed;
     }
     return best == nullptr ? std::nullopt : std::optional(*best);
@@ -147,7 +150,7 @@
 
 void try_fetch(distribution_state& state, time_point now, actions& out) {
     const std::uint64_t held = held_version(state);
-    if (state.m_fetch_from || now < state.m_next_fetch || state.m_highest <= held) {
+    if (state.m_fetch_from || now < state.m_next_fetch || state.m_highest_known <= held) {
         return;
     }
     std::optional<std::string> from = choose_holder(state, held);
@@ -164,8 +167,8 @@
     if (!state.m_fetch_from) {
         return;
     }
-    if (state.m_fetch_failed.size() < max_fetch_failed) {
-        state.m_fetch_failed.insert(*state.m_fetch_from);
+    if (state.m_failed_holders.size() < max_failed_holders) {
+        state.m_failed_holders.insert(*state.m_fetch_from);
     }
     state.m_fetch_from.reset();
     const std::uint32_t doublings = std::min<std::uint32_t>(state.m_fetch_failures, 6);
@@ -180,25 +183,25 @@
 // since peers ask for deltas against it.
 void keep_text(distribution_state& state, const config_text& text) {
     state.m_texts.insert_or_assign(text.m_version, text);
-    state.m_highest = std::max(state.m_highest, text.m_version);
-    for (auto at = state.m_texts.begin();
-         state.m_texts.size() > kept_texts && at != state.m_texts.end();) {
-        if (at->first == state.m_applied) {
-            ++at;
+    state.m_highest_known = std::max(state.m_highest_known, text.m_version);
+    for (auto kept = state.m_texts.begin();
+         state.m_texts.size() > max_kept_texts && kept != state.m_texts.end();) {
+        if (kept->first == state.m_applied) {
+            ++kept;
             continue;
         }
-        state.m_candidates.erase(at->first);
-        at = state.m_texts.erase(at);
+        state.m_candidates.erase(kept->first);
+        kept = state.m_texts.erase(kept);
     }
 }
 
 // Has a kept text announced and parsed; the last actions of an event.
-void use_text(std::uint64_t version, actions& out) {
+void announce_and_parse(std::uint64_t version, actions& out) {
     out.push_back({kind::announce, {}, version});
     out.push_back({kind::parse, {}, version});
 }
 
-bool verified(const config_text& text) {
+bool is_verified(const config_text& text) {
     return text.m_version > 0 && text.m_text != nullptr && hash_bytes(*text.m_text) == text.m_hash;
 }
 
@@ -208,7 +211,7 @@
                                      std::uint64_t seed) {
     distribution_state state;
     // Each node starts its search elsewhere, which spreads the load over the holders.
-    state.m_scan_from = instance;
+    state.m_scan_start = instance;
     state.m_instance = std::move(instance);
     state.m_fetch_timeout = fetch_timeout;
     state.m_random = random_source(seed);
@@ -219,20 +222,19 @@
     return state.m_texts.empty() ? 0 : state.m_texts.rbegin()->first;
 }
 
-std::vector<distribution_action> distribution_heard(distribution_state& state,
-                                                    std::string_view instance,
-                                                    std::uint64_t version, std::size_t live_members,
-                                                    time_point now) {
+std::vector<distribution_action>
+distribution_peer_version(distribution_state& state, std::string_view instance,
+                          std::uint64_t version, std::size_t live_members, time_point now) {
     actions out;
     if (instance == state.m_instance) {
         return out;
     }
     set_peer_version(state, instance, version);
     const std::uint64_t held = held_version(state);
-    if (version > held && (version > state.m_highest || state.m_fetch_next.empty())) {
-        state.m_fetch_next = instance;
+    if (version > held && (version > state.m_highest_known || state.m_preferred_holder.empty())) {
+        state.m_preferred_holder = instance;
     }
-    state.m_highest = std::max(state.m_highest, version);
+    state.m_highest_known = std::max(state.m_highest_known, version);
     try_fetch(state, now, out);
     if (!state.m_candidates.empty()) {
         try_apply(state, live_members, out);
@@ -240,16 +242,15 @@
     return out;
 }
 
-std::vector<distribution_action> distribution_received(distribution_state& state,
-                                                       std::string_view instance,
-                                                       const config_text& text,
-                                                       std::size_t live_members, time_point now) {
+std::vector<distribution_action>
+distribution_text_received(distribution_state& state, std::string_view instance,
+                           const config_text& text, std::size_t live_members, time_point now) {
     actions out;
     const bool answers_fetch = state.m_fetch_from && *state.m_fetch_from == instance;
-    if (!verified(text) || text.m_version <= held_version(state)) {
+    if (!is_verified(text) || text.m_version <= held_version(state)) {
         if (answers_fetch) {
             // A peer that holds nothing newer than announced has restarted.
-            if (verified(text)) {
+            if (is_verified(text)) {
                 set_peer_version(state, instance, text.m_version);
             }
             back_off(state, now);
@@ -260,13 +261,13 @@
         state.m_fetch_from.reset();
     }
     state.m_fetch_failures = 0;
-    state.m_fetch_failed.clear();
+    state.m_failed_holders.clear();
     state.m_next_fetch = now;
     set_peer_version(state, instance, text.m_version);
     keep_text(state, text);
     try_fetch(state, now, out);
     try_apply(state, live_members, out);
-    use_text(text.m_version, out);
+    announce_and_parse(text.m_version, out);
     return out;
 }
 
@@ -285,15 +286,15 @@
         try_apply(state, live_members, out);
         return out;
     }
-    if (!verified(*text)) {
+    if (!is_verified(*text)) {
         return out;
     }
     state.m_store_read = true;
-    state.m_floor = std::max(state.m_floor, text->m_version);
-    if (text->m_version > state.m_from_store) {
-        state.m_from_store = text->m_version;
-        state.m_from_store_at = now;
-        state.m_store_waited = false;
+    state.m_min_version = std::max(state.m_min_version, text->m_version);
+    if (text->m_version > state.m_store_version) {
+        state.m_store_version = text->m_version;
+        state.m_store_version_read_at = now;
+        state.m_store_wait_over = false;
     }
     const auto kept = state.m_texts.find(text->m_version);
     const bool replaces = kept == state.m_texts.end() || kept->second.m_hash != text->m_hash;
@@ -306,7 +307,7 @@
     try_apply(state, live_members, out);
     try_fetch(state, now, out);
     if (wanted && state.m_texts.contains(text->m_version)) {
-        use_text(text->m_version, out);
+        announce_and_parse(text->m_version, out);
     }
     return out;
 }
@@ -324,14 +325,16 @@
     return out;
 }
 
-std::vector<distribution_action>
-distribution_joined(distribution_state& state, std::string_view instance, std::uint64_t version,
-                    std::uint64_t predecessor_version, std::size_t live_members, time_point now) {
-    if (!state.m_ready && state.m_joined.size() < max_peer_versions) {
-        state.m_floor = std::max({state.m_floor, version, predecessor_version});
-        state.m_joined.emplace(instance);
+std::vector<distribution_action> distribution_join_reply(distribution_state& state,
+                                                         std::string_view instance,
+                                                         std::uint64_t version,
+                                                         std::uint64_t predecessor_version,
+                                                         std::size_t live_members, time_point now) {
+    if (!state.m_ready && state.m_join_replies.size() < max_peer_versions) {
+        state.m_min_version = std::max({state.m_min_version, version, predecessor_version});
+        state.m_join_replies.emplace(instance);
     }
-    actions out = distribution_heard(state, instance, version, live_members, now);
+    actions out = distribution_peer_version(state, instance, version, live_members, now);
     try_apply(state, live_members, out);
     return out;
 }
@@ -343,7 +346,7 @@
         back_off(state, now);
     }
     try_fetch(state, now, out);
-    state.m_store_waited = now - state.m_from_store_at >= store_replica_wait;
+    state.m_store_wait_over = now - state.m_store_version_read_at >= store_replica_wait;
     // The number of live members may have fallen, or the last fetch failed.
     if (!state.m_candidates.empty()) {
         try_apply(state, live_members, out);
@@ -351,7 +354,7 @@
     return out;
 }
 
-void distribution_gone(distribution_state& state, std::string_view instance) {
+void distribution_peer_gone(distribution_state& state, std::string_view instance) {
     set_peer_version(state, instance, 0);
 }
 
@@ -360,11 +363,11 @@
     in_force_report report;
     report.m_version = version;
     report.m_members = members.size();
-    for (const member_version& each : members) {
-        if (each.m_version >= version) {
+    for (const member_version& member : members) {
+        if (member.m_version >= version) {
             ++report.m_in_force;
         } else if (report.m_missing.size() < max_missing_names) {
-            report.m_missing.emplace_back(each.m_instance);
+            report.m_missing.emplace_back(member.m_instance);
         }
     }
     report.m_final = report.m_in_force == report.m_members || since_acceptance >= in_force_limit;
--- a/src/decide/distribution.hpp
+++ b/src/decide/distribution.hpp
@@ -27,7 +27,7 @@
 // In all functions below, live_members is the number of other members believed reachable.
 
 // Texts kept for answering peers with deltas; the one in force is kept besides.
-constexpr std::size_t kept_texts = 8;
+constexpr std::size_t max_kept_texts = 8;
 // Other members that must hold a text before a node applies it, unless the node read it from the
 // store; then a restarted node finds it again while the store is down.
 constexpr std::size_t replicas_before_apply = 2;
@@ -35,39 +35,39 @@
 // can be reached: a node that restarts while the store is down should find it at others.
 constexpr milliseconds store_replica_wait{1'000};
 // Members asked for the floor when the store is down (all known ones in a smaller mesh).
-constexpr std::size_t joined_before_apply = 3;
+constexpr std::size_t join_replies_before_apply = 3;
 // Peers whose versions are kept; further names are ignored, since headers of calls may carry any.
 constexpr std::size_t max_peer_versions = 32'768;
 
 struct distribution_state {
     std::string m_instance;
-    std::uint64_t m_applied = 0; // version in force here; never falls
-    std::uint64_t m_floor = 0;   // nothing below this is ever applied (predecessor's version)
-    std::uint64_t m_highest = 0; // highest version heard of
+    std::uint64_t m_applied = 0;       // version in force here; never falls
+    std::uint64_t m_min_version = 0;   // nothing below this is ever applied (predecessor's version)
+    std::uint64_t m_highest_known = 0; // highest version heard of
     bool m_ready = false;
-    std::map<std::uint64_t, config_text> m_texts; // the latest kept_texts held here
+    std::map<std::uint64_t, config_text> m_texts; // the latest max_kept_texts held here
     std::set<std::uint64_t> m_candidates; // held, parsed, above m_applied, waiting for replicas
-    std::uint64_t m_from_store = 0;       // highest version read from the store itself
-    time_point m_from_store_at;           // when it was read
-    bool m_store_waited = false;          // store_replica_wait has passed since then
+    std::uint64_t m_store_version = 0;    // highest version read from the store itself
+    time_point m_store_version_read_at;   // when it was read
+    bool m_store_wait_over = false;       // store_replica_wait has passed since then
     std::map<std::string, std::uint64_t, std::less<>> m_peer_versions; // latest heard of each peer
-    std::map<std::uint64_t, std::size_t> m_holders; // number of peers per version
+    std::map<std::uint64_t, std::size_t> m_holder_counts; // number of peers per version
     // A fetch under way.
     std::optional<std::string> m_fetch_from;
     time_point m_fetch_sent;
     std::uint32_t m_fetch_failures = 0; // since the last text that arrived
     time_point m_next_fetch;
-    std::string m_fetch_next; // peer that announced a higher version: asked first
+    std::string m_preferred_holder; // peer that announced a higher version: asked first
     // Peers whose fetches failed since the last text arrived: asked again only if no other is left.
-    std::set<std::string, std::less<>> m_fetch_failed;
-    std::string m_scan_from; // where the next bounded search of m_peer_versions starts
+    std::set<std::string, std::less<>> m_failed_holders;
+    std::string m_scan_start; // where the next bounded search of m_peer_versions starts
     milliseconds m_fetch_timeout{2'000};
     // Other members that must hold a text before this node applies it.
-    std::size_t m_replicas = replicas_before_apply;
+    std::size_t m_required_replicas = replicas_before_apply;
     random_source m_random{1};
     // Joining.
-    bool m_store_read = false;      // the store's accepted version was read since start
-    std::set<std::string> m_joined; // members that answered the join request
+    bool m_store_read = false;            // the store's accepted version was read since start
+    std::set<std::string> m_join_replies; // members that answered the join request
 };
 
 // Actions are to be carried out in the order given. Parsing comes last, so that its result can be
@@ -90,16 +90,14 @@
                                      std::uint64_t seed);
 
 // A peer holds the version (from a packet, a header, a fetch request or a join reply).
-std::vector<distribution_action> distribution_heard(distribution_state& state,
-                                                    std::string_view instance,
-                                                    std::uint64_t version, std::size_t live_members,
-                                                    time_point now);
+std::vector<distribution_action>
+distribution_peer_version(distribution_state& state, std::string_view instance,
+                          std::uint64_t version, std::size_t live_members, time_point now);
 
 // A fetched text arrived. A text whose hash doesn't match is counted as a failed fetch.
-std::vector<distribution_action> distribution_received(distribution_state& state,
-                                                       std::string_view instance,
-                                                       const config_text& text,
-                                                       std::size_t live_members, time_point now);
+std::vector<distribution_action>
+distribution_text_received(distribution_state& state, std::string_view instance,
+                           const config_text& text, std::size_t live_members, time_point now);
 
 // The fetch under way failed or was refused.
 std::vector<distribution_action> distribution_fetch_failed(distribution_state& state,
@@ -118,16 +116,18 @@
 
 // A member answered the join request with the version it holds and the highest version that this
 // node's predecessor (same instance name) had announced to it.
-std::vector<distribution_action>
-distribution_joined(distribution_state& state, std::string_view instance, std::uint64_t version,
-                    std::uint64_t predecessor_version, std::size_t live_members, time_point now);
+std::vector<distribution_action> distribution_join_reply(distribution_state& state,
+                                                         std::string_view instance,
+                                                         std::uint64_t version,
+                                                         std::uint64_t predecessor_version,
+                                                         std::size_t live_members, time_point now);
 
 // Retries fetches and times them out. Call it at least every 100 ms.
 std::vector<distribution_action> distribution_tick(distribution_state& state,
                                                    std::size_t live_members, time_point now);
 
 // The peer died, left or restarted: it no longer counts as a holder of any text.
-void distribution_gone(distribution_state& state, std::string_view instance);
+void distribution_peer_gone(distribution_state& state, std::string_view instance);
 
 // The highest version whose text is held here, 0 if none. Goes into every packet as the held
 // version; m_applied goes there as the version in force.
--- a/src/decide/facts.cpp
+++ b/src/decide/facts.cpp
@@ -25,13 +25,13 @@
 }
 
 // Appends a field to the bytes of a digest; the separator keeps adjacent fields apart.
-void append(std::string& bytes, std::string_view text) {
+void append_field(std::string& bytes, std::string_view text) {
     bytes += text;
     bytes += '\0';
 }
 
-void append(std::string& bytes, std::uint64_t number) {
-    append(bytes, std::to_string(number));
+void append_field(std::string& bytes, std::uint64_t number) {
+    append_field(bytes, std::to_string(number));
 }
 
 // Only the move counts: which of several reports of the same move a node keeps makes no difference
@@ -43,11 +43,11 @@
 // The service, move and revision identify a record; the store fixes the rest.
 std::uint64_t record_hash(const move_record& value) {
     std::string bytes;
-    append(bytes, value.m_service);
-    append(bytes, value.m_move_id);
-    append(bytes, value.m_revision);
-    append(bytes, static_cast<std::uint64_t>(value.m_state));
-    append(bytes, value.m_weight_permille);
+    append_field(bytes, value.m_service);
+    append_field(bytes, value.m_move_id);
+    append_field(bytes, value.m_revision);
+    append_field(bytes, static_cast<std::uint64_t>(value.m_state));
+    append_field(bytes, value.m_weight_permille);
     return hash_bytes(bytes, 2);
 }
 
@@ -58,7 +58,7 @@
     return names[static_cast<std::size_t>(value)];
 }
 
-bool join_suspension(fact_table& facts, const suspension& value) {
+bool merge_suspension(fact_table& facts, const suspension& value) {
     const auto found = facts.m_suspensions.find(value.m_move_id);
     if (found == facts.m_suspensions.end()) {
         if (facts.m_suspensions.size() >= max_facts) {
@@ -74,7 +74,7 @@
     return false;
 }
 
-bool join_record(fact_table& facts, const move_record& value) {
+bool merge_record(fact_table& facts, const move_record& value) {
     const auto found = facts.m_records.find(value.m_service);
     if (found == facts.m_records.end()) {
         if (facts.m_records.size() >= max_facts) {
--- a/src/decide/facts.hpp
+++ b/src/decide/facts.hpp
@@ -58,10 +58,10 @@
 
 // Adds a suspension. Of two for the same move the one with the smaller (time, instance) is kept, so
 // that every order of arrival gives the same table. Returns whether the table changed.
-bool join_suspension(fact_table& facts, const suspension& value);
+bool merge_suspension(fact_table& facts, const suspension& value);
 
 // Adds a move record; the higher revision wins. Returns whether the table changed.
-bool join_record(fact_table& facts, const move_record& value);
+bool merge_record(fact_table& facts, const move_record& value);
 
 // Digest of the suspended moves and of the records' revisions; equal tables have equal digests.
 std::uint64_t facts_digest(const fact_table& facts);
--- a/src/decide/lease.cpp
+++ b/src/decide/lease.cpp
@@ -8,10 +8,10 @@
 
 // A renewal is due after a third of the period, which leaves room for one lost renewal and its
 // retry before the lease runs out.
-constexpr int renew_fraction = 3;
+constexpr int renewal_divisor = 3;
 // A failed renewal is tried again after a tenth of the period, so that a short outage of the store
 // doesn't cost the lease.
-constexpr int renew_retry_fraction = 10;
+constexpr int retry_divisor = 10;
 // A release without an answer is repeated for two periods; the store has dropped the lease by then.
 constexpr int release_periods = 2;
 
@@ -23,19 +23,19 @@
     keeper.m_next_attempt = now + quarter + jitter;
 }
 
-void retry_renewal(lease_keeper& keeper, time_point now) {
-    const auto tenth = std::chrono::duration_cast<duration>(keeper.m_period) / renew_retry_fraction;
+void schedule_short_retry(lease_keeper& keeper, time_point now) {
+    const auto tenth = std::chrono::duration_cast<duration>(keeper.m_period) / retry_divisor;
     const auto jitter = std::chrono::duration_cast<duration>(tenth * keeper.m_random.unit());
     keeper.m_next_attempt = now + tenth + jitter;
 }
 
-void forget_lease(lease_keeper& keeper) {
+void reset_to_idle(lease_keeper& keeper) {
     keeper.m_phase = lease_phase::idle;
     keeper.m_held = false;
     keeper.m_lease.clear();
     keeper.m_revision = 0;
-    keeper.m_claim_unknown = false;
-    keeper.m_read_first = false;
+    keeper.m_claim_outcome_unknown = false;
+    keeper.m_read_before_retry = false;
 }
 
 // Marks the lease as given up: whatever answer arrives later, it is not held again.
@@ -43,37 +43,37 @@
     keeper.m_held = false;
     keeper.m_phase = lease_phase::releasing;
     keeper.m_next_attempt = now;
-    keeper.m_release_until = now + keeper.m_period * release_periods;
+    keeper.m_release_deadline = now + keeper.m_period * release_periods;
 }
 
-void hold(lease_keeper& keeper, std::uint64_t revision, time_point now) {
+void mark_held(lease_keeper& keeper, std::uint64_t revision, time_point now) {
     keeper.m_phase = lease_phase::held;
     keeper.m_held = true;
     keeper.m_revision = revision;
-    keeper.m_claim_unknown = false;
-    keeper.m_read_first = false;
+    keeper.m_claim_outcome_unknown = false;
+    keeper.m_read_before_retry = false;
     const time_point granted = keeper.m_valid_until - keeper.m_period;
-    keeper.m_next_attempt = std::max(now, granted + keeper.m_period / renew_fraction);
+    keeper.m_next_attempt = std::max(now, granted + keeper.m_period / renewal_divisor);
 }
 
 // Another holder has the key. The own store lease has no key and is left to expire, which costs no
 // further call.
-void lose_contest(lease_keeper& keeper, time_point now) {
-    forget_lease(keeper);
-    keeper.m_read_first = true;
+void handle_claim_conflict(lease_keeper& keeper, time_point now) {
+    reset_to_idle(keeper);
+    keeper.m_read_before_retry = true;
     back_off(keeper, now);
 }
 
-lease_request send(lease_keeper& keeper, lease_request request, time_point now) {
-    keeper.m_under_way = request;
+lease_request begin_request(lease_keeper& keeper, lease_request request, time_point now) {
+    keeper.m_pending_request = request;
     keeper.m_request_sent = now;
     return request;
 }
 
-void created(lease_keeper& keeper, const lease_reply& reply, time_point now) {
+void handle_create_reply(lease_keeper& keeper, const lease_reply& reply, time_point now) {
     if (reply.m_kind != error_kind::none) {
         // A lease created without our knowing carries no key and expires.
-        forget_lease(keeper);
+        reset_to_idle(keeper);
         back_off(keeper, now);
         return;
     }
@@ -83,28 +83,28 @@
     keeper.m_next_attempt = now;
 }
 
-void claimed(lease_keeper& keeper, const lease_reply& reply, time_point now) {
+void handle_claim_reply(lease_keeper& keeper, const lease_reply& reply, time_point now) {
     switch (reply.m_kind) {
     case error_kind::none:
-        hold(keeper, reply.m_revision, now);
+        mark_held(keeper, reply.m_revision, now);
         return;
     case error_kind::store_conflict:
         // After a claim without an answer the key may be the one that this lease wrote.
-        if (keeper.m_claim_unknown) {
-            keeper.m_read_first = true;
+        if (keeper.m_claim_outcome_unknown) {
+            keeper.m_read_before_retry = true;
             keeper.m_next_attempt = now;
             return;
         }
-        lose_contest(keeper, now);
+        handle_claim_conflict(keeper, now);
         return;
     case error_kind::store_lease_lost:
-        forget_lease(keeper);
+        reset_to_idle(keeper);
         back_off(keeper, now);
         return;
     default:
-        keeper.m_claim_unknown = true;
-        keeper.m_read_first = true;
-        retry_renewal(keeper, now);
+        keeper.m_claim_outcome_unknown = true;
+        keeper.m_read_before_retry = true;
+        schedule_short_retry(keeper, now);
         return;
     }
 }
@@ -113,11 +113,11 @@
 // key is gone. With a lease: compares the key with what the claim would have written. An absent key
 // means that the claim has not taken effect yet; it is sent again under the same lease, and if the
 // first one arrives late, the second one conflicts and leads here again.
-void read_key(lease_keeper& keeper, const lease_reply& reply, time_point now) {
+void handle_read_reply(lease_keeper& keeper, const lease_reply& reply, time_point now) {
     const bool absent = reply.m_kind == error_kind::store_not_found;
-    keeper.m_other_value = reply.m_kind == error_kind::none ? reply.m_value : std::string{};
+    keeper.m_other_holder_value = reply.m_kind == error_kind::none ? reply.m_value : std::string{};
     if (absent) {
-        keeper.m_read_first = false;
+        keeper.m_read_before_retry = false;
         keeper.m_next_attempt = now;
         return;
     }
@@ -126,46 +126,47 @@
         return;
     }
     if (reply.m_kind != error_kind::none) {
-        retry_renewal(keeper, now);
+        schedule_short_retry(keeper, now);
         return;
     }
     if (reply.m_value == lease_claim_value(keeper)) {
-        keeper.m_other_value.clear();
-        hold(keeper, reply.m_revision, now);
+        keeper.m_other_holder_value.clear();
+        mark_held(keeper, reply.m_revision, now);
         return;
     }
-    lose_contest(keeper, now);
+    handle_claim_conflict(keeper, now);
 }
 
 // An error of the store is not a lost lease: the lease stays as it is, and lease_held turns false
 // by the own clock when its period is over. Only the store's word that the lease is gone ends it.
 // The holder then claims the key again at once: after an outage of the store it is the only one
 // that needs no takeover, and the other candidates are still backing off.
-void renewed(lease_keeper& keeper, const lease_reply& reply, time_point now) {
+void handle_renew_reply(lease_keeper& keeper, const lease_reply& reply, time_point now) {
     if (reply.m_kind == error_kind::store_lease_lost) {
-        forget_lease(keeper);
+        reset_to_idle(keeper);
         keeper.m_next_attempt = now;
         return;
     }
     keeper.m_phase = lease_phase::held;
     if (reply.m_kind != error_kind::none) {
-        retry_renewal(keeper, now);
+        schedule_short_retry(keeper, now);
         return;
     }
     keeper.m_valid_until = std::max(keeper.m_valid_until, keeper.m_request_sent + keeper.m_period);
-    keeper.m_next_attempt = std::max(now, keeper.m_request_sent + keeper.m_period / renew_fraction);
+    keeper.m_next_attempt =
+        std::max(now, keeper.m_request_sent + keeper.m_period / renewal_divisor);
 }
 
-void released(lease_keeper& keeper, const lease_reply& reply, time_point now) {
+void handle_release_reply(lease_keeper& keeper, const lease_reply& reply, time_point now) {
     const bool gone = reply.m_kind == error_kind::none ||
                       reply.m_kind == error_kind::store_lease_lost ||
                       reply.m_kind == error_kind::store_not_found;
     if (gone) {
-        forget_lease(keeper);
+        reset_to_idle(keeper);
         keeper.m_next_attempt = now;
         return;
     }
-    retry_renewal(keeper, now);
+    schedule_short_retry(keeper, now);
 }
 
 } // namespace
@@ -185,42 +186,43 @@
     if (!wanted && keeper.m_phase != lease_phase::releasing) {
         // A request under way is waited for: it may still create a lease that needs releasing.
         keeper.m_held = false;
-        if (keeper.m_under_way != lease_request::none) {
+        if (keeper.m_pending_request != lease_request::none) {
             keeper.m_release_due = true;
             return lease_request::none;
         }
         if (keeper.m_lease.empty()) {
-            forget_lease(keeper);
+            reset_to_idle(keeper);
             return lease_request::none;
         }
         start_release(keeper, now);
     }
-    if (keeper.m_under_way != lease_request::none || now < keeper.m_next_attempt) {
+    if (keeper.m_pending_request != lease_request::none || now < keeper.m_next_attempt) {
         return lease_request::none;
     }
     switch (keeper.m_phase) {
     case lease_phase::releasing:
-        if (now >= keeper.m_release_until) {
-            forget_lease(keeper);
+        if (now >= keeper.m_release_deadline) {
+            reset_to_idle(keeper);
             return lease_request::none;
         }
-        return send(keeper, lease_request::release, now);
+        return begin_request(keeper, lease_request::release, now);
     case lease_phase::held:
         keeper.m_phase = lease_phase::renewing;
-        return send(keeper, lease_request::renew, now);
+        return begin_request(keeper, lease_request::renew, now);
     case lease_phase::claiming:
         if (now >= keeper.m_valid_until) {
-            forget_lease(keeper);
+            reset_to_idle(keeper);
             return lease_request::none;
         }
-        return send(keeper, keeper.m_read_first ? lease_request::read_back : lease_request::claim,
-                    now);
+        return begin_request(
+            keeper, keeper.m_read_before_retry ? lease_request::read_back : lease_request::claim,
+            now);
     case lease_phase::idle:
-        if (keeper.m_read_first) {
-            return send(keeper, lease_request::read_back, now);
+        if (keeper.m_read_before_retry) {
+            return begin_request(keeper, lease_request::read_back, now);
         }
         keeper.m_phase = lease_phase::creating;
-        return send(keeper, lease_request::create, now);
+        return begin_request(keeper, lease_request::create, now);
     case lease_phase::creating:
     case lease_phase::renewing:
         break;
@@ -232,23 +234,23 @@
 // when it is wanted again by now: it is not known as held any more, and a new claim is clean. A
 // reply without a request under way is a duplicate and is ignored.
 void lease_receive(lease_keeper& keeper, const lease_reply& reply, time_point now) {
-    switch (std::exchange(keeper.m_under_way, lease_request::none)) {
+    switch (std::exchange(keeper.m_pending_request, lease_request::none)) {
     case lease_request::none:
         return;
     case lease_request::create:
-        created(keeper, reply, now);
+        handle_create_reply(keeper, reply, now);
         break;
     case lease_request::claim:
-        claimed(keeper, reply, now);
+        handle_claim_reply(keeper, reply, now);
         break;
     case lease_request::read_back:
-        read_key(keeper, reply, now);
+        handle_read_reply(keeper, reply, now);
         break;
     case lease_request::renew:
-        renewed(keeper, reply, now);
+        handle_renew_reply(keeper, reply, now);
         break;
     case lease_request::release:
-        released(keeper, reply, now);
+        handle_release_reply(keeper, reply, now);
         break;
     }
     if (std::exchange(keeper.m_release_due, false) && keeper.m_phase != lease_phase::releasing) {
@@ -264,7 +266,8 @@
 }
 
 std::string_view other_holder(const lease_keeper& keeper) {
-    return std::string_view(keeper.m_other_value).substr(0, keeper.m_other_value.find(' '));
+    return std::string_view(keeper.m_other_holder_value)
+        .substr(0, keeper.m_other_holder_value.find(' '));
 }
 
 bool lease_held(const lease_keeper& keeper, time_point now) {
--- a/src/decide/lease.hpp
+++ b/src/decide/lease.hpp
@@ -24,19 +24,20 @@
     std::string m_value; // written under the key: the holder's name or address
     milliseconds m_period{5'000};
     lease_phase m_phase = lease_phase::idle;
-    std::string m_lease;          // store lease id while one exists
-    std::string m_other_value;    // another holder's value, as last read
-    std::uint64_t m_revision = 0; // revision of the key when it was claimed
-    time_point m_valid_until;     // by the own clock, from before the request was sent
+    std::string m_lease;              // store lease id while one exists
+    std::string m_other_holder_value; // another holder's value, as last read
+    std::uint64_t m_revision = 0;     // revision of the key when it was claimed
+    time_point m_valid_until;         // by the own clock, from before the request was sent
     time_point m_request_sent;
     time_point m_next_attempt;
     bool m_wanted = false; // false releases
     bool m_held = false;
-    lease_request m_under_way = lease_request::none;
-    bool m_claim_unknown = false; // a claim under m_lease got no answer and may still take effect
-    bool m_read_first = false;    // read the key before the next create or claim
-    bool m_release_due = false;   // not wanted while a request was under way: release after it
-    time_point m_release_until;   // an unanswered release is given up after this
+    lease_request m_pending_request = lease_request::none;
+    bool m_claim_outcome_unknown =
+        false; // a claim under m_lease got no answer and may still take effect
+    bool m_read_before_retry = false; // read the key before the next create or claim
+    bool m_release_due = false;       // not wanted while a request was under way: release after it
+    time_point m_release_deadline;    // an unanswered release is given up after this
     random_source m_random{1};
 };
 
--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -112,7 +112,7 @@
 
 // The text's difference from the latest whole text; empty if that isn't held here or if the
 // difference doesn't restore the text.
-std::string make_delta(const control& state, const accepted_record& record, const text_name& base,
+std::string make_delta(const control& state, const accepted_record& record, const text_id& base,
                        std::string_view text) {
     const auto base_text = find_text(state, base.m_version);
     if (!base_text || hash_bytes(*base_text) != base.m_hash) {
@@ -127,13 +127,13 @@
 // Writes the text, whole or as a delta, then the record.
 void write_accepted(control& state, accepted_record record, const std::string& text) {
     accepter_role& role = state.m_accepter;
-    text_name base = role.m_accepted ? whole_text_of(*role.m_accepted) : text_name{};
+    text_id base = role.m_accepted ? full_text_of(*role.m_accepted) : text_id{};
     std::string delta = base.m_version == 0 ? std::string{} : make_delta(state, record, base, text);
     if (delta.empty()) {
         base = {};
     }
     role.m_written_text = std::make_shared<const std::string>(text);
-    if (!stores_whole(record.m_version, base.m_version, delta.size(), text.size())) {
+    if (!should_store_full(record.m_version, base.m_version, delta.size(), text.size())) {
         record.m_base = base;
         write_delta(state, record, delta);
         return;
@@ -234,8 +234,8 @@
     }
     const std::uint64_t decided =
         std::max(role.m_refused_revision, role.m_accepted ? role.m_accepted->m_source_revision : 0);
-    switch (choose_source(seen, role.m_text_revision, decided, role.m_unusable_delta,
-                          state.now() - role.m_seen_at)) {
+    switch (choose_text_source(seen, role.m_text_revision, decided, role.m_unusable_delta,
+                               state.now() - role.m_seen_at)) {
     case text_source::nothing:
         role.m_busy = false;
         break;
@@ -278,7 +278,7 @@
     state.m_store->list_keys(accepted_prefix, [&state, committed](const store_reply& reply) {
         std::size_t removals = 0;
         for (const store_entry& entry : reply.m_entries) {
-            if (removals < max_removals && is_removable(entry.m_key, committed)) {
+            if (removals < max_removals && is_obsolete_key(entry.m_key, committed)) {
                 ++removals;
                 state.m_store->remove(entry.m_key, entry.m_revision, [](const store_reply&) {});
             }
--- a/src/node/admin_pages.cpp
+++ b/src/node/admin_pages.cpp
@@ -55,7 +55,7 @@
     return json::serialize(json::object{
         {"instance", state.m_settings.m_instance},
         {"config_version", state.m_distribution.m_applied},
-        {"config_highest_heard", state.m_distribution.m_highest},
+        {"config_highest_heard", state.m_distribution.m_highest_known},
         {"ready", state.m_distribution.m_ready},
         {"draining", state.m_draining},
         {"load_permille", state.m_traffic->load_permille()},
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -231,7 +231,7 @@
     std::vector<suspension> new_suspensions;
     std::vector<move_record> new_records;
     for (const suspension& value : suspensions) {
-        if (join_suspension(state.m_facts, value)) {
+        if (merge_suspension(state.m_facts, value)) {
             new_suspensions.push_back(value);
             record_fact(state, value);
             log_event(log_level::warning, "version_suspended",
@@ -243,7 +243,7 @@
         }
     }
     for (const move_record& value : records) {
-        if (join_record(state.m_facts, value)) {
+        if (merge_record(state.m_facts, value)) {
             new_records.push_back(value);
             record_fact(state, value);
             log_event(log_level::info, "move_learnt",
--- a/src/node/join.cpp
+++ b/src/node/join.cpp
@@ -61,7 +61,7 @@
         const member& known = tracked.m_member;
         const bool live =
             known.m_state == member_state::alive || known.m_state == member_state::suspect;
-        const bool answered = state.m_distribution.m_joined.contains(name);
+        const bool answered = state.m_distribution.m_join_replies.contains(name);
         if (live && !answered && !state.m_join.m_pending.contains(format_endpoint(known.m_bulk))) {
             targets.push_back(known.m_bulk);
         }
@@ -274,7 +274,8 @@
         if (!record) {
             return;
         }
-        state.m_distribution.m_floor = std::max(state.m_distribution.m_floor, record->m_version);
+        state.m_distribution.m_min_version =
+            std::max(state.m_distribution.m_min_version, record->m_version);
         const join_state& join = state.m_join;
         const bool first_round_over =
             state.now() - join.m_first_attempt >= state.m_settings.m_fetch_timeout;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -86,7 +86,7 @@
     m_own_view = view_own_server(*this);
     if (reads_operator_items()) {
         // The store loses nothing that it has acknowledged, so no text waits for replicas.
-        m_distribution.m_replicas = 0;
+        m_distribution.m_required_replicas = 0;
     }
 }
 
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -226,7 +226,7 @@
 // members that died or were cut off just now.
 bool is_behind(control& state, time_point now) {
     operator_watch& watch = state.m_operator;
-    if (state.m_distribution.m_highest <= held_version(state.m_distribution)) {
+    if (state.m_distribution.m_highest_known <= held_version(state.m_distribution)) {
         watch.m_behind_since = now;
     }
     return now - watch.m_behind_since > behind_time;
--- a/src/node/recorded.cpp
+++ b/src/node/recorded.cpp
@@ -17,14 +17,15 @@
 // What a tick of a lease may change. Keys and periods are fixed, and the random numbers move only
 // with a reply.
 auto changeable(const lease_keeper& keeper) {
-    return std::tuple(keeper.m_phase, keeper.m_wanted, keeper.m_held, keeper.m_under_way,
-                      keeper.m_release_due, keeper.m_read_first, keeper.m_claim_unknown,
-                      keeper.m_lease.empty(), keeper.m_next_attempt);
+    return std::tuple(keeper.m_phase, keeper.m_wanted, keeper.m_held, keeper.m_pending_request,
+                      keeper.m_release_due, keeper.m_read_before_retry,
+                      keeper.m_claim_outcome_unknown, keeper.m_lease.empty(),
+                      keeper.m_next_attempt);
 }
 
 // True when an event may find something to fetch or to apply.
 bool has_pending(const distribution_state& state) {
-    return state.m_fetch_from || state.m_highest > held_version(state) ||
+    return state.m_fetch_from || state.m_highest_known > held_version(state) ||
            !state.m_candidates.empty();
 }
 
@@ -136,7 +137,7 @@
     const time_point now = state.now();
     const bool recorded = is_recording() && (has_pending(own) || version > held_version(own) ||
                                              version_of_peer(own, instance) != version);
-    auto actions = distribution_heard(own, instance, version, live(state), now);
+    auto actions = distribution_peer_version(own, instance, version, live(state), now);
     if (recorded) {
         record_config("heard", now,
                       {{"from_instance", instance}, {"version", version}, {"live", live(state)}},
@@ -148,9 +149,9 @@
 std::vector<distribution_action> decide_config_tick(control& state, time_point now) {
     distribution_state& own = state.m_distribution;
     const bool pending = has_pending(own);
-    const bool waited = own.m_store_waited;
+    const bool waited = own.m_store_wait_over;
     auto actions = distribution_tick(own, live(state), now);
-    if (pending || own.m_store_waited != waited) {
+    if (pending || own.m_store_wait_over != waited) {
         record_config("tick", now, {{"live", live(state)}}, actions);
     }
     return actions;
@@ -159,7 +160,8 @@
 std::vector<distribution_action> decide_received(control& state, std::string_view instance,
                                                  const config_text& text) {
     const time_point now = state.now();
-    auto actions = distribution_received(state.m_distribution, instance, text, live(state), now);
+    auto actions =
+        distribution_text_received(state.m_distribution, instance, text, live(state), now);
     record_config("received", now,
                   {{"from_instance", instance},
                    {"version", text.m_version},
@@ -202,8 +204,8 @@
                                                std::uint64_t version,
                                                std::uint64_t predecessor_version) {
     const time_point now = state.now();
-    auto actions = distribution_joined(state.m_distribution, instance, version, predecessor_version,
-                                       live(state), now);
+    auto actions = distribution_join_reply(state.m_distribution, instance, version,
+                                           predecessor_version, live(state), now);
     record_config("joined", now,
                   {{"from_instance", instance},
                    {"version", version},
@@ -215,7 +217,7 @@
 
 void forget_holder(control& state, std::string_view instance) {
     const bool known = version_of_peer(state.m_distribution, instance) != 0;
-    distribution_gone(state.m_distribution, instance);
+    distribution_peer_gone(state.m_distribution, instance);
     if (known) {
         record_config("gone", state.now(), {{"from_instance", instance}}, {});
     }
--- a/src/node/recorded.hpp
+++ b/src/node/recorded.hpp
@@ -27,12 +27,13 @@
 // make_distribution
 distribution_state begin_distribution(const node_settings& settings, std::uint64_t seed,
                                       time_point now);
-// distribution_heard and distribution_tick; calls that can't change anything are not recorded.
+// distribution_peer_version and distribution_tick; calls that can't change anything are not
+// recorded.
 std::vector<distribution_action> decide_heard(control& state, std::string_view instance,
                                               std::uint64_t version);
 std::vector<distribution_action> decide_config_tick(control& state, time_point now);
-// distribution_received, distribution_fetch_failed, distribution_store_read, distribution_parsed,
-// distribution_joined and distribution_gone
+// distribution_text_received, distribution_fetch_failed, distribution_store_read,
+// distribution_parsed, distribution_join_reply and distribution_peer_gone
 std::vector<distribution_action> decide_received(control& state, std::string_view instance,
                                                  const config_text& text);
 std::vector<distribution_action> decide_fetch_failed(control& state);
--- a/src/node/resync.cpp
+++ b/src/node/resync.cpp
@@ -55,7 +55,7 @@
         resync.m_answered = false;
         ask_members(state);
     }
-    const bool current = state.m_distribution.m_applied >= state.m_distribution.m_highest;
+    const bool current = state.m_distribution.m_applied >= state.m_distribution.m_highest_known;
     const bool done = !resync.m_until || (resync.m_answered && current) || now >= *resync.m_until;
     if (!done) {
         return;
--- a/src/node/store_roles.cpp
+++ b/src/node/store_roles.cpp
@@ -127,7 +127,7 @@
     }
     log_event(log_level::info, "unknown_holder", {{"lease", keeper.m_key}, {"holder", holder}});
     state.m_join.m_done = false;
-    keeper.m_other_value.clear();
+    keeper.m_other_holder_value.clear();
 }
 
 void tick_reader(control& state, reader_role& role, time_point now) {
--- a/src/node/stored_text.cpp
+++ b/src/node/stored_text.cpp
@@ -21,7 +21,7 @@
 // Reads the whole text that the record's text is restored from, and restores it.
 void read_whole_text(control& state, const accepted_record& record,
                      std::optional<packed_text> delta, text_callback done) {
-    const text_name name = whole_text_of(record);
+    const text_id name = full_text_of(record);
     state.m_store->get(text_key(name.m_version, name.m_hash),
                        [&state, record, name, delta = std::move(delta),
                         done = std::move(done)](const store_reply& reply) {
--- a/src/traffic/claims_over_http.cpp
+++ b/src/traffic/claims_over_http.cpp
@@ -214,9 +214,9 @@
     if (service != snapshot.m_services.end()) {
         const service_view& view = service->second;
         if (!view.m_departures.empty()) {
-            promoted = promoted_at(request, m_instance, view.m_members, view.m_departures);
+            promoted = promotion_time(request, m_instance, view.m_members, view.m_departures);
         }
-        covered = covers_losses(request, m_instance, view.m_members, view.m_losses);
+        covered = is_partition_safe(request, m_instance, view.m_members, view.m_losses);
     }
     const std::lock_guard lock(m_mutex);
     claim_reply reply = grant_claim(m_claims, request, m_clock.now(), m_clock.wall_now(), promoted);
@@ -237,7 +237,7 @@
 
 bool key_tables::begin(std::string_view combined_key, std::uint64_t claim_id) {
     const std::lock_guard lock(m_mutex);
-    return begin_result(m_results, combined_key, claim_id, m_clock.now());
+    return reserve_result(m_results, combined_key, claim_id, m_clock.now());
 }
 
 void key_tables::store(std::string_view combined_key, const http_response& answer) {
@@ -364,8 +364,8 @@
     }
     const auto service = snapshot.m_services.find(info.m_service);
     if (service != snapshot.m_services.end()) {
-        m_registrars = choose_registrars(info.m_service, info.m_key, service->second.m_members,
-                                         m_request.m_first_sent_ms, service->second.m_losses);
+        m_registrars = select_registrar_sets(info.m_service, info.m_key, service->second.m_members,
+                                             m_request.m_first_sent_ms, service->second.m_losses);
         m_request.m_cutoff_ms = m_registrars.m_cutoff_ms;
     }
 }
--- a/src/traffic/claims_over_http.hpp
+++ b/src/traffic/claims_over_http.hpp
@@ -31,7 +31,7 @@
 
     // What is known here of a key's attempt: nothing if there is none, else a copy of it.
     std::optional<stored_result> find(std::string_view combined_key);
-    // Reserves the key for an attempt; see begin_result.
+    // Reserves the key for an attempt; see reserve_result.
     bool begin(std::string_view combined_key, std::uint64_t claim_id);
     void store(std::string_view combined_key, const http_response& answer);
     // The request was sent and its outcome is unknown: senders of the key get no answer.
@@ -101,7 +101,7 @@
     const routing_snapshot& m_snapshot;
     std::string m_combined;
     claim_request m_request;
-    key_registrars m_registrars;
+    registrar_sets m_registrars;
     bool m_reserved = false;
     std::string m_claimant;
     std::uint64_t m_claimant_id = 0;
--- a/src/traffic/entry_side.cpp
+++ b/src/traffic/entry_side.cpp
@@ -426,7 +426,7 @@
         weights.push_back(part.m_weight);
     }
     const std::lock_guard lock(context.m_entry_mutex);
-    split_choice& split = context.m_splits[route_name(route)];
+    split_choice& split = context.m_partitions[route_name(route)];
     return route.m_split[choose_part(split, weights)].m_service;
 }
 
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -101,38 +101,38 @@
     accepted_record committed;
     for (std::uint64_t version = 1; version < 500; ++version) {
         const accepted_record before = committed;
-        const text_name base = before.m_version == 0 ? text_name{} : whole_text_of(before);
+        const text_id base = before.m_version == 0 ? text_id{} : full_text_of(before);
         const std::size_t delta = random() % 8 == 0 ? text_bytes : 500;
         committed = {version, version, version, "a", 0, {}};
-        if (!stores_whole(version, base.m_version, delta, text_bytes)) {
+        if (!should_store_full(version, base.m_version, delta, text_bytes)) {
             committed.m_base = base;
         }
-        BOOST_TEST(version - whole_text_of(committed).m_version < 8U);
+        BOOST_TEST(version - full_text_of(committed).m_version < 8U);
         for (const accepted_record& record : {committed, before}) {
-            const text_name whole = whole_text_of(record);
-            BOOST_TEST(!is_removable(text_key(whole.m_version, whole.m_hash), committed));
-            BOOST_TEST(!is_removable(delta_key(record.m_version, record.m_hash), committed));
+            const text_id whole = full_text_of(record);
+            BOOST_TEST(!is_obsolete_key(text_key(whole.m_version, whole.m_hash), committed));
+            BOOST_TEST(!is_obsolete_key(delta_key(record.m_version, record.m_hash), committed));
         }
         if (version > 16) {
-            BOOST_TEST(is_removable(text_key(version - 16, 1), committed));
-            BOOST_TEST(is_removable(delta_key(version - 16, 1), committed));
+            BOOST_TEST(is_obsolete_key(text_key(version - 16, 1), committed));
+            BOOST_TEST(is_obsolete_key(delta_key(version - 16, 1), committed));
         }
     }
-    BOOST_TEST(!is_removable("caraway/text", committed));
-    BOOST_TEST(!is_removable("caraway/accepted-text/x", committed));
+    BOOST_TEST(!is_obsolete_key("caraway/text", committed));
+    BOOST_TEST(!is_obsolete_key("caraway/accepted-text/x", committed));
 }
 
 // Guards against a raw text that is never judged or judged by another text's difference, and
 // against a text that is read again.
 BOOST_AUTO_TEST_CASE(submitted_text_is_read_once_and_whole_only_without_its_delta) {
     using std::chrono::milliseconds;
-    BOOST_TEST((choose_source({}, 0, 0, 0, {}) == text_source::nothing));
-    BOOST_TEST((choose_source({9, 10}, 9, 0, 0, {}) == text_source::nothing));
-    BOOST_TEST((choose_source({9, 10}, 0, 9, 0, {}) == text_source::nothing));
-    BOOST_TEST((choose_source({9, 10}, 5, 5, 0, {}) == text_source::delta));
-    BOOST_TEST((choose_source({9, 6}, 5, 5, 0, {}) == text_source::wait));
-    BOOST_TEST((choose_source({9, 10}, 5, 5, 10, milliseconds{249}) == text_source::wait));
-    BOOST_TEST((choose_source({9, 10}, 5, 5, 10, milliseconds{250}) == text_source::whole));
+    BOOST_TEST((choose_text_source({}, 0, 0, 0, {}) == text_source::nothing));
+    BOOST_TEST((choose_text_source({9, 10}, 9, 0, 0, {}) == text_source::nothing));
+    BOOST_TEST((choose_text_source({9, 10}, 0, 9, 0, {}) == text_source::nothing));
+    BOOST_TEST((choose_text_source({9, 10}, 5, 5, 0, {}) == text_source::delta));
+    BOOST_TEST((choose_text_source({9, 6}, 5, 5, 0, {}) == text_source::wait));
+    BOOST_TEST((choose_text_source({9, 10}, 5, 5, 10, milliseconds{249}) == text_source::wait));
+    BOOST_TEST((choose_text_source({9, 10}, 5, 5, 10, milliseconds{250}) == text_source::whole));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-constexpr milliseconds detection{5'000}; // until a dead or cut off member is believed dead
+constexpr milliseconds detection_time{5'000}; // until a dead or cut off member is believed dead
 constexpr milliseconds retention{600'000};
-constexpr milliseconds mass_retention{7'200'000};
-constexpr milliseconds longest_lag{4'999}; // until a ready node knows a new name
+constexpr milliseconds loss_rule_retention{7'200'000};
+constexpr milliseconds max_view_delay{4'999}; // until a ready node knows a new name
 
 // Which names count as registrars.
-enum class registrar_rule : std::uint8_t {
+enum class registrar_selection : std::uint8_t {
     losses,             // the rule in force: as below, and from before a loss
     shared_first_start, // by the first start that all agree on
     own_first_seen,     // by the time at which the executing node itself saw the name first
@@ -29,7 +29,7 @@
 // partitions: as all, and names join during a partition or right before it. long_partitions: as
 // partitions, up to two hours long, with callers that use a first-sent time. replacements: one
 // death, restart, departure or join every 20 minutes, 120 times the 0.6 a day of a service.
-enum class disturbance : std::uint8_t {
+enum class fault_profile : std::uint8_t {
     all,
     joins_only,
     partitions,
@@ -41,11 +41,12 @@
 // names several at once, are forgotten and come back, and are cut off in two groups. Each node
 // learns and forgets a name at another moment. Callers send their keys again to any node that they
 // reach.
-class claim_world {
+class claim_simulation {
 public:
-    explicit claim_world(std::uint64_t seed, registrar_rule rule = registrar_rule::losses,
-                         disturbance disturbed = disturbance::all)
-        : m_seed(seed), m_rule(rule), m_disturbed(disturbed), m_random(seed) {
+    explicit claim_simulation(std::uint64_t seed,
+                              registrar_selection rule = registrar_selection::losses,
+                              fault_profile profile = fault_profile::all)
+        : m_seed(seed), m_rule(rule), m_fault_profile(profile), m_random(seed) {
         for (int i = 0; i < 5; ++i) {
             add_member();
         }
@@ -53,23 +54,23 @@
 
     void run() {
         // Older than the time before a loss from which registrars must be known.
-        m_now += milliseconds(m_disturbed == disturbance::replacements ? 120'000 : 30'000);
+        m_now += milliseconds(m_fault_profile == fault_profile::replacements ? 120'000 : 30'000);
         for (int step = 0; step < 1'200; ++step) {
             m_now += milliseconds(
-                m_random.below(m_disturbed == disturbance::replacements ? 4'000 : 400));
-            disturb();
+                m_random.below(m_fault_profile == fault_profile::replacements ? 4'000 : 400));
+            inject_fault();
             if (m_random.below(3) == 0 || m_attempts.empty()) {
                 begin_attempt();
             }
-            const std::size_t moves = m_random.below(4);
-            for (std::size_t i = 0; i < moves && !m_attempts.empty(); ++i) {
-                advance(m_random.below(m_attempts.size()));
+            const std::size_t advances = m_random.below(4);
+            for (std::size_t i = 0; i < advances && !m_attempts.empty(); ++i) {
+                advance_attempt(m_random.below(m_attempts.size()));
             }
-            if (m_disturbed != disturbance::joins_only &&
-                m_disturbed != disturbance::replacements && m_random.below(100) == 0) {
+            if (m_fault_profile != fault_profile::joins_only &&
+                m_fault_profile != fault_profile::replacements && m_random.below(100) == 0) {
                 m_now += milliseconds(m_random.below(700'000)); // past the retention time
-                for (member& one : m_members) {
-                    expire_claims(one.m_table, m_now);
+                for (member& node : m_members) {
+                    expire_claims(node.m_table, m_now);
                 }
             }
         }
@@ -84,7 +85,7 @@
     std::uint64_t m_false_refusals = 0;
 
 private:
-    struct episode {
+    struct time_span {
         time_point m_from;
         std::optional<time_point> m_until;
     };
@@ -99,11 +100,11 @@
         time_point m_first_start;
         std::optional<time_point> m_died;     // the latest time
         std::optional<time_point> m_returned; // from the latest death
-        std::vector<episode> m_deaths;
+        std::vector<time_span> m_deaths;
     };
     // One partition, with the group of every member that was there.
-    struct split {
-        episode m_time;
+    struct network_partition {
+        time_span m_time;
         std::map<const std::string, int> m_groups;
     };
     struct attempt {
@@ -113,12 +114,12 @@
         std::vector<std::size_t> m_registrars;
         std::vector<claim_reply> m_replies;
         std::vector<bool> m_asked;
-        key_registrars m_chosen;
+        registrar_sets m_registrar_sets;
     };
-    struct key_state {
+    struct key_record {
         std::string m_key;
         std::optional<std::int64_t> m_first_sent;
-        time_point m_begun;
+        time_point m_created_at;
         int m_runs = 0;
     };
 
@@ -127,46 +128,48 @@
                std::chrono::duration_cast<wall_time::duration>(at - time_point{});
     }
 
-    void start_table(member& one) {
-        one.m_table = claim_table{};
-        one.m_table.m_retention = retention;
-        one.m_table.m_started = m_now;
-        one.m_table.m_started_wall = wall(m_now);
+    void start_table(member& node) {
+        node.m_table = claim_table{};
+        node.m_table.m_retention = retention;
+        node.m_table.m_started = m_now;
+        node.m_table.m_started_wall = wall(m_now);
     }
 
     void add_member() {
-        member one;
-        one.m_name = "node-" + std::to_string(m_members.size());
-        one.m_changed = m_now;
-        one.m_first_start = m_now;
+        member node;
+        node.m_name = "node-" + std::to_string(m_members.size());
+        node.m_changed = m_now;
+        node.m_first_start = m_now;
         if (partitioned()) {
-            one.m_group = static_cast<int>(m_random.below(2));
-            m_splits.back().m_groups[one.m_name] = one.m_group;
+            node.m_group = static_cast<int>(m_random.below(2));
+            m_partitions.back().m_groups[node.m_name] = node.m_group;
         }
-        start_table(one);
-        m_members.push_back(one);
+        start_table(node);
+        m_members.push_back(node);
         m_last_join = m_now;
     }
 
-    bool partitioned() const { return !m_splits.empty() && !m_splits.back().m_time.m_until; }
+    bool partitioned() const {
+        return !m_partitions.empty() && !m_partitions.back().m_time.m_until;
+    }
 
     bool has_joins_in_partitions() const {
-        return m_disturbed == disturbance::partitions ||
-               m_disturbed == disturbance::long_partitions;
+        return m_fault_profile == fault_profile::partitions ||
+               m_fault_profile == fault_profile::long_partitions;
     }
 
     void begin_partition() {
-        m_splits.push_back({{m_now, std::nullopt}, {}});
+        m_partitions.push_back({{m_now, std::nullopt}, {}});
         for (member& other : m_members) {
             other.m_group = static_cast<int>(m_random.below(2));
             other.m_changed = m_now;
-            m_splits.back().m_groups[other.m_name] = other.m_group;
+            m_partitions.back().m_groups[other.m_name] = other.m_group;
         }
     }
 
     void end_partition() {
         if (partitioned()) {
-            m_splits.back().m_time.m_until = m_now;
+            m_partitions.back().m_time.m_until = m_now;
         }
         for (member& other : m_members) {
             other.m_group = 0;
@@ -174,7 +177,7 @@
     }
 
     // Whether the partition is between the two.
-    static bool separates(const split& between, const member& a, const member& b) {
+    static bool are_separated(const network_partition& between, const member& a, const member& b) {
         const auto first = between.m_groups.find(a.m_name);
         const auto second = between.m_groups.find(b.m_name);
         return first != between.m_groups.end() && second != between.m_groups.end() &&
@@ -183,15 +186,17 @@
 
     // Whether the viewer doesn't know the name now because of a partition: it came up too late to
     // be heard of before, or was forgotten meanwhile.
-    bool is_hidden(const member& viewer, const member& one) const {
-        const milliseconds late = lag(viewer, one);
-        const milliseconds kept = m_rule == registrar_rule::losses ? mass_retention : retention;
-        for (const split& each : m_splits) {
-            const time_point end = each.m_time.m_until ? *each.m_time.m_until + late : m_now;
-            const bool unheard = one.m_first_start + late > each.m_time.m_from;
-            const bool forgotten = m_now - each.m_time.m_from > detection + kept + late;
-            if (separates(each, viewer, one) && (unheard || forgotten) &&
-                (!each.m_time.m_until || m_now < end) && each.m_time.m_from <= m_now) {
+    bool is_name_unknown(const member& viewer, const member& node) const {
+        const milliseconds delay = view_delay(viewer, node);
+        const milliseconds kept =
+            m_rule == registrar_selection::losses ? loss_rule_retention : retention;
+        for (const network_partition& partition : m_partitions) {
+            const time_point end =
+                partition.m_time.m_until ? *partition.m_time.m_until + delay : m_now;
+            const bool joined_too_late = node.m_first_start + delay > partition.m_time.m_from;
+            const bool forgotten = m_now - partition.m_time.m_from > detection_time + kept + delay;
+            if (are_separated(partition, viewer, node) && (joined_too_late || forgotten) &&
+                (!partition.m_time.m_until || m_now < end) && partition.m_time.m_from <= m_now) {
                 return true;
             }
         }
@@ -199,39 +204,40 @@
     }
 
     // When the viewer held the other as lost, as far as it still knows.
-    void add_losses(const member& viewer, const member& one,
+    void add_losses(const member& viewer, const member& node,
                     std::vector<member_loss>& losses) const {
-        const milliseconds late = lag(viewer, one);
-        std::vector<episode> episodes = one.m_deaths;
-        for (const split& each : m_splits) {
-            if (separates(each, viewer, one) && !is_hidden_all_through(each, viewer, one)) {
-                episodes.push_back(
-                    {std::max(each.m_time.m_from, one.m_first_start), each.m_time.m_until});
+        const milliseconds delay = view_delay(viewer, node);
+        std::vector<time_span> episodes = node.m_deaths;
+        for (const network_partition& partition : m_partitions) {
+            if (are_separated(partition, viewer, node) &&
+                !is_unknown_throughout(partition, viewer, node)) {
+                episodes.push_back({std::max(partition.m_time.m_from, node.m_first_start),
+                                    partition.m_time.m_until});
             }
         }
-        for (const episode& each : episodes) {
-            const time_point until = each.m_until ? *each.m_until + late : m_now;
-            const bool noticed = m_now >= each.m_from + late;
-            const bool remembered = until > viewer.m_table.m_started || !each.m_until;
+        for (const time_span& span : episodes) {
+            const time_point until = span.m_until ? *span.m_until + delay : m_now;
+            const bool noticed = m_now >= span.m_from + delay;
+            const bool remembered = until > viewer.m_table.m_started || !span.m_until;
             if (noticed && remembered && until + retention > m_now) {
-                const bool over = each.m_until && until <= m_now;
-                losses.push_back({unix_ms(wall(each.m_from + late)),
+                const bool over = span.m_until && until <= m_now;
+                losses.push_back({unix_ms(wall(span.m_from + delay)),
                                   over ? std::optional(unix_ms(wall(until))) : std::nullopt});
             }
         }
     }
 
     // A name that came up on the other side is not known, so not missed either.
-    static bool is_hidden_all_through(const split& between, const member& viewer,
-                                      const member& one) {
-        return one.m_first_start + longest_lag > between.m_time.m_from && &viewer != &one;
+    static bool is_unknown_throughout(const network_partition& between, const member& viewer,
+                                      const member& node) {
+        return node.m_first_start + max_view_delay > between.m_time.m_from && &viewer != &node;
     }
 
     std::vector<member_loss> losses_of(const member& viewer) const {
         std::vector<member_loss> losses;
-        for (const member& one : m_members) {
-            if (m_rule == registrar_rule::losses && &one != &viewer) {
-                add_losses(viewer, one, losses);
+        for (const member& node : m_members) {
+            if (m_rule == registrar_selection::losses && &node != &viewer) {
+                add_losses(viewer, node, losses);
             }
         }
         return losses;
@@ -242,78 +248,78 @@
     }
 
     // Starts the member with an empty table.
-    void restart(member& one) {
-        if (one.m_left) {
+    void restart(member& node) {
+        if (node.m_left) {
             return;
         }
-        if (!one.m_alive) {
-            one.m_returned = m_now;
-            if (m_now > *one.m_died + detection + retention + longest_lag) {
-                one.m_first_start = m_now; // all have forgotten the name
-                one.m_died.reset();
+        if (!node.m_alive) {
+            node.m_returned = m_now;
+            if (m_now > *node.m_died + detection_time + retention + max_view_delay) {
+                node.m_first_start = m_now; // all have forgotten the name
+                node.m_died.reset();
             }
         }
-        if (!one.m_alive && !one.m_deaths.empty()) {
-            one.m_deaths.back().m_until = m_now;
+        if (!node.m_alive && !node.m_deaths.empty()) {
+            node.m_deaths.back().m_until = m_now;
         }
-        one.m_alive = true;
-        ++one.m_incarnation;
-        one.m_changed = m_now;
-        start_table(one);
+        node.m_alive = true;
+        ++node.m_incarnation;
+        node.m_changed = m_now;
+        start_table(node);
     }
 
     // Between one and four instances start under new names at once.
-    void join_several() {
+    void add_members() {
         for (std::size_t count = 1 + m_random.below(4); count > 0 && m_members.size() < 24;
              --count) {
             add_member();
         }
     }
 
-    void disturb() {
-        if (m_disturbed == disturbance::joins_only) {
+    void inject_fault() {
+        if (m_fault_profile == fault_profile::joins_only) {
             if (m_random.below(60) == 0) {
-                join_several();
+                add_members();
             }
             return;
         }
-        if (m_disturbed == disturbance::replacements && m_random.below(600) != 0) {
+        if (m_fault_profile == fault_profile::replacements && m_random.below(600) != 0) {
             return;
         }
         if (m_next_restart < m_members.size()) {
             restart(m_members[m_next_restart++]);
         }
-        member& one = m_members[m_random.below(m_members.size())];
-        switch (m_random.below(m_disturbed == disturbance::replacements ? 9 : 60)) {
+        member& node = m_members[m_random.below(m_members.size())];
+        switch (m_random.below(m_fault_profile == fault_profile::replacements ? 9 : 60)) {
         case 0: // dies
-            if (one.m_alive && !one.m_left) {
-                one.m_alive = false;
-                one.m_changed = m_now;
-                one.m_died = m_now;
-                one.m_deaths.push_back({m_now, std::nullopt});
-                one.m_returned.reset();
+            if (node.m_alive && !node.m_left) {
+                node.m_alive = false;
+                node.m_changed = m_now;
+                node.m_died = m_now;
+                node.m_deaths.push_back({m_now, std::nullopt});
+                node.m_returned.reset();
             }
             break;
         case 1:
         case 2:
-            restart(one);
+            restart(node);
             break;
         case 3: // a partition; members that can't reach each other believe the other side dead. One
                 // that comes before a new name is known everywhere is like a join within it.
-            if (!partitioned() && m_disturbed != disturbance::replacements &&
-                (has_joins_in_partitions() || m_now - m_last_join > longest_lag)) {
+            if (!partitioned() && m_fault_profile != fault_profile::replacements &&
+                (has_joins_in_partitions() || m_now - m_last_join > max_view_delay)) {
                 begin_partition();
             }
             break;
         case 4:
         case 5:
-            if (m_disturbed != disturbance::long_partitions || m_random.below(8) == 0) {
+            if (m_fault_profile != fault_profile::long_partitions || m_random.below(8) == 0) {
                 end_partition();
             }
             break;
         case 6:
             if (!partitioned() || has_joins_in_partitions()) {
-                join_several();
+                add_members();
             }
             break;
         case 8: // all members restart one after another
@@ -322,29 +328,29 @@
             }
             break;
         case 7: // leaves by itself
-            if (one.m_alive && !one.m_left && present() > 4) {
-                one.m_alive = false;
-                one.m_left = true;
+            if (node.m_alive && !node.m_left && active_count() > 4) {
+                node.m_alive = false;
+                node.m_left = true;
                 m_departures.push_back(
-                    {{one.m_name, first_start_ms(one.m_first_start)}, wall(m_now)});
+                    {{node.m_name, first_start_ms(node.m_first_start)}, wall(m_now)});
             }
             break;
         default:
             break;
         }
         // A partition longer than the retention time would make both sides forget each other.
-        const milliseconds longest = m_disturbed == disturbance::long_partitions
-                                         ? mass_retention - retention
+        const milliseconds longest = m_fault_profile == fault_profile::long_partitions
+                                         ? loss_rule_retention - retention
                                          : retention / 2;
-        if (partitioned() && m_now - m_splits.back().m_time.m_from > longest) {
+        if (partitioned() && m_now - m_partitions.back().m_time.m_from > longest) {
             end_partition();
         }
     }
 
-    std::size_t present() const {
+    std::size_t active_count() const {
         return static_cast<std::size_t>(
             std::count_if(m_members.begin(), m_members.end(),
-                          [](const member& one) { return one.m_alive && !one.m_left; }));
+                          [](const member& node) { return node.m_alive && !node.m_left; }));
     }
 
     std::uint64_t first_start_ms(time_point at) const {
@@ -352,43 +358,43 @@
     }
 
     // How much later than others the viewer learns or forgets the name.
-    milliseconds lag(const member& viewer, const member& one) const {
-        const auto limit = static_cast<std::uint64_t>(longest_lag.count());
-        return milliseconds(hash_bytes(one.m_name, hash_bytes(viewer.m_name, m_seed)) % limit);
+    milliseconds view_delay(const member& viewer, const member& node) const {
+        const auto limit = static_cast<std::uint64_t>(max_view_delay.count());
+        return milliseconds(hash_bytes(node.m_name, hash_bytes(viewer.m_name, m_seed)) % limit);
     }
 
     // The name as the viewer knows it now, or nothing. A viewer that has forgotten a name that
     // others still know takes its return for its first start until it hears better.
-    std::optional<known_instance> seen_by(const member& viewer, const member& one) const {
+    std::optional<known_instance> view_of(const member& viewer, const member& node) const {
         const time_point viewer_start = viewer.m_table.m_started;
-        const milliseconds late = lag(viewer, one);
-        time_point first = one.m_first_start;
-        if (&viewer == &one) {
-            return known_instance{one.m_name, first_start_ms(first)};
+        const milliseconds delay = view_delay(viewer, node);
+        time_point first = node.m_first_start;
+        if (&viewer == &node) {
+            return known_instance{node.m_name, first_start_ms(first)};
         }
-        if (one.m_left || m_now < first + late || is_hidden(viewer, one)) {
+        if (node.m_left || m_now < first + delay || is_name_unknown(viewer, node)) {
             return std::nullopt;
         }
-        if (one.m_died) {
+        if (node.m_died) {
             const bool forgotten =
-                *one.m_died + detection + retention + late < one.m_returned.value_or(m_now);
-            if (forgotten && (!one.m_returned || m_now < *one.m_returned + late)) {
+                *node.m_died + detection_time + retention + delay < node.m_returned.value_or(m_now);
+            if (forgotten && (!node.m_returned || m_now < *node.m_returned + delay)) {
                 return std::nullopt;
             }
-            if (forgotten && one.m_returned && m_now < *one.m_returned + longest_lag) {
-                first = *one.m_returned;
+            if (forgotten && node.m_returned && m_now < *node.m_returned + max_view_delay) {
+                first = *node.m_returned;
             }
         }
-        if (m_rule == registrar_rule::own_first_seen) {
-            first = std::max(viewer_start, first + late);
+        if (m_rule == registrar_selection::own_first_seen) {
+            first = std::max(viewer_start, first + delay);
         }
-        return known_instance{one.m_name, first_start_ms(first)};
+        return known_instance{node.m_name, first_start_ms(first)};
     }
 
     std::vector<known_instance> known_to(const member& viewer) const {
         std::vector<known_instance> names;
-        for (const member& one : m_members) {
-            if (auto seen = seen_by(viewer, one)) {
+        for (const member& node : m_members) {
+            if (auto seen = view_of(viewer, node)) {
                 names.push_back(std::move(*seen));
             }
         }
@@ -401,12 +407,12 @@
 
     void begin_attempt() {
         if (m_keys.empty() || m_random.below(3) == 0) {
-            key_state key;
+            key_record key;
             key.m_key = "key-" + std::to_string(m_keys.size());
-            key.m_begun = m_now;
-            if (m_disturbed == disturbance::joins_only ||
-                m_disturbed == disturbance::long_partitions ||
-                m_disturbed == disturbance::replacements || m_random.below(5) != 0) {
+            key.m_created_at = m_now;
+            if (m_fault_profile == fault_profile::joins_only ||
+                m_fault_profile == fault_profile::long_partitions ||
+                m_fault_profile == fault_profile::replacements || m_random.below(5) != 0) {
                 // Callers' clocks differ from the nodes' by up to the allowance.
                 const auto skew = static_cast<std::int64_t>(m_random.below(3'999)) - 1'999;
                 key.m_first_sent = unix_ms(wall(m_now)) + skew;
@@ -415,7 +421,7 @@
         }
         const std::size_t recent = std::min<std::size_t>(m_keys.size(), 6);
         const std::size_t number = m_keys.size() - 1 - m_random.below(recent);
-        const key_state& key = m_keys[number];
+        const key_record& key = m_keys[number];
         if (is_too_old(key)) {
             return;
         }
@@ -429,11 +435,12 @@
         next.m_request = {"service", key.m_key, claimant.m_name, ++m_claim_id, key.m_first_sent};
         const auto names = known_to(claimant);
         const auto first_sent =
-            m_rule == registrar_rule::all_names ? std::nullopt : key.m_first_sent;
+            m_rule == registrar_selection::all_names ? std::nullopt : key.m_first_sent;
         const auto losses = losses_of(claimant);
-        next.m_chosen = choose_registrars("service", key.m_key, names, first_sent, losses);
-        next.m_request.m_cutoff_ms = next.m_chosen.m_cutoff_ms;
-        for (const std::string& name : next.m_chosen.m_names) {
+        next.m_registrar_sets =
+            select_registrar_sets("service", key.m_key, names, first_sent, losses);
+        next.m_request.m_cutoff_ms = next.m_registrar_sets.m_cutoff_ms;
+        for (const std::string& name : next.m_registrar_sets.m_names) {
             next.m_registrars.push_back(index_of(name));
         }
         next.m_replies.resize(next.m_registrars.size());
@@ -442,60 +449,60 @@
     }
 
     // Without a first-sent time a key is safe within the retention time only.
-    bool is_too_old(const key_state& key) const {
-        return !key.m_first_sent && m_now - key.m_begun > retention - detection;
+    bool is_too_old(const key_record& key) const {
+        return !key.m_first_sent && m_now - key.m_created_at > retention - detection_time;
     }
 
-    key_state& key_of(const attempt& value) {
-        return *std::find_if(m_keys.begin(), m_keys.end(), [&](const key_state& key) {
+    key_record& key_of(const attempt& value) {
+        return *std::find_if(m_keys.begin(), m_keys.end(), [&](const key_record& key) {
             return key.m_key == value.m_request.m_key;
         });
     }
 
     // Asks one more registrar, or decides once all were asked.
-    void advance(std::size_t number) {
+    void advance_attempt(std::size_t number) {
         attempt& current = m_attempts[number];
         const member& claimant = m_members[current.m_claimant];
         if (!claimant.m_alive || claimant.m_incarnation != current.m_incarnation ||
             is_too_old(key_of(current))) {
-            forget(number); // the claimant died with its attempt, or the caller gave up
+            erase_attempt(number); // the claimant died with its attempt, or the caller gave up
             return;
         }
         for (std::size_t i = 0; i < current.m_asked.size(); ++i) {
             if (!current.m_asked[i]) {
                 current.m_asked[i] = true;
-                ask(current, claimant, i);
+                ask_registrar(current, claimant, i);
                 return;
             }
         }
         decide(current);
-        forget(number);
+        erase_attempt(number);
     }
 
-    void ask(attempt& current, const member& claimant, std::size_t i) {
+    void ask_registrar(attempt& current, const member& claimant, std::size_t i) {
         member& registrar = m_members[current.m_registrars[i]];
         claim_reply& reply = current.m_replies[i];
         if (!reaches(claimant, registrar)) {
-            const time_point gone = std::max(registrar.m_changed, claimant.m_changed);
-            const bool believed_dead = m_now - gone > detection;
+            const time_point unreachable_since = std::max(registrar.m_changed, claimant.m_changed);
+            const bool believed_dead = m_now - unreachable_since > detection_time;
             reply.m_status = believed_dead ? claim_status::dead : claim_status::unreachable;
             return;
         }
         const claim_request& request = current.m_request;
         const auto names = known_to(registrar);
-        const auto promoted = promoted_at(request, registrar.m_name, names, m_departures);
+        const auto promoted = promotion_time(request, registrar.m_name, names, m_departures);
         reply = grant_claim(registrar.m_table, request, m_now, wall(m_now), promoted);
         reply.m_history_complete =
             reply.m_history_complete &&
-            covers_losses(request, registrar.m_name, names, losses_of(registrar));
+            is_partition_safe(request, registrar.m_name, names, losses_of(registrar));
         if (m_random.below(20) == 0) {
             reply = claim_reply{}; // granted, but the reply was lost
         }
     }
 
     void decide(attempt& current) {
-        const claim_decision decision = decide_claim(current.m_chosen, current.m_replies);
-        key_state& key = key_of(current);
+        const claim_decision decision = decide_claim(current.m_registrar_sets, current.m_replies);
+        key_record& key = key_of(current);
         ++m_decisions;
         switch (decision.m_kind) {
         case claim_decision::kind::run:
@@ -522,21 +529,21 @@
         }
     }
 
-    void forget(std::size_t number) {
+    void erase_attempt(std::size_t number) {
         m_attempts.erase(m_attempts.begin() + static_cast<std::ptrdiff_t>(number));
     }
 
     std::uint64_t m_seed;
-    registrar_rule m_rule;
-    disturbance m_disturbed;
+    registrar_selection m_rule;
+    fault_profile m_fault_profile;
     random_source m_random;
     time_point m_now{};
-    std::vector<split> m_splits;
+    std::vector<network_partition> m_partitions;
     time_point m_last_join;
     std::size_t m_next_restart = SIZE_MAX; // of all members one after another
     std::vector<member> m_members;
     std::vector<departure> m_departures;
-    std::vector<key_state> m_keys;
+    std::vector<key_record> m_keys;
     std::vector<attempt> m_attempts;
     std::uint64_t m_claim_id = 0;
 };
@@ -560,7 +567,7 @@
     std::uint64_t refusals = 0;
     std::uint64_t held = 0;
     for (std::uint64_t seed = first; seed < first + 1'000; ++seed) {
-        claim_world world(seed);
+        claim_simulation world(seed);
         world.run();
         BOOST_TEST(world.m_ran_twice == 0U, "seed " << seed);
         BOOST_TEST(world.m_false_refusals == 0U, "seed " << seed);
@@ -578,15 +585,16 @@
 // join on one side only or because the partition outlasts the retention time. Without regard to
 // losses the same schedules must show it.
 BOOST_AUTO_TEST_CASE(no_key_runs_on_both_sides_of_a_partition) {
-    for (const disturbance disturbed : {disturbance::partitions, disturbance::long_partitions}) {
-        for (const registrar_rule rule :
-             {registrar_rule::losses, registrar_rule::shared_first_start}) {
+    for (const fault_profile profile :
+         {fault_profile::partitions, fault_profile::long_partitions}) {
+        for (const registrar_selection rule :
+             {registrar_selection::losses, registrar_selection::shared_first_start}) {
             std::array<std::uint64_t, 5> sums{};
             const std::uint64_t first = first_seed();
             for (std::uint64_t seed = first; seed < first + 250; ++seed) {
-                claim_world world(seed, rule, disturbed);
+                claim_simulation world(seed, rule, profile);
                 world.run();
-                if (rule == registrar_rule::losses) {
+                if (rule == registrar_selection::losses) {
                     BOOST_TEST(world.m_ran_twice == 0U, "seed " << seed);
                     BOOST_TEST(world.m_false_refusals == 0U, "seed " << seed);
                 }
@@ -596,10 +604,10 @@
                 sums[3] += world.m_unknown;
                 sums[4] += world.m_decisions;
             }
-            BOOST_TEST_MESSAGE((rule == registrar_rule::losses ? "losses: " : "without: ")
+            BOOST_TEST_MESSAGE((rule == registrar_selection::losses ? "losses: " : "without: ")
                                << sums[0] << " ran twice, " << sums[1] << " false refusals, "
                                << sums[2] << " runs, " << sums[3] << " unknown of " << sums[4]);
-            BOOST_TEST((rule == registrar_rule::losses || sums[0] > 0U));
+            BOOST_TEST((rule == registrar_selection::losses || sums[0] > 0U));
             BOOST_TEST(sums[2] > 1'750U);
         }
     }
@@ -611,7 +619,7 @@
     std::uint64_t ran_twice = 0;
     const std::uint64_t first = first_seed();
     for (std::uint64_t seed = first; seed < first + 50; ++seed) {
-        claim_world world(seed, registrar_rule::own_first_seen);
+        claim_simulation world(seed, registrar_selection::own_first_seen);
         world.run();
         ran_twice += world.m_ran_twice;
     }
@@ -621,13 +629,13 @@
 
 // Guards against unknown answers while instances join under new names.
 BOOST_AUTO_TEST_CASE(joining_names_leave_keys_answerable) {
-    const auto unknown_permille = [](registrar_rule rule) {
+    const auto unknown_permille = [](registrar_selection rule) {
         std::uint64_t unknown = 0;
         std::uint64_t decisions = 0;
         std::uint64_t ran_twice = 0;
         const std::uint64_t first = first_seed();
         for (std::uint64_t seed = first; seed < first + 60; ++seed) {
-            claim_world world(seed, rule, disturbance::joins_only);
+            claim_simulation world(seed, rule, fault_profile::joins_only);
             world.run();
             unknown += world.m_unknown;
             decisions += world.m_decisions;
@@ -637,8 +645,8 @@
                                    << " ran twice");
         return 1'000 * unknown / decisions;
     };
-    const std::uint64_t before = unknown_permille(registrar_rule::all_names);
-    const std::uint64_t after = unknown_permille(registrar_rule::losses);
+    const std::uint64_t before = unknown_permille(registrar_selection::all_names);
+    const std::uint64_t after = unknown_permille(registrar_selection::losses);
     BOOST_TEST(after < before);
 }
 
@@ -649,9 +657,9 @@
     const std::uint64_t first = first_seed();
     for (std::uint64_t seed = first; seed < first + 100; ++seed) {
         for (const bool losses : {false, true}) {
-            const registrar_rule rule =
-                losses ? registrar_rule::losses : registrar_rule::shared_first_start;
-            claim_world world(seed, rule, disturbance::replacements);
+            const registrar_selection rule =
+                losses ? registrar_selection::losses : registrar_selection::shared_first_start;
+            claim_simulation world(seed, rule, fault_profile::replacements);
             world.run();
             BOOST_TEST((!losses || world.m_ran_twice == 0U), "seed " << seed);
             unknown[losses ? 1 : 0] += world.m_unknown;
@@ -674,7 +682,7 @@
     for (int i = 0; i < 100; ++i) {
         const std::string key = "key-" + std::to_string(i);
         const auto of = [&key](const auto& names, std::optional<std::int64_t> first_sent) {
-            return registrars_of("service", key, names, first_sent);
+            return select_registrars("service", key, names, first_sent);
         };
         const auto before = of(old, 50'000 + allowance);
         BOOST_TEST(before.size() == registrar_count);
@@ -699,26 +707,26 @@
     for (int i = 0; i < 100; ++i) {
         const std::string key = "key-" + std::to_string(i);
         const auto choose = [&](std::int64_t first_sent, const std::vector<member_loss>& losses) {
-            return choose_registrars("service", key, names, first_sent, losses);
+            return select_registrar_sets("service", key, names, first_sent, losses);
         };
         BOOST_TEST(choose(300'000, {}).m_sets.size() == 1U);
         BOOST_TEST(choose(110'000, lost).m_sets.size() == 1U);
         BOOST_TEST(choose(300'000, over).m_sets.size() == 1U);
-        const key_registrars during = choose(220'000, lost);
+        const registrar_sets during = choose(220'000, lost);
         BOOST_TEST(*during.m_cutoff_ms == 105'000);
         BOOST_TEST((during.m_names[during.m_sets.front().front()][0] != 'n'));
         changed += during.m_sets.size() > 1 ? 1 : 0;
         claim_request request{"service", key, "a", 1, 220'000};
         for (const std::string& name : choose(220'000, {}).m_names) {
             request.m_cutoff_ms.reset();
-            BOOST_TEST(covers_losses(request, name, names, {}));
-            BOOST_TEST(covers_losses(request, name, names, lost) == (name[0] != 'n'));
+            BOOST_TEST(is_partition_safe(request, name, names, {}));
+            BOOST_TEST(is_partition_safe(request, name, names, lost) == (name[0] != 'n'));
             request.m_cutoff_ms = 105'000;
-            BOOST_TEST(covers_losses(request, name, names, lost));
+            BOOST_TEST(is_partition_safe(request, name, names, lost));
         }
     }
     BOOST_TEST(changed > 50U);
-    const key_registrars two{{"a", "b", "n1", "n2"}, {{0, 1}, {0, 2, 3}}, 105'000};
+    const registrar_sets two{{"a", "b", "n1", "n2"}, {{0, 1}, {0, 2, 3}}, 105'000};
     const auto granted = reply_of(claim_status::granted, true);
     const auto dead = reply_of(claim_status::dead, false);
     using kind = claim_decision::kind;
@@ -783,11 +791,11 @@
     table.m_max_bytes = 10;
     table.m_max_total_bytes = 15;
     time_point now{};
-    BOOST_TEST(begin_result(table, "a", 1, now));
-    BOOST_TEST(!begin_result(table, "a", 2, now));
-    BOOST_TEST(begin_result(table, "b", 3, now));
-    BOOST_TEST(begin_result(table, "c", 4, now));
-    BOOST_TEST(!begin_result(table, "d", 5, now));
+    BOOST_TEST(reserve_result(table, "a", 1, now));
+    BOOST_TEST(!reserve_result(table, "a", 2, now));
+    BOOST_TEST(reserve_result(table, "b", 3, now));
+    BOOST_TEST(reserve_result(table, "c", 4, now));
+    BOOST_TEST(!reserve_result(table, "d", 5, now));
     store_result(table, "a", 200, "text/plain", "0123456789", now);
     store_result(table, "b", 200, "text/plain", "0123456789", now);
     BOOST_TEST((find_result(table, "a")->m_state == result_state::stored));
@@ -804,7 +812,7 @@
     BOOST_TEST(table.m_total_bytes == 0U);
     withdraw_result(table, "c");
     BOOST_TEST((find_result(table, "c")->m_state == result_state::withdrawn));
-    BOOST_TEST(begin_result(table, "c", 6, now));
+    BOOST_TEST(reserve_result(table, "c", 6, now));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -15,13 +15,13 @@
 namespace {
 
 // One node under random events, with an account of its own of what it may do.
-struct judged_node {
+struct checked_node {
     distribution_state m_state;
     std::map<std::string, std::uint64_t> m_peers; // latest version heard of each
     std::set<std::uint64_t> m_valid;
     std::set<std::string> m_answered; // join requests
-    std::uint64_t m_floor = 0;
-    std::uint64_t m_from_store = 0;
+    std::uint64_t m_min_version = 0;
+    std::uint64_t m_store_version = 0;
     bool m_store_read = false;
     std::uint64_t m_applied = 0;
     bool m_ready = false;
@@ -29,19 +29,20 @@
 
 constexpr std::uint64_t invalid_every = 7; // texts of these versions don't parse here
 
-void judge(judged_node& node, const std::vector<distribution_action>& actions, std::size_t live,
-           time_point now) {
+void check_actions(checked_node& node, const std::vector<distribution_action>& actions,
+                   std::size_t live, time_point now) {
     using kind = distribution_action::kind;
-    for (const distribution_action& each : actions) {
-        const std::uint64_t version = each.m_version;
-        switch (each.m_kind) {
+    for (const distribution_action& action : actions) {
+        const std::uint64_t version = action.m_version;
+        switch (action.m_kind) {
         case kind::parse: {
             BOOST_REQUIRE(node.m_state.m_texts.contains(version));
             const bool valid = version % invalid_every != 0;
             if (valid) {
                 node.m_valid.insert(version);
             }
-            judge(node, distribution_parsed(node.m_state, version, valid, live, now), live, now);
+            check_actions(node, distribution_parsed(node.m_state, version, valid, live, now), live,
+                          now);
             break;
         }
         case kind::apply: {
@@ -49,9 +50,9 @@
                 std::count_if(node.m_peers.begin(), node.m_peers.end(),
                               [version](const auto& peer) { return peer.second >= version; });
             BOOST_REQUIRE(version > node.m_applied);
-            BOOST_REQUIRE(version >= node.m_floor);
+            BOOST_REQUIRE(version >= node.m_min_version);
             BOOST_REQUIRE(node.m_valid.contains(version));
-            BOOST_REQUIRE((version <= node.m_from_store ||
+            BOOST_REQUIRE((version <= node.m_store_version ||
                            static_cast<std::size_t>(holders) >= std::min<std::size_t>(2, live)));
             BOOST_REQUIRE((node.m_store_read ||
                            (live > 0 && node.m_answered.size() >= std::min<std::size_t>(3, live))));
@@ -61,22 +62,22 @@
         case kind::ready:
             BOOST_REQUIRE(!node.m_ready);
             BOOST_REQUIRE(node.m_applied > 0);
-            BOOST_REQUIRE(node.m_applied >= node.m_floor);
+            BOOST_REQUIRE(node.m_applied >= node.m_min_version);
             node.m_ready = true;
             break;
         case kind::fetch:
-            BOOST_REQUIRE(node.m_peers.contains(each.m_instance));
+            BOOST_REQUIRE(node.m_peers.contains(action.m_instance));
             BOOST_REQUIRE((version == 0 || node.m_state.m_texts.contains(version)));
             break;
         case kind::announce:
             BOOST_REQUIRE(held_version(node.m_state) >= version);
             break;
         }
-        BOOST_REQUIRE(node.m_state.m_texts.size() <= kept_texts + 1);
+        BOOST_REQUIRE(node.m_state.m_texts.size() <= max_kept_texts + 1);
     }
 }
 
-void hear(judged_node& node, const std::string& peer, std::uint64_t version) {
+void record_peer_version(checked_node& node, const std::string& peer, std::uint64_t version) {
     if (version == 0) {
         node.m_peers.erase(peer);
     } else {
@@ -84,16 +85,16 @@
     }
 }
 
-void random_event(judged_node& node, random_source& random, std::uint64_t top, std::size_t live,
-                  time_point now) {
+void random_event(checked_node& node, random_source& random, std::uint64_t max_version,
+                  std::size_t live, time_point now) {
     const std::string peer = node_name(1 + random.below(5));
-    const std::uint64_t version = random.below(top) + 1;
+    const std::uint64_t version = random.below(max_version) + 1;
     distribution_state& state = node.m_state;
     switch (random.below(8)) {
     case 0:
     case 1:
-        hear(node, peer, version);
-        judge(node, distribution_heard(state, peer, version, live, now), live, now);
+        record_peer_version(node, peer, version);
+        check_actions(node, distribution_peer_version(state, peer, version, live, now), live, now);
         break;
     case 2:
     case 3: {
@@ -103,37 +104,38 @@
         if (corrupt) {
             text.m_hash ^= 1U;
         } else if (version > held_version(state) || from == state.m_fetch_from) {
-            hear(node, from, version);
+            record_peer_version(node, from, version);
         }
-        judge(node, distribution_received(state, from, text, live, now), live, now);
+        check_actions(node, distribution_text_received(state, from, text, live, now), live, now);
         break;
     }
     case 4:
-        judge(node, distribution_fetch_failed(state, now), live, now);
+        check_actions(node, distribution_fetch_failed(state, now), live, now);
         break;
     case 5:
         // Reads of the store may arrive late and out of order.
         node.m_store_read = true;
-        node.m_from_store = std::max(node.m_from_store, version);
-        node.m_floor = std::max(node.m_floor, version);
-        judge(node, distribution_store_read(state, text_of(version), live, now), live, now);
+        node.m_store_version = std::max(node.m_store_version, version);
+        node.m_min_version = std::max(node.m_min_version, version);
+        check_actions(node, distribution_store_read(state, text_of(version), live, now), live, now);
         break;
     case 6: {
-        const std::uint64_t predecessor = random.below(top) + 1;
+        const std::uint64_t predecessor = random.below(max_version) + 1;
         if (!node.m_ready) {
-            node.m_floor = std::max({node.m_floor, version, predecessor});
+            node.m_min_version = std::max({node.m_min_version, version, predecessor});
             node.m_answered.insert(peer);
         }
-        hear(node, peer, version);
-        judge(node, distribution_joined(state, peer, version, predecessor, live, now), live, now);
+        record_peer_version(node, peer, version);
+        check_actions(node, distribution_join_reply(state, peer, version, predecessor, live, now),
+                      live, now);
         break;
     }
     default:
-        hear(node, peer, 0);
-        distribution_gone(state, peer);
+        record_peer_version(node, peer, 0);
+        distribution_peer_gone(state, peer);
         break;
     }
-    judge(node, distribution_tick(state, live, now), live, now);
+    check_actions(node, distribution_tick(state, live, now), live, now);
 }
 
 } // namespace
@@ -152,7 +154,7 @@
         time_point now{std::chrono::hours(1)};
         const bool store_up = random.below(2) == 0;
         for (int start = 0; start < 2; ++start) {
-            judged_node node;
+            checked_node node;
             node.m_state = make_distribution(node_name(0), milliseconds(2'000), random());
             const std::size_t live = random.below(6);
             for (std::uint64_t event = 0; event < 60; ++event) {
@@ -160,8 +162,9 @@
                 const bool reads_store = random.below(8) == 0;
                 if (reads_store && store_up && random.below(3) == 0) {
                     node.m_store_read = true;
-                    judge(node, distribution_store_read(node.m_state, std::nullopt, live, now),
-                          live, now);
+                    check_actions(node,
+                                  distribution_store_read(node.m_state, std::nullopt, live, now),
+                                  live, now);
                 } else {
                     random_event(node, random, 2 + event / 4, live, now);
                 }
@@ -185,29 +188,29 @@
         distribution_store_read(state, std::nullopt, 4, now);
         std::vector<distribution_action> actions;
         for (std::size_t peer = 1; peer <= 4; ++peer) {
-            const auto more = distribution_heard(state, node_name(peer), 5, 4, now);
-            actions.insert(actions.end(), more.begin(), more.end());
+            const auto new_actions = distribution_peer_version(state, node_name(peer), 5, 4, now);
+            actions.insert(actions.end(), new_actions.begin(), new_actions.end());
         }
-        const std::string good = node_name(1 + random.below(4));
+        const std::string good_holder = node_name(1 + random.below(4));
         const time_point limit = now + milliseconds(30'000);
         while (held_version(state) < 5 && now < limit) {
-            for (const distribution_action& each : std::exchange(actions, {})) {
-                if (each.m_kind != distribution_action::kind::fetch) {
+            for (const distribution_action& action : std::exchange(actions, {})) {
+                if (action.m_kind != distribution_action::kind::fetch) {
                     continue;
                 }
                 config_text text = text_of(5);
-                if (each.m_instance != good && random.below(3) == 0) {
+                if (action.m_instance != good_holder && random.below(3) == 0) {
                     actions = distribution_fetch_failed(state, now);
-                } else if (each.m_instance != good && random.below(2) == 0) {
+                } else if (action.m_instance != good_holder && random.below(2) == 0) {
                     text.m_hash ^= 1U;
-                    actions = distribution_received(state, each.m_instance, text, 4, now);
-                } else if (each.m_instance == good) {
-                    actions = distribution_received(state, each.m_instance, text, 4, now);
+                    actions = distribution_text_received(state, action.m_instance, text, 4, now);
+                } else if (action.m_instance == good_holder) {
+                    actions = distribution_text_received(state, action.m_instance, text, 4, now);
                 }
             }
             now += milliseconds(100);
-            const auto more = distribution_tick(state, 4, now);
-            actions.insert(actions.end(), more.begin(), more.end());
+            const auto new_actions = distribution_tick(state, 4, now);
+            actions.insert(actions.end(), new_actions.begin(), new_actions.end());
         }
         BOOST_TEST(held_version(state) == 5U, "CARAWAY_SEED=" << seed);
     }
@@ -245,9 +248,9 @@
         std::vector<std::size_t> others{1, 2, 3, 4, 5, 6};
         for (std::size_t asked = 0; asked < 3 && !schedule.m_nodes[0].m_config.m_ready;) {
             std::swap(others[asked], others[asked + schedule.m_random.below(6 - asked)]);
-            const std::size_t before = schedule.m_nodes[0].m_config.m_joined.size();
+            const std::size_t before = schedule.m_nodes[0].m_config.m_join_replies.size();
             join_node(schedule, 0, others[asked]);
-            asked += schedule.m_nodes[0].m_config.m_joined.size() - before;
+            asked += schedule.m_nodes[0].m_config.m_join_replies.size() - before;
             run_for(schedule, milliseconds(schedule.m_random.below(200)));
         }
         run_for(schedule, std::chrono::seconds(20));
@@ -278,11 +281,11 @@
                 // A version that was read from the store may have fewer; only the store has it
                 // then.
                 const std::uint64_t before = node.m_highest_applied;
-                const auto replicas =
-                    std::count_if(schedule.m_nodes.begin(), schedule.m_nodes.end(),
-                                  [before](const scheduled_node& each) {
-                                      return each.m_up && held_version(each.m_config) >= before;
-                                  });
+                const auto replicas = std::count_if(
+                    schedule.m_nodes.begin(), schedule.m_nodes.end(),
+                    [before](const scheduled_node& other_node) {
+                        return other_node.m_up && held_version(other_node.m_config) >= before;
+                    });
                 start_node(schedule, chosen);
                 if (replicas < 2) {
                     read_store(schedule, chosen);
--- a/tests/facts_test.cpp
+++ b/tests/facts_test.cpp
@@ -64,8 +64,8 @@
             }
             for (const std::size_t i : order) {
                 const fact_table before = table;
-                const bool changed = i < 12 ? join_suspension(table, suspensions[i])
-                                            : join_record(table, records[i - 12]);
+                const bool changed = i < 12 ? merge_suspension(table, suspensions[i])
+                                            : merge_record(table, records[i - 12]);
                 BOOST_REQUIRE(changed != same(before, table));
                 for (const auto& [move, value] : before.m_suspensions) {
                     BOOST_REQUIRE(is_suspended(table, move));
@@ -94,11 +94,12 @@
     std::vector<std::uint64_t> digests{facts_digest(table)};
     for (std::uint64_t i = 1; i <= 40; ++i) {
         const bool changed =
-            i % 2 == 0 ? join_record(table, random_record(random, i))
-                       : table.m_suspensions.size() < 6 &&
-                             !table.m_suspensions.contains("move-" + std::to_string(i / 2 % 6)) &&
-                             join_suspension(table, {"move-" + std::to_string(i / 2 % 6), "surveys",
-                                                     "2.0", "node-00000", "failures", 1});
+            i % 2 == 0
+                ? merge_record(table, random_record(random, i))
+                : table.m_suspensions.size() < 6 &&
+                      !table.m_suspensions.contains("move-" + std::to_string(i / 2 % 6)) &&
+                      merge_suspension(table, {"move-" + std::to_string(i / 2 % 6), "surveys",
+                                               "2.0", "node-00000", "failures", 1});
         if (changed) {
             BOOST_TEST(std::count(digests.begin(), digests.end(), facts_digest(table)) == 0);
             digests.push_back(facts_digest(table));
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -39,7 +39,7 @@
     std::string m_value;
 };
 
-lease_reply serve(lease_store& store, const sent_request& request, time_point now) {
+lease_reply handle_request(lease_store& store, const sent_request& request, time_point now) {
     expire(store, now);
     lease_reply reply;
     const bool lease_known = store.m_leases.contains(request.m_lease);
@@ -84,113 +84,120 @@
     return reply;
 }
 
-struct contender {
+struct candidate {
     lease_keeper m_keeper;
     bool m_wanted = true;
     time_point m_paused_until;
     std::uint64_t m_request = 0; // number of the request under way
 };
 
-struct contest {
+struct lease_simulation {
     lease_store m_store;
-    std::vector<contender> m_contenders;
+    std::vector<candidate> m_candidates;
     random_source m_random{1};
     time_point m_now{std::chrono::hours(1)};
-    time_point m_out_until; // the store is out
-    double m_lost = 0.1;
-    double m_late = 0.1;
-    std::multimap<time_point, std::function<void(contest&)>> m_events;
-    std::size_t m_most_holders = 0;
+    time_point m_outage_until; // the store is out
+    double m_loss_probability = 0.1;
+    double m_late_probability = 0.1;
+    std::multimap<time_point, std::function<void(lease_simulation&)>> m_events;
+    std::size_t m_max_holders = 0;
 };
 
 // Delivers a reply, later if the process is paused. Only the first one for a request counts, as the
 // client gives up after its timeout.
-void answer(contest& run, std::size_t index, std::uint64_t request, const lease_reply& reply) {
-    contender& target = run.m_contenders[index];
-    if (run.m_now < target.m_paused_until) {
-        run.m_events.emplace(target.m_paused_until, [index, request, reply](contest& later) {
-            answer(later, index, request, reply);
-        });
+void deliver_reply(lease_simulation& simulation, std::size_t index, std::uint64_t request,
+                   const lease_reply& reply) {
+    candidate& target = simulation.m_candidates[index];
+    if (simulation.m_now < target.m_paused_until) {
+        simulation.m_events.emplace(target.m_paused_until,
+                                    [index, request, reply](lease_simulation& later) {
+                                        deliver_reply(later, index, request, reply);
+                                    });
         return;
     }
     if (target.m_request != request) {
         return;
     }
     ++target.m_request;
-    lease_receive(target.m_keeper, reply, run.m_now);
+    lease_receive(target.m_keeper, reply, simulation.m_now);
 }
 
-void send(contest& run, std::size_t index, lease_request kind) {
-    const contender& sender = run.m_contenders[index];
+void send(lease_simulation& simulation, std::size_t index, lease_request kind) {
+    const candidate& sender = simulation.m_candidates[index];
     const std::uint64_t request = sender.m_request;
     const sent_request sent{kind, sender.m_keeper.m_lease, lease_claim_value(sender.m_keeper)};
-    random_source& random = run.m_random;
+    random_source& random = simulation.m_random;
     lease_reply timeout;
     timeout.m_kind = error_kind::store_outcome_unknown;
-    run.m_events.emplace(run.m_now + client_timeout, [index, request, timeout](contest& later) {
-        answer(later, index, request, timeout);
-    });
+    simulation.m_events.emplace(simulation.m_now + client_timeout,
+                                [index, request, timeout](lease_simulation& later) {
+                                    deliver_reply(later, index, request, timeout);
+                                });
     // A late request takes effect after the client has given it up.
-    milliseconds there(random.below(20));
-    if (random.unit() < run.m_late) {
-        there = milliseconds(random.below(9'000));
+    milliseconds request_delay(random.below(20));
+    if (random.unit() < simulation.m_late_probability) {
+        request_delay = milliseconds(random.below(9'000));
     }
-    const milliseconds back(random.below(20));
-    const bool request_lost = random.unit() < run.m_lost / 2;
-    const bool reply_lost = random.unit() < run.m_lost / 2;
+    const milliseconds reply_delay(random.below(20));
+    const bool request_lost = random.unit() < simulation.m_loss_probability / 2;
+    const bool reply_lost = random.unit() < simulation.m_loss_probability / 2;
     if (request_lost) {
         return;
     }
-    run.m_events.emplace(
-        run.m_now + there, [index, request, sent, back, reply_lost](contest& later) {
-            if (later.m_now < later.m_out_until) {
+    simulation.m_events.emplace(
+        simulation.m_now + request_delay,
+        [index, request, sent, reply_delay, reply_lost](lease_simulation& later) {
+            if (later.m_now < later.m_outage_until) {
                 return;
             }
-            const lease_reply reply = serve(later.m_store, sent, later.m_now);
+            const lease_reply reply = handle_request(later.m_store, sent, later.m_now);
             if (!reply_lost) {
-                later.m_events.emplace(later.m_now + back, [index, request, reply](contest& last) {
-                    answer(last, index, request, reply);
-                });
+                later.m_events.emplace(later.m_now + reply_delay,
+                                       [index, request, reply](lease_simulation& last) {
+                                           deliver_reply(last, index, request, reply);
+                                       });
             }
         });
 }
 
 // Runs in steps of 10 ms and counts, at every step, how many believe that they hold the lease.
 // A paused process counts with what it would believe if it woke up now.
-void run_contest(contest& run, milliseconds time) {
-    const time_point end = run.m_now + time;
-    for (; run.m_now < end; run.m_now += milliseconds(10)) {
-        while (!run.m_events.empty() && run.m_events.begin()->first <= run.m_now) {
-            const auto event = std::move(run.m_events.begin()->second);
-            run.m_events.erase(run.m_events.begin());
-            event(run);
+void run_simulation(lease_simulation& simulation, milliseconds time) {
+    const time_point end = simulation.m_now + time;
+    for (; simulation.m_now < end; simulation.m_now += milliseconds(10)) {
+        while (!simulation.m_events.empty() &&
+               simulation.m_events.begin()->first <= simulation.m_now) {
+            const auto event = std::move(simulation.m_events.begin()->second);
+            simulation.m_events.erase(simulation.m_events.begin());
+            event(simulation);
         }
         std::size_t holders = 0;
-        for (std::size_t index = 0; index < run.m_contenders.size(); ++index) {
-            contender& each = run.m_contenders[index];
-            if (run.m_now >= each.m_paused_until) {
-                const lease_request request = lease_tick(each.m_keeper, each.m_wanted, run.m_now);
+        for (std::size_t index = 0; index < simulation.m_candidates.size(); ++index) {
+            candidate& current = simulation.m_candidates[index];
+            if (simulation.m_now >= current.m_paused_until) {
+                const lease_request request =
+                    lease_tick(current.m_keeper, current.m_wanted, simulation.m_now);
                 if (request != lease_request::none) {
-                    send(run, index, request);
+                    send(simulation, index, request);
                 }
             }
-            holders += lease_held(each.m_keeper, run.m_now) ? 1 : 0;
+            holders += lease_held(current.m_keeper, simulation.m_now) ? 1 : 0;
         }
-        run.m_most_holders = std::max(run.m_most_holders, holders);
+        simulation.m_max_holders = std::max(simulation.m_max_holders, holders);
     }
 }
 
-contest make_contest(std::size_t count, std::uint64_t seed) {
-    contest run;
-    run.m_random = random_source(seed);
+lease_simulation make_simulation(std::size_t count, std::uint64_t seed) {
+    lease_simulation simulation;
+    simulation.m_random = random_source(seed);
     for (std::size_t index = 0; index < count; ++index) {
-        contender each;
+        candidate added;
         // The same value for all: the store lease alone must tell the claims apart.
-        each.m_keeper =
-            make_lease_keeper("caraway/lease/accepter", "holder", period, run.m_random());
-        run.m_contenders.push_back(std::move(each));
+        added.m_keeper =
+            make_lease_keeper("caraway/lease/accepter", "holder", period, simulation.m_random());
+        simulation.m_candidates.push_back(std::move(added));
     }
-    return run;
+    return simulation;
 }
 
 // Lets a lone keeper take the lease from a store without faults.
@@ -199,7 +206,8 @@
     while (!lease_held(keeper, now)) {
         const lease_request request = lease_tick(keeper, true, now);
         if (request != lease_request::none) {
-            lease_receive(keeper, serve(store, {request, keeper.m_lease, "holder"}, now), now);
+            lease_receive(keeper, handle_request(store, {request, keeper.m_lease, "holder"}, now),
+                          now);
         }
         now += milliseconds(10);
     }
@@ -214,22 +222,24 @@
 // store and releases; and against a lease that nobody holds once the faults are over.
 BOOST_AUTO_TEST_CASE(never_two_holders_under_any_schedule) {
     for (const std::uint64_t seed : schedule_seeds(3'000)) {
-        contest run = make_contest(3, seed);
+        lease_simulation simulation = make_simulation(3, seed);
         for (int fault = 0; fault < 12; ++fault) {
-            run_contest(run, milliseconds(run.m_random.below(4'000)));
-            contender& chosen = run.m_contenders[run.m_random.below(3)];
-            switch (run.m_random.below(5)) {
+            run_simulation(simulation, milliseconds(simulation.m_random.below(4'000)));
+            candidate& chosen = simulation.m_candidates[simulation.m_random.below(3)];
+            switch (simulation.m_random.below(5)) {
             case 4:
                 // Withdrawn and wanted again, maybe while a request is under way.
                 chosen.m_wanted = false;
-                run_contest(run, milliseconds(10 * run.m_random.below(4)));
+                run_simulation(simulation, milliseconds(10 * simulation.m_random.below(4)));
                 chosen.m_wanted = true;
                 break;
             case 0:
-                chosen.m_paused_until = run.m_now + milliseconds(run.m_random.below(12'000));
+                chosen.m_paused_until =
+                    simulation.m_now + milliseconds(simulation.m_random.below(12'000));
                 break;
             case 1:
-                run.m_out_until = run.m_now + milliseconds(run.m_random.below(8'000));
+                simulation.m_outage_until =
+                    simulation.m_now + milliseconds(simulation.m_random.below(8'000));
                 break;
             case 2:
                 chosen.m_wanted = !chosen.m_wanted;
@@ -238,19 +248,19 @@
                 break;
             }
         }
-        BOOST_TEST(run.m_most_holders <= 1U, "CARAWAY_SEED=" << seed);
-        run.m_lost = 0;
-        run.m_late = 0;
-        for (contender& each : run.m_contenders) {
-            each.m_wanted = true;
+        BOOST_TEST(simulation.m_max_holders <= 1U, "CARAWAY_SEED=" << seed);
+        simulation.m_loss_probability = 0;
+        simulation.m_late_probability = 0;
+        for (candidate& current : simulation.m_candidates) {
+            current.m_wanted = true;
         }
-        run_contest(run, milliseconds(40'000));
+        run_simulation(simulation, milliseconds(40'000));
         std::size_t holders = 0;
-        for (const contender& each : run.m_contenders) {
-            holders += lease_held(each.m_keeper, run.m_now) ? 1 : 0;
+        for (const candidate& current : simulation.m_candidates) {
+            holders += lease_held(current.m_keeper, simulation.m_now) ? 1 : 0;
         }
         BOOST_TEST(holders == 1U, "CARAWAY_SEED=" << seed);
-        BOOST_TEST(run.m_most_holders <= 1U, "CARAWAY_SEED=" << seed);
+        BOOST_TEST(simulation.m_max_holders <= 1U, "CARAWAY_SEED=" << seed);
     }
 }
 
@@ -262,16 +272,18 @@
         time_point now{std::chrono::hours(1)};
         lease_keeper keeper = held_keeper(store, now);
         const std::string lease = keeper.m_lease;
-        const time_point out_until = now + milliseconds(3'000);
+        const time_point outage_until = now + milliseconds(3'000);
         int errors = 0;
-        for (; now < out_until + milliseconds(5'000); now += milliseconds(10)) {
+        for (; now < outage_until + milliseconds(5'000); now += milliseconds(10)) {
             const lease_request request = lease_tick(keeper, true, now);
             if (request != lease_request::none) {
                 lease_reply reply;
                 reply.m_kind = kind;
-                errors += now < out_until ? 1 : 0;
-                lease_receive(
-                    keeper, now < out_until ? reply : serve(store, {request, lease, ""}, now), now);
+                errors += now < outage_until ? 1 : 0;
+                lease_receive(keeper,
+                              now < outage_until ? reply
+                                                 : handle_request(store, {request, lease, ""}, now),
+                              now);
             }
             BOOST_REQUIRE(lease_held(keeper, now));
         }
@@ -286,8 +298,8 @@
     lease_store store;
     time_point now{std::chrono::hours(1)};
     lease_keeper keeper = held_keeper(store, now);
-    const time_point out_until = now + milliseconds(14'000);
-    for (; now < out_until; now += milliseconds(10)) {
+    const time_point outage_until = now + milliseconds(14'000);
+    for (; now < outage_until; now += milliseconds(10)) {
         lease_reply reply;
         reply.m_kind = error_kind::store_unreachable;
         if (lease_tick(keeper, true, now) != lease_request::none) {
@@ -295,16 +307,17 @@
         }
     }
     BOOST_TEST(!lease_held(keeper, now));
-    while (!lease_held(keeper, now) && now < out_until + milliseconds(5'000)) {
+    while (!lease_held(keeper, now) && now < outage_until + milliseconds(5'000)) {
         const lease_request request = lease_tick(keeper, true, now);
         if (request != lease_request::none) {
-            lease_receive(keeper,
-                          serve(store, {request, keeper.m_lease, lease_claim_value(keeper)}, now),
-                          now);
+            lease_receive(
+                keeper,
+                handle_request(store, {request, keeper.m_lease, lease_claim_value(keeper)}, now),
+                now);
         }
         now += milliseconds(10);
     }
-    BOOST_TEST(std::chrono::duration_cast<milliseconds>(now - out_until).count() <= 1'100);
+    BOOST_TEST(std::chrono::duration_cast<milliseconds>(now - outage_until).count() <= 1'100);
 }
 
 // Guards against a renewal that was on its way during the release and makes the lease held again.
@@ -318,14 +331,14 @@
     }
     BOOST_TEST((lease_tick(keeper, false, now) == lease_request::none));
     BOOST_TEST(!lease_held(keeper, now));
-    const lease_reply renewed = serve(store, {lease_request::renew, lease, ""}, now);
+    const lease_reply renewed = handle_request(store, {lease_request::renew, lease, ""}, now);
     lease_receive(keeper, renewed, now);
     BOOST_TEST(!lease_held(keeper, now));
     // Wanted again before the release was sent: the release comes first.
     BOOST_TEST((lease_tick(keeper, false, now) == lease_request::release));
     BOOST_TEST((lease_tick(keeper, true, now) == lease_request::none));
     BOOST_TEST(!lease_held(keeper, now));
-    lease_receive(keeper, serve(store, {lease_request::release, lease, ""}, now), now);
+    lease_receive(keeper, handle_request(store, {lease_request::release, lease, ""}, now), now);
     BOOST_TEST(store.m_key_lease.empty());
     // A duplicate of the renewal's answer arrives last.
     lease_receive(keeper, renewed, now);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -519,7 +519,7 @@
         schedule.m_link = [usual = schedule.m_link, &sent](std::size_t from, std::size_t to) {
             return sent > 100 * count ? std::nullopt : usual(from, to);
         };
-        join_suspension(node.m_facts, suspended);
+        merge_suspension(node.m_facts, suspended);
         node.m_members.m_facts_digest = facts_digest(node.m_facts);
         carry_out(schedule, 0,
                   membership_spread(node.m_members, std::span(&suspended, 1), {}, schedule.m_now));
--- a/tests/node_schedule.hpp
+++ b/tests/node_schedule.hpp
@@ -164,7 +164,7 @@
         case kind::member_changed: {
             const tracked_member* found = find_member(node.m_members, each.m_instance);
             if (found == nullptr || found->m_member.m_state >= member_state::dead) {
-                distribution_gone(node.m_config, each.m_instance);
+                distribution_peer_gone(node.m_config, each.m_instance);
             }
             if (schedule.m_on_change) {
                 schedule.m_on_change(index, each.m_instance);
@@ -173,15 +173,16 @@
         }
         case kind::version_heard:
             carry_out(schedule, index,
-                      distribution_heard(node.m_config, each.m_instance, each.m_config_version,
-                                         live_member_count(node.m_members), schedule.m_now));
+                      distribution_peer_version(node.m_config, each.m_instance,
+                                                each.m_config_version,
+                                                live_member_count(node.m_members), schedule.m_now));
             break;
         case kind::suspension_heard:
             for (const suspension& heard : each.m_packet.m_suspensions) {
-                join_suspension(node.m_facts, heard);
+                merge_suspension(node.m_facts, heard);
             }
             for (const move_record& heard : each.m_packet.m_records) {
-                join_record(node.m_facts, heard);
+                merge_record(node.m_facts, heard);
             }
             node.m_members.m_facts_digest = facts_digest(node.m_facts);
             break;
@@ -207,10 +208,10 @@
                     return;
                 }
                 for (const auto& [move, value] : holder_node.m_facts.m_suspensions) {
-                    join_suspension(asker.m_facts, value);
+                    merge_suspension(asker.m_facts, value);
                 }
                 for (const auto& [service, value] : holder_node.m_facts.m_records) {
-                    join_record(asker.m_facts, value);
+                    merge_record(asker.m_facts, value);
                 }
                 asker.m_members.m_facts_digest = facts_digest(asker.m_facts);
             });
@@ -247,9 +248,10 @@
                     return;
                 }
                 carry_out(later, index,
-                          distribution_received(asker.m_config, each.m_instance,
-                                                holder_node.m_config.m_texts.rbegin()->second,
-                                                live_member_count(asker.m_members), later.m_now));
+                          distribution_text_received(asker.m_config, each.m_instance,
+                                                     holder_node.m_config.m_texts.rbegin()->second,
+                                                     live_member_count(asker.m_members),
+                                                     later.m_now));
             });
             break;
         }
@@ -363,10 +365,10 @@
               membership_merge(node.m_members, members_in_buckets(member_node.m_members, buckets),
                                schedule.m_now));
     carry_out(schedule, index,
-              distribution_joined(node.m_config, node_name(other),
-                                  held_version(member_node.m_config),
-                                  highest_version_of(member_node.m_members, node_name(index)),
-                                  live_member_count(node.m_members), schedule.m_now));
+              distribution_join_reply(node.m_config, node_name(other),
+                                      held_version(member_node.m_config),
+                                      highest_version_of(member_node.m_members, node_name(index)),
+                                      live_member_count(node.m_members), schedule.m_now));
 }
 
 // Starts count nodes that know each other.
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -103,11 +103,11 @@
     record.m_service = "pour";
     record.m_weight_permille = 50;
     record.m_revision = 4;
-    join_record(m_facts, record);
+    merge_record(m_facts, record);
     BOOST_TEST(build()->m_services.at("pour").m_new_weight_permille == 50U);
     const member newer = make_member("self", "north", "2");
     BOOST_TEST((own_refusal(*m_mesh, newer, m_facts, false) == error_kind::none));
-    join_suspension(m_facts, {m_id, "pour", "2", "a", "fails", 1});
+    merge_suspension(m_facts, {m_id, "pour", "2", "a", "fails", 1});
     BOOST_TEST(build()->m_services.at("pour").m_new_weight_permille == 0U);
     BOOST_TEST((own_refusal(*m_mesh, newer, m_facts, false) == error_kind::version_suspended));
     const member unknown = make_member("self", "north", "3");
