--- a/bench/spread.cpp
+++ b/bench/spread.cpp
@@ -116,11 +116,11 @@
           measure(
               warm, loss, seconds(60),
               [](node_schedule& schedule) {
-                  carry_out(schedule, 0,
-                            membership_leave(schedule.m_nodes[0].m_members, schedule.m_now));
+                  run_actions(schedule, 0,
+                              membership_leave(schedule.m_nodes[0].m_members, schedule.m_now));
               },
               [](const node_schedule& schedule) {
-                  return all_see(schedule, 0, member_state::left);
+                  return all_hold_state(schedule, 0, member_state::left);
               }));
     const std::vector<suspension> suspended{
         {"move-1", "surveys", "2.0", node_name(0), "failures", 1}};
@@ -131,8 +131,9 @@
                   scheduled_node& node = schedule.m_nodes[0];
                   join_suspension(node.m_facts, suspended[0]);
                   node.m_members.m_facts_digest = facts_digest(node.m_facts);
-                  carry_out(schedule, 0,
-                            membership_spread(node.m_members, suspended, {}, schedule.m_now));
+                  run_actions(
+                      schedule, 0,
+                      membership_spread_facts(node.m_members, suspended, {}, schedule.m_now));
               },
               [](const node_schedule& schedule) {
                   return std::all_of(schedule.m_nodes.begin(), schedule.m_nodes.end(),
@@ -152,7 +153,7 @@
           measure(warm, loss, seconds(120), kill_first, any_sees_dead));
     print(json, count, loss, "killed member, all know",
           measure(warm, loss, seconds(120), kill_first, [](const node_schedule& schedule) {
-              return all_see(schedule, 0, member_state::dead);
+              return all_hold_state(schedule, 0, member_state::dead);
           }));
     const std::size_t tenth = count / 10;
     print(json, count, loss, "killed tenth, all know",
@@ -165,7 +166,7 @@
               },
               [tenth](const node_schedule& schedule) {
                   for (std::size_t index = 0; index < tenth; ++index) {
-                      if (!all_see(schedule, index, member_state::dead)) {
+                      if (!all_hold_state(schedule, index, member_state::dead)) {
                           return false;
                       }
                   }
--- a/src/decide/entry_points.cpp
+++ b/src/decide/entry_points.cpp
@@ -12,35 +12,36 @@
 // Slots of a data centre: enough that some of them are up whatever fails.
 constexpr std::uint64_t slots_per_data_centre = 8;
 // Entry points of the own data centre from which on they suffice to join.
-constexpr std::size_t least_near = 5;
+constexpr std::size_t min_local_entry_points = 5;
 // Watchers of all data centres together, at least: the store may turn a third of the members away.
-constexpr std::size_t least_watchers = 6;
+constexpr std::size_t min_watchers = 6;
 
 } // namespace
 
-std::string entry_slot(std::string_view instance) {
+std::string slot_of(std::string_view instance) {
     return std::to_string(hash_bytes(instance) % slots_per_data_centre);
 }
 
 namespace {
 
 // True if the data centre has entry points enough to join through them alone.
-bool has_many(std::span<const entry_point> all, std::string_view data_centre) {
-    const auto own = std::count_if(all.begin(), all.end(), [data_centre](const entry_point& each) {
-        return each.m_data_centre == data_centre;
-    });
-    return static_cast<std::size_t>(own) >= least_near;
+bool has_enough_entry_points(std::span<const entry_point> all, std::string_view data_centre) {
+    const auto local_count =
+        std::count_if(all.begin(), all.end(), [data_centre](const entry_point& point) {
+            return point.m_data_centre == data_centre;
+        });
+    return static_cast<std::size_t>(local_count) >= min_local_entry_points;
 }
 
 } // namespace
 
-std::vector<ip_endpoint> near_entry_points(std::span<const entry_point> all,
+std::vector<ip_endpoint> join_entry_points(std::span<const entry_point> all,
                                            std::string_view data_centre) {
-    const bool near_only = has_many(all, data_centre);
+    const bool local_only = has_enough_entry_points(all, data_centre);
     std::vector<ip_endpoint> addresses;
-    for (const entry_point& each : all) {
-        if (!near_only || each.m_data_centre == data_centre) {
-            addresses.push_back(each.m_address);
+    for (const entry_point& point : all) {
+        if (!local_only || point.m_data_centre == data_centre) {
+            addresses.push_back(point.m_address);
         }
     }
     return addresses;
@@ -49,16 +50,17 @@
 std::vector<ip_endpoint> unknown_entry_points(membership_table& table,
                                               std::span<const entry_point> all) {
     std::set<ip_endpoint> known;
-    for (const member* each : live_members(table)) {
-        known.insert(each->m_bulk);
+    for (const member* other : live_members(table)) {
+        known.insert(other->m_bulk);
     }
-    const bool small = !swim::is_grouped(table) && !has_many(all, table.m_self.m_data_centre);
-    const bool everywhere = small || swim::is_carrier(table);
+    const bool few_local_points = !swim::is_grouped_by_data_centre(table) &&
+                                  !has_enough_entry_points(all, table.m_self.m_data_centre);
+    const bool include_all = few_local_points || swim::is_gateway(table);
     std::vector<ip_endpoint> unknown;
-    for (const entry_point& each : all) {
-        const bool wanted = everywhere || each.m_data_centre == table.m_self.m_data_centre;
-        if (wanted && !known.contains(each.m_address)) {
-            unknown.push_back(each.m_address);
+    for (const entry_point& point : all) {
+        const bool wanted = include_all || point.m_data_centre == table.m_self.m_data_centre;
+        if (wanted && !known.contains(point.m_address)) {
+            unknown.push_back(point.m_address);
         }
     }
     return unknown;
@@ -67,32 +69,33 @@
 std::vector<std::string> unknown_slots(const membership_table& table,
                                        std::span<const entry_point> all) {
     std::set<ip_endpoint> known{table.m_self.m_bulk};
-    for (const member* each : live_members(table)) {
-        known.insert(each->m_bulk);
+    for (const member* other : live_members(table)) {
+        known.insert(other->m_bulk);
     }
     std::vector<std::string> slots;
-    for (const entry_point& each : all) {
-        if (each.m_data_centre == table.m_self.m_data_centre && !known.contains(each.m_address)) {
-            slots.push_back(each.m_slot);
+    for (const entry_point& point : all) {
+        if (point.m_data_centre == table.m_self.m_data_centre && !known.contains(point.m_address)) {
+            slots.push_back(point.m_slot);
         }
     }
     return slots;
 }
 
-const member& entry_for_slot(const membership_table& table, std::string_view slot) {
+const member& member_for_slot(const membership_table& table, std::string_view slot) {
     const member* best = &table.m_self;
-    for (const member* each : live_members(table)) {
-        if (each->m_data_centre == table.m_self.m_data_centre &&
-            rendezvous_weight(slot, each->m_instance) > rendezvous_weight(slot, best->m_instance)) {
-            best = each;
+    for (const member* other : live_members(table)) {
+        if (other->m_data_centre == table.m_self.m_data_centre &&
+            rendezvous_weight(slot, other->m_instance) >
+                rendezvous_weight(slot, best->m_instance)) {
+            best = other;
         }
     }
     return *best;
 }
 
-std::size_t watchers_in_each(std::size_t data_centres) {
+std::size_t watchers_per_data_centre(std::size_t data_centres) {
     const std::size_t count = std::max<std::size_t>(1, data_centres);
-    return (least_watchers + count - 1) / count;
+    return (min_watchers + count - 1) / count;
 }
 
 } // namespace caraway
--- a/src/decide/entry_points.hpp
+++ b/src/decide/entry_points.hpp
@@ -22,11 +22,11 @@
 };
 
 // The slot that an instance fills if it is free.
-std::string entry_slot(std::string_view instance);
+std::string slot_of(std::string_view instance);
 
 // The entry points to join through first: those of the own data centre where it has many, so that a
 // herd of joining nodes loads no other one, else all.
-std::vector<ip_endpoint> near_entry_points(std::span<const entry_point> all,
+std::vector<ip_endpoint> join_entry_points(std::span<const entry_point> all,
                                            std::string_view data_centre);
 
 // The entry points of members that are unknown here, which may have joined only each other, or be
@@ -39,10 +39,10 @@
                                        std::span<const entry_point> all);
 
 // The live member of the own data centre to name in a slot; the same at every node.
-const member& entry_for_slot(const membership_table& table, std::string_view slot);
+const member& member_for_slot(const membership_table& table, std::string_view slot);
 
 // Members of each data centre that watch the store: one where there are many data centres, since
 // members of the others pass news on, too.
-std::size_t watchers_in_each(std::size_t data_centres);
+std::size_t watchers_per_data_centre(std::size_t data_centres);
 
 } // namespace caraway
--- a/src/decide/membership.cpp
+++ b/src/decide/membership.cpp
@@ -19,8 +19,8 @@
 constexpr milliseconds facts_differ_interval{1'000};
 
 // Asks the sender for its entry, or tells it what is held against it.
-void ask_sender(membership_table& table, const packet& received, const ip_endpoint& from,
-                const tracked_member* sender, time_point now, actions& out) {
+void request_sender_entry(membership_table& table, const packet& received, const ip_endpoint& from,
+                          const tracked_member* sender, time_point now, actions& out) {
     if (!take_token(table, table.m_reply_tokens, now)) {
         return;
     }
@@ -35,7 +35,8 @@
 
 // Takes over what the packet's header says of its sender. Returns whether the sender's entry is
 // unknown here, older than the packet, or wrongly gone.
-bool note_sender(membership_table& table, const packet& received, time_point now, actions& out) {
+bool merge_sender_header(membership_table& table, const packet& received, time_point now,
+                         actions& out) {
     tracked_member* sender = find_tracked(table, received.m_sender);
     if (sender == nullptr) {
         return true;
@@ -48,7 +49,7 @@
     if (sender->m_member.m_incarnation < received.m_incarnation) {
         return true;
     }
-    note_versions(*sender, received.m_config_version);
+    raise_config_version(*sender, received.m_config_version);
     if (!is_live(sender->m_member.m_state)) {
         return sender->m_member.m_state == member_state::dead;
     }
@@ -56,7 +57,7 @@
     if (held > sender->m_held_version) {
         sender->m_held_version = held;
         membership_action action;
-        action.m_kind = membership_action::kind::version_heard;
+        action.m_kind = membership_action::kind::version_reported;
         action.m_instance = received.m_sender;
         action.m_config_version = held;
         out.push_back(std::move(action));
@@ -73,12 +74,12 @@
 
 // Answers a ping. The own entry goes along when the sender may lack it or holds something else.
 void answer_ping(membership_table& table, const packet& received, const ip_endpoint& from,
-                 bool stranger, time_point now, actions& out) {
+                 bool sender_outdated, time_point now, actions& out) {
     packet ack = make_packet(table, packet_kind::ack, received.m_sender);
     ack.m_sequence = received.m_sequence;
     packet_filler filler = start_filling(ack);
-    if (stranger || received.m_target != table.m_self.m_instance || introduces_itself(table, now) ||
-        contains_update(received, table.m_self.m_instance)) {
+    if (sender_outdated || received.m_target != table.m_self.m_instance ||
+        is_announcing_self(table, now) || contains_entry(received, table.m_self.m_instance)) {
         add_self(table, filler);
     }
     const tracked_member* sender = find_tracked(table, received.m_sender);
@@ -97,9 +98,9 @@
 constexpr milliseconds comparison_interval{30'000};
 constexpr milliseconds remote_comparison_interval{5'000};
 // The first pause: when many nodes start together, those that answer first know only a few others.
-constexpr milliseconds complete_interval{500};
+constexpr milliseconds initial_comparison_interval{500};
 
-void ask_comparison(const tracked_member& with, actions& out) {
+void request_comparison(const tracked_member& with, actions& out) {
     membership_action action;
     action.m_kind = membership_action::kind::compare_tables;
     action.m_instance = with.m_member.m_instance;
@@ -107,23 +108,22 @@
 }
 
 // Asks for the comparisons of tables that are due.
-void compare_due_tables(membership_table& table, time_point now, actions& out) {
+void request_due_comparisons(membership_table& table, time_point now, actions& out) {
     if (now >= table.m_next_comparison) {
-        const bool completes = now - table.m_started < table.m_options.m_complete_time;
+        const bool starting = now - table.m_started < table.m_options.m_initial_comparison_time;
         const auto spread = static_cast<std::uint64_t>(comparison_interval.count());
         table.m_next_comparison =
-            now + (completes
-                       ? complete_interval
-                       : comparison_interval / 2 + milliseconds(table.m_random.below(spread)));
-        for (const tracked_member* each : pick_members(table, 1, {})) {
-            ask_comparison(*each, out);
+            now + (starting ? initial_comparison_interval
+                            : comparison_interval / 2 + milliseconds(table.m_random.below(spread)));
+        for (const tracked_member* other : pick_members(table, 1, {})) {
+            request_comparison(*other, out);
         }
     }
     if (now >= table.m_next_remote_comparison) {
         table.m_next_remote_comparison = now + remote_comparison_interval;
-        const tracked_member* other = is_carrier(table) ? next_remote_target(table, {}) : nullptr;
+        const tracked_member* other = is_gateway(table) ? next_remote_target(table, {}) : nullptr;
         if (other != nullptr) {
-            ask_comparison(*other, out);
+            request_comparison(*other, out);
         }
     }
 }
@@ -148,8 +148,8 @@
     const auto interval = static_cast<std::uint64_t>(options.m_probe_interval.count());
     table.m_next_probe = now + milliseconds(table.m_random.below(interval));
     table.m_next_gossip = now;
-    table.m_next_gone_ping = now;
-    table.m_next_claim = now;
+    table.m_next_dead_ping = now;
+    table.m_next_claim_check = now;
     table.m_last_tick = now;
     table.m_self_changed = now;
     table.m_no_death_before = now;
@@ -165,15 +165,15 @@
 
 std::vector<membership_action> membership_tick(membership_table& table, time_point now) {
     actions out;
-    note_pause(table, now);
+    detect_pause(table, now);
     advance_probes(table, now, out);
     expire_timers(table, now, out);
     probe_next(table, now, out);
-    check_claims(table, now, out);
-    ping_gone(table, now, out);
+    check_death_claims(table, now, out);
+    ping_dead_member(table, now, out);
     gossip(table, now, out);
     gossip_remote(table, now, out);
-    compare_due_tables(table, now, out);
+    request_due_comparisons(table, now, out);
     return out;
 }
 
@@ -184,27 +184,27 @@
         return out;
     }
     std::vector<member> rumours;
-    for (const member& each : received.m_updates) {
-        const merge_result result = merge_entry(table, each, entry_source::packet, now, out);
+    for (const member& entry : received.m_updates) {
+        const merge_result result = merge_entry(table, entry, entry_source::packet, now, out);
         if (result == merge_result::unchanged) {
             continue;
         }
-        tracked_member& tracked = *find_tracked(table, each.m_instance);
+        tracked_member& tracked = *find_tracked(table, entry.m_instance);
         queue_update(table, tracked);
-        report_change(each.m_instance, out);
+        report_member_change(entry.m_instance, out);
         if (result == merge_result::rumour) {
             rumours.push_back(tracked.m_member);
         }
     }
-    const bool stranger = note_sender(table, received, now, out);
-    forward_news(table, received, std::move(rumours), now, out);
+    const bool sender_outdated = merge_sender_header(table, received, now, out);
+    forward_rumours(table, received, std::move(rumours), now, out);
     switch (received.m_kind) {
     case packet_kind::ping:
-        answer_ping(table, received, from, stranger, now, out);
+        answer_ping(table, received, from, sender_outdated, now, out);
         break;
     case packet_kind::ack:
         // A relayed ack comes from another address than its sender's.
-        settle_probe(table, received, now, out);
+        handle_probe_ack(table, received, now, out);
         break;
     case packet_kind::ping_request:
         relay_ping(table, received, from, now, out);
@@ -212,8 +212,9 @@
     case packet_kind::rumour:
         break;
     }
-    if (stranger && received.m_kind != packet_kind::ack) {
-        ask_sender(table, received, from, find_tracked(table, received.m_sender), now, out);
+    if (sender_outdated && received.m_kind != packet_kind::ack) {
+        request_sender_entry(table, received, from, find_tracked(table, received.m_sender), now,
+                             out);
     }
     return out;
 }
--- a/src/decide/membership.hpp
+++ b/src/decide/membership.hpp
@@ -98,9 +98,9 @@
     // A forgotten member's name and address are kept out of sight for this long: its old entries
     // are not learnt again from nodes that forget later, and a dead one is still pinged now and
     // then, so that the halves of a long partition find each other again.
-    milliseconds m_forgotten_retention{7'200'000};
+    milliseconds m_tombstone_retention{7'200'000};
     // For this long after the start tables are compared twice a second; 0: as later.
-    milliseconds m_complete_time{0};
+    milliseconds m_initial_comparison_time{0};
 };
 
 // What the adapter has to do after an event.
@@ -108,9 +108,9 @@
     enum class kind : std::uint8_t {
         send,             // send m_packet to m_to
         member_changed,   // the table changed for m_instance
-        version_heard,    // m_instance holds the text of configuration version m_config_version
+        version_reported, // m_instance holds the text of configuration version m_config_version
         facts_differ,     // m_instance holds other facts; fetch them. At most one per second
-        suspension_heard, // m_packet carries suspensions or records new to this node
+        facts_received,   // m_packet carries suspensions or records new to this node
         compare_tables,   // compare the member table with that of m_instance
     };
     kind m_kind = kind::send;
@@ -132,21 +132,21 @@
     std::optional<time_point> m_suspect_since;
     std::optional<time_point> m_suspect_until; // declared dead then, if accused by this node
     // This node's own probe failed. Hearsay alone never makes a member dead here.
-    bool m_accused = false;
+    bool m_suspected_locally = false;
     std::optional<time_point> m_gone_since; // when it became dead or left
     // The latest losses, those that ended within the retention time; for the registrars of keys.
     std::vector<loss_episode> m_losses;
-    bool m_forgotten = false;       // past the retention: kept only out of sight
-    bool m_counted_dead = false;    // in membership_table::m_dead
-    std::uint32_t m_sends_left = 0; // piggyback transmissions still owed
-    bool m_queued = false;          // in membership_table::m_update_queue
+    bool m_is_tombstone = false;            // past the retention: kept only out of sight
+    bool m_counted_dead = false;            // in membership_table::m_dead
+    std::uint32_t m_transmissions_left = 0; // piggyback transmissions still owed
+    bool m_queued = false;                  // in membership_table::m_update_queue
     // Rounds of packets to the other data centres that the entry is still owed.
-    std::uint32_t m_remote_rounds = 0;
+    std::uint32_t m_remote_transmissions_left = 0;
     bool m_in_probe_order = false;
     // Highest configuration version heard from this name, across restarts. A restarted instance
     // asks for it, since it must not apply a version below its predecessor's.
     std::uint64_t m_highest_config_version = 0;
-    std::uint64_t m_held_version = 0; // text held there, last reported by version_heard
+    std::uint64_t m_held_version = 0; // text held there, last reported by version_reported
     std::uint32_t m_bucket = 0;
 };
 
@@ -193,39 +193,39 @@
     std::uint64_t m_started_ms = 0;                               // of the same moment
     std::map<std::string, member_group, std::less<>> m_groups;    // by data centre
     // See membership_groups; worked out anew after a change of the own data centre's members.
-    bool m_group_changed = true;
-    bool m_grouped = false;
-    bool m_carrier = false;
+    bool m_group_outdated = true;
+    bool m_grouped_by_data_centre = false;
+    bool m_is_gateway = false;
     std::vector<probe> m_probes;
     std::uint64_t m_next_sequence = 1;
     time_point m_next_probe;
     time_point m_last_tick;
-    time_point m_self_changed;              // start, or last change of the own incarnation
-    time_point m_no_death_before;           // after a pause of this process
-    std::uint32_t m_local_health = 0;       // 0 healthy; each step lengthens the own timeouts
-    std::uint64_t m_facts_digest = 0;       // set by the adapter when facts change
-    std::uint64_t m_held_version = 0;       // set by the adapter: highest text held
-    std::deque<std::string> m_update_queue; // members with piggyback transmissions owed
-    std::uint32_t m_self_sends_left = 0;    // the same for the own entry
-    time_point m_next_gossip;               // of queued updates, between the probes
+    time_point m_self_changed;                   // start, or last change of the own incarnation
+    time_point m_no_death_before;                // after a pause of this process
+    std::uint32_t m_local_health = 0;            // 0 healthy; each step lengthens the own timeouts
+    std::uint64_t m_facts_digest = 0;            // set by the adapter when facts change
+    std::uint64_t m_held_version = 0;            // set by the adapter: highest text held
+    std::deque<std::string> m_update_queue;      // members with piggyback transmissions owed
+    std::uint32_t m_self_transmissions_left = 0; // the same for the own entry
+    time_point m_next_gossip;                    // of queued updates, between the probes
     // As carrier: own members whose entries go to the other data centres, and when.
     std::deque<std::string> m_remote_queue;
-    std::uint32_t m_remote_hints = 0; // packets owed for their header only
+    std::uint32_t m_remote_header_packets_left = 0; // packets owed for their header only
     time_point m_next_remote_gossip;
     time_point m_next_remote_probe;
-    std::string m_doubted_centre; // a probe of one of its members failed lately
-    time_point m_doubted_until;
+    std::string m_unresponsive_data_centre; // a probe of one of its members failed lately
+    time_point m_unresponsive_until;
     time_point m_next_comparison; // of tables
     time_point m_next_remote_comparison;
     // After a change of the own held version or facts, some packets are sent for their header only.
-    std::uint32_t m_hints_left = 0;
-    std::uint64_t m_hinted_version = 0;
-    std::uint64_t m_hinted_digest = 0;
+    std::uint32_t m_header_packets_left = 0;
+    std::uint64_t m_gossiped_version = 0;
+    std::uint64_t m_gossiped_digest = 0;
     std::multimap<time_point, std::string> m_timers; // suspicions and retentions to look at
-    std::deque<death_claim> m_claims;                // to be checked
-    time_point m_next_claim;
-    time_point m_next_gone_ping; // of a dead member, in case a partition healed
-    std::string m_gone_cursor;
+    std::deque<death_claim> m_death_claims;          // to be checked
+    time_point m_next_claim_check;
+    time_point m_next_dead_ping; // of a dead member, in case a partition healed
+    std::string m_dead_cursor;
     time_point m_next_restart_ping;
     std::string m_restart_cursor;
     time_point m_next_facts_differ;
@@ -234,8 +234,8 @@
     double m_remote_bytes = 0;  // the same for packets to other data centres
     double m_reply_tokens = 0;  // unasked pings that may be sent
     time_point m_tokens_filled;
-    std::set<std::uint64_t> m_known_facts; // hashes of the facts already forwarded
-    std::deque<std::uint64_t> m_known_facts_order;
+    std::set<std::uint64_t> m_forwarded_facts; // hashes of the facts already forwarded
+    std::deque<std::uint64_t> m_forwarded_facts_order;
     std::array<std::uint64_t, member_bucket_count> m_bucket_hashes{}; // without self
     random_source m_random{1};
 };
@@ -268,10 +268,10 @@
 std::vector<membership_action> membership_leave(membership_table& table, time_point now);
 
 // Builds rumour packets with the given facts, addressed to fanout random live members.
-std::vector<membership_action> membership_spread(membership_table& table,
-                                                 std::span<const suspension> suspensions,
-                                                 std::span<const move_record> records,
-                                                 time_point now);
+std::vector<membership_action> membership_spread_facts(membership_table& table,
+                                                       std::span<const suspension> suspensions,
+                                                       std::span<const move_record> records,
+                                                       time_point now);
 
 // Number of members considered reachable (alive or suspect), self excluded; constant time.
 std::size_t live_member_count(const membership_table& table);
--- a/src/decide/membership_merge.cpp
+++ b/src/decide/membership_merge.cpp
@@ -13,16 +13,16 @@
 
 // A verdict of another node is believed when the suspicion has been known for this many probe
 // intervals: a suspected member hears of it and refutes it within one.
-constexpr int notice_intervals = 2;
+constexpr int refutation_intervals = 2;
 // Claims of death kept for checking; an exchange brings them again when they don't fit.
-constexpr std::size_t max_claims = 1'024;
+constexpr std::size_t max_death_claims = 1'024;
 // A merge that changes more than this is a join or a healed partition; its entries are known to
 // many others and not passed on by piggyback.
-constexpr std::size_t max_spread_of_merge = 64;
+constexpr std::size_t max_piggybacked_changes = 64;
 
 // The earlier of two first starts; 0 stands for an unknown one.
-std::uint64_t earlier_start(std::uint64_t a, std::uint64_t b) {
-    return a == 0 || b == 0 ? std::max(a, b) : std::min(a, b);
+std::uint64_t earlier_start(std::uint64_t first, std::uint64_t second) {
+    return first == 0 || second == 0 ? std::max(first, second) : std::min(first, second);
 }
 
 // Takes over an earlier first start of an entry, whatever its incarnation. A forgotten name counts
@@ -30,18 +30,18 @@
 bool lower_first_start(membership_table& table, tracked_member& tracked, const member& entry) {
     member& known = tracked.m_member;
     const std::uint64_t first = earlier_start(known.m_first_incarnation, entry.m_first_incarnation);
-    if (first == known.m_first_incarnation || tracked.m_forgotten) {
+    if (first == known.m_first_incarnation || tracked.m_is_tombstone) {
         return false;
     }
-    toggle_bucket(table, tracked);
+    toggle_bucket_hash(table, tracked);
     known.m_first_incarnation = first;
-    toggle_bucket(table, tracked);
+    toggle_bucket_hash(table, tracked);
     return true;
 }
 
 // Answers what others say of this node. Any claim that isn't older than the own incarnation is
 // outbid, also an entry of a predecessor whose clock was ahead.
-void answer_claim(membership_table& table, const member& entry, time_point now, actions& out) {
+void refute_claim(membership_table& table, const member& entry, time_point now, actions& out) {
     member& self = table.m_self;
     // A restarted process learns from its predecessor's entry when its name was first seen.
     const std::uint64_t first = earlier_start(self.m_first_incarnation, entry.m_first_incarnation);
@@ -50,7 +50,7 @@
         table.m_announced.m_first_incarnation = first;
         table.m_self_changed = now;
         queue_self(table);
-        report_change(self.m_instance, out);
+        report_member_change(self.m_instance, out);
     }
     if (entry.m_incarnation < self.m_incarnation) {
         return;
@@ -85,7 +85,7 @@
     tracked.m_member.m_state = member_state::dead;
     tracked.m_bucket = bucket_of(entry.m_instance);
     tracked.m_highest_config_version = entry.m_config_version;
-    set_entry(table, tracked, entry.m_state, now);
+    change_state(table, tracked, entry.m_state, now);
     return merge_result::changed;
 }
 
@@ -95,35 +95,37 @@
     if (is_live(entry.m_state) && !has_addresses(entry)) {
         return merge_result::unchanged;
     }
-    const member_state before = tracked.m_member.m_state;
-    const bool forgotten = tracked.m_forgotten;
-    if (!is_live(entry.m_state) && forgotten) {
+    const member_state previous_state = tracked.m_member.m_state;
+    const bool was_tombstone = tracked.m_is_tombstone;
+    if (!is_live(entry.m_state) && was_tombstone) {
         tracked.m_member.m_incarnation = entry.m_incarnation;
         return merge_result::unchanged;
     }
-    toggle_bucket(table, tracked);
+    toggle_bucket_hash(table, tracked);
     if (has_addresses(entry)) {
         const std::uint64_t first = tracked.m_member.m_first_incarnation;
         tracked.m_member = entry;
-        tracked.m_member.m_first_incarnation = forgotten ? entry.m_first_incarnation : first;
+        tracked.m_member.m_first_incarnation = was_tombstone ? entry.m_first_incarnation : first;
     } else {
         tracked.m_member.m_incarnation = entry.m_incarnation;
     }
-    tracked.m_member.m_state = before;
+    tracked.m_member.m_state = previous_state;
     tracked.m_held_version = 0;
-    note_versions(tracked, entry.m_config_version);
-    toggle_bucket(table, tracked);
-    set_entry(table, tracked, entry.m_state, now);
-    const bool revived = entry.m_state == member_state::alive && !forgotten &&
-                         (before == member_state::suspect || before == member_state::dead);
+    raise_config_version(tracked, entry.m_config_version);
+    toggle_bucket_hash(table, tracked);
+    change_state(table, tracked, entry.m_state, now);
+    const bool revived =
+        entry.m_state == member_state::alive && !was_tombstone &&
+        (previous_state == member_state::suspect || previous_state == member_state::dead);
     return revived || entry.m_state == member_state::left ? merge_result::rumour
                                                           : merge_result::changed;
 }
 
 // Queues a member whose death another table claims; this node checks it by a ping of its own.
-void queue_claim(membership_table& table, const std::string& instance, std::uint64_t incarnation) {
-    if (table.m_claims.size() < max_claims) {
-        table.m_claims.push_back({instance, incarnation});
+void queue_death_claim(membership_table& table, const std::string& instance,
+                       std::uint64_t incarnation) {
+    if (table.m_death_claims.size() < max_death_claims) {
+        table.m_death_claims.push_back({instance, incarnation});
     }
 }
 
@@ -131,22 +133,22 @@
 // that comes without a suspicion some time before it may be the view of a healed partition's other
 // side. It counts as a suspicion at first, so that the member can refute it, but one that is judged
 // soon.
-merge_result hear_death(membership_table& table, tracked_member& tracked, time_point now) {
-    const duration notice = table.m_options.m_probe_interval * notice_intervals;
-    const bool news = tracked.m_member.m_state == member_state::alive;
-    if (!news && now - *tracked.m_suspect_since >= notice) {
-        set_entry(table, tracked, member_state::dead, now);
+merge_result merge_death_report(membership_table& table, tracked_member& tracked, time_point now) {
+    const duration refutation_time = table.m_options.m_probe_interval * refutation_intervals;
+    const bool was_alive = tracked.m_member.m_state == member_state::alive;
+    if (!was_alive && now - *tracked.m_suspect_since >= refutation_time) {
+        change_state(table, tracked, member_state::dead, now);
         return merge_result::changed;
     }
-    if (news) {
-        set_entry(table, tracked, member_state::suspect, now);
+    if (was_alive) {
+        change_state(table, tracked, member_state::suspect, now);
     }
-    const time_point until = *tracked.m_suspect_since + notice;
-    if (until < *tracked.m_suspect_until) {
-        tracked.m_suspect_until = until;
-        table.m_timers.emplace(until, tracked.m_member.m_instance);
+    const time_point deadline = *tracked.m_suspect_since + refutation_time;
+    if (deadline < *tracked.m_suspect_until) {
+        tracked.m_suspect_until = deadline;
+        table.m_timers.emplace(deadline, tracked.m_member.m_instance);
     }
-    return news ? merge_result::changed : merge_result::unchanged;
+    return was_alive ? merge_result::changed : merge_result::unchanged;
 }
 
 // Merges one entry of a known member by the order of incarnations and states.
@@ -158,40 +160,40 @@
     if (entry.m_incarnation < tracked.m_member.m_incarnation) {
         return merge_result::unchanged;
     }
-    const bool higher = entry.m_incarnation > tracked.m_member.m_incarnation;
+    const bool newer = entry.m_incarnation > tracked.m_member.m_incarnation;
     if (source == entry_source::exchange && is_live(state) && entry.m_state == member_state::dead) {
-        queue_claim(table, entry.m_instance, entry.m_incarnation);
+        queue_death_claim(table, entry.m_instance, entry.m_incarnation);
         return merge_result::unchanged;
     }
-    if (higher) {
+    if (newer) {
         return supersede_entry(table, tracked, entry, now);
     }
     if (entry.m_state == state) {
         if (entry.m_config_version > tracked.m_member.m_config_version) {
-            note_versions(tracked, entry.m_config_version);
+            raise_config_version(tracked, entry.m_config_version);
         }
         return merge_result::unchanged;
     }
     if (entry.m_state < state) {
         // The other table holds as live whom this one holds as dead: let the member decide.
         if (source == entry_source::exchange && state == member_state::dead) {
-            queue_claim(table, entry.m_instance, entry.m_incarnation);
+            queue_death_claim(table, entry.m_instance, entry.m_incarnation);
         }
         return merge_result::unchanged;
     }
-    if (tracked.m_forgotten) {
+    if (tracked.m_is_tombstone) {
         return merge_result::unchanged;
     }
     if (entry.m_state == member_state::dead) {
-        return hear_death(table, tracked, now);
+        return merge_death_report(table, tracked, now);
     }
-    set_entry(table, tracked, entry.m_state, now);
+    change_state(table, tracked, entry.m_state, now);
     return entry.m_state == member_state::left ? merge_result::rumour : merge_result::changed;
 }
 
 } // namespace
 
-void note_versions(tracked_member& tracked, std::uint64_t config_version) {
+void raise_config_version(tracked_member& tracked, std::uint64_t config_version) {
     tracked.m_member.m_config_version = std::max(tracked.m_member.m_config_version, config_version);
     tracked.m_highest_config_version = std::max(tracked.m_highest_config_version, config_version);
 }
@@ -202,7 +204,7 @@
         return merge_result::unchanged;
     }
     if (entry.m_instance == table.m_self.m_instance) {
-        answer_claim(table, entry, now, out);
+        refute_claim(table, entry, now, out);
         return merge_result::unchanged;
     }
     const auto found = table.m_members.find(entry.m_instance);
@@ -211,8 +213,9 @@
     }
     tracked_member& tracked = found->second;
     const bool lowered = lower_first_start(table, tracked, entry);
-    if (is_lost(entry.m_state) && entry.m_incarnation == tracked.m_member.m_incarnation) {
-        lower_loss(tracked, entry.m_lost_ms);
+    if (is_suspect_or_dead(entry.m_state) &&
+        entry.m_incarnation == tracked.m_member.m_incarnation) {
+        lower_loss_start(tracked, entry.m_lost_ms);
     }
     const merge_result result = merge_known(table, tracked, entry, source, now);
     return lowered && result == merge_result::unchanged ? merge_result::changed : result;
@@ -226,16 +229,17 @@
                                                 std::span<const member> members, time_point now) {
     actions out;
     std::vector<tracked_member*> changed;
-    for (const member& each : members) {
-        if (merge_entry(table, each, entry_source::exchange, now, out) != merge_result::unchanged) {
-            tracked_member* tracked = find_tracked(table, each.m_instance);
+    for (const member& entry : members) {
+        if (merge_entry(table, entry, entry_source::exchange, now, out) !=
+            merge_result::unchanged) {
+            tracked_member* tracked = find_tracked(table, entry.m_instance);
             changed.push_back(tracked);
-            report_change(each.m_instance, out);
+            report_member_change(entry.m_instance, out);
         }
     }
-    if (changed.size() <= max_spread_of_merge) {
-        for (tracked_member* each : changed) {
-            queue_update(table, *each);
+    if (changed.size() <= max_piggybacked_changes) {
+        for (tracked_member* tracked : changed) {
+            queue_update(table, *tracked);
         }
     }
     return out;
--- a/src/decide/membership_merge.hpp
+++ b/src/decide/membership_merge.hpp
@@ -19,6 +19,6 @@
                          time_point now, actions& out);
 
 // Raises the configuration version known to be in force at a member.
-void note_versions(tracked_member& tracked, std::uint64_t config_version);
+void raise_config_version(tracked_member& tracked, std::uint64_t config_version);
 
 } // namespace caraway::swim
--- a/src/decide/membership_packet_size.cpp
+++ b/src/decide/membership_packet_size.cpp
@@ -64,14 +64,14 @@
                         bytes_field(value.m_sender.size()) + number_field(value.m_incarnation) +
                         bytes_field(value.m_target.size()) + number_field(value.m_config_version) +
                         number_field(value.m_held_version) + number_field(value.m_facts_digest);
-    for (const member& each : value.m_updates) {
-        bytes += swim::member_bytes(each);
+    for (const member& entry : value.m_updates) {
+        bytes += swim::member_bytes(entry);
     }
-    for (const suspension& each : value.m_suspensions) {
-        bytes += swim::suspension_bytes(each);
+    for (const suspension& suspended : value.m_suspensions) {
+        bytes += swim::suspension_bytes(suspended);
     }
-    for (const move_record& each : value.m_records) {
-        bytes += swim::record_bytes(each);
+    for (const move_record& record : value.m_records) {
+        bytes += swim::record_bytes(record);
     }
     return bytes;
 }
--- a/src/decide/membership_packets.cpp
+++ b/src/decide/membership_packets.cpp
@@ -13,71 +13,72 @@
 
 // Piggyback transmissions of one update per power of ten of the table size. With half of this, some
 // member missed about one update in twenty at 50 members and 5% loss.
-constexpr double sends_per_decade = 6.0;
+constexpr double transmissions_per_decade = 6.0;
 // Updates queued at which each of their transmissions starts to count several times, down to this
 // many in all. When a data centre fails or returns, every node passes on thousands of updates; the
 // first transmissions of each reach nearly everyone, and the exchange of tables repairs the rest.
-constexpr std::size_t long_queue = 64;
-constexpr std::uint32_t fewest_sends = 4;
+constexpr std::size_t long_queue_length = 64;
+constexpr std::uint32_t min_transmissions = 4;
 // The own entry goes into every packet for this long after the start or a new incarnation, since
 // most receivers don't have it yet.
-constexpr milliseconds introduce_time{30'000};
+constexpr milliseconds self_announcement_time{30'000};
 // Rounds of packets to the other data centres that an entry travels with, from each carrier.
-constexpr std::uint32_t remote_rounds = 2;
+constexpr std::uint32_t remote_transmissions = 2;
 // Entries queued for the other data centres; the comparison of tables repairs what is left out.
 constexpr std::size_t max_remote_queue = 1'024;
 
 // Transmissions of one update.
-std::uint32_t sends_owed(const membership_table& table) {
-    return static_cast<std::uint32_t>(std::ceil(sends_per_decade * decades(table)));
+std::uint32_t transmissions_per_update(const membership_table& table) {
+    return static_cast<std::uint32_t>(
+        std::ceil(transmissions_per_decade * log10_live_members(table)));
 }
 
 } // namespace
 
 void queue_update(membership_table& table, tracked_member& tracked) {
-    tracked.m_sends_left = sends_owed(table);
+    tracked.m_transmissions_left = transmissions_per_update(table);
     if (!tracked.m_queued) {
         tracked.m_queued = true;
         table.m_update_queue.push_front(tracked.m_member.m_instance);
     }
     if (tracked.m_member.m_data_centre == table.m_self.m_data_centre) {
-        queue_for_others(table, tracked);
+        queue_remote_update(table, tracked);
     }
 }
 
-void queue_for_others(membership_table& table, tracked_member& tracked) {
-    if (!is_carrier(table)) {
+void queue_remote_update(membership_table& table, tracked_member& tracked) {
+    if (!is_gateway(table)) {
         return;
     }
-    if (tracked.m_remote_rounds == 0) {
+    if (tracked.m_remote_transmissions_left == 0) {
         if (table.m_remote_queue.size() >= max_remote_queue) {
             return;
         }
         table.m_remote_queue.push_back(tracked.m_member.m_instance);
     }
-    tracked.m_remote_rounds = remote_rounds;
+    tracked.m_remote_transmissions_left = remote_transmissions;
 }
 
 void add_remote_updates(membership_table& table, packet_filler& filler) {
-    for (std::size_t left = table.m_remote_queue.size(); left > 0; --left) {
+    for (std::size_t remaining = table.m_remote_queue.size(); remaining > 0; --remaining) {
         std::string name = std::move(table.m_remote_queue.front());
         table.m_remote_queue.pop_front();
         const auto found = table.m_members.find(name);
-        if (found == table.m_members.end() || found->second.m_remote_rounds == 0) {
+        if (found == table.m_members.end() || found->second.m_remote_transmissions_left == 0) {
             continue;
         }
         if (!add_entry(filler, entry_to_send(found->second.m_member))) {
             table.m_remote_queue.push_front(std::move(name));
             return;
         }
-        if (--found->second.m_remote_rounds > 0) {
+        if (--found->second.m_remote_transmissions_left > 0) {
             table.m_remote_queue.push_back(std::move(name));
         }
     }
 }
 
 void queue_self(membership_table& table) {
-    table.m_self_sends_left = sends_owed(table);
+    table.m_self_transmissions_left = transmissions_per_update(table);
 }
 
 packet make_packet(const membership_table& table, packet_kind kind, std::string_view target) {
@@ -96,9 +97,9 @@
     return {value, estimated_packet_bytes(value)};
 }
 
-bool contains_update(const packet& value, std::string_view instance) {
+bool contains_entry(const packet& value, std::string_view instance) {
     return std::any_of(value.m_updates.begin(), value.m_updates.end(),
-                       [instance](const member& each) { return each.m_instance == instance; });
+                       [instance](const member& entry) { return entry.m_instance == instance; });
 }
 
 member shortened_entry(const member& value) {
@@ -130,23 +131,23 @@
 }
 
 bool add_self(const membership_table& table, packet_filler& filler) {
-    return !contains_update(filler.m_packet, table.m_self.m_instance) &&
+    return !contains_entry(filler.m_packet, table.m_self.m_instance) &&
            add_entry(filler, table.m_self);
 }
 
-bool introduces_itself(const membership_table& table, time_point now) {
-    return now - table.m_self_changed < introduce_time ||
+bool is_announcing_self(const membership_table& table, time_point now) {
+    return now - table.m_self_changed < self_announcement_time ||
            table.m_self.m_state == member_state::left;
 }
 
 void add_updates(membership_table& table, packet_filler& filler) {
-    if (table.m_self_sends_left > 0 && add_self(table, filler)) {
-        --table.m_self_sends_left;
+    if (table.m_self_transmissions_left > 0 && add_self(table, filler)) {
+        --table.m_self_transmissions_left;
     }
     const auto cost = static_cast<std::uint32_t>(
-        std::clamp<std::size_t>(table.m_update_queue.size() / long_queue, 1,
-                                std::max(1U, sends_owed(table) / fewest_sends)));
-    for (std::size_t left = table.m_update_queue.size(); left > 0; --left) {
+        std::clamp<std::size_t>(table.m_update_queue.size() / long_queue_length, 1,
+                                std::max(1U, transmissions_per_update(table) / min_transmissions)));
+    for (std::size_t remaining = table.m_update_queue.size(); remaining > 0; --remaining) {
         std::string name = std::move(table.m_update_queue.front());
         table.m_update_queue.pop_front();
         const auto found = table.m_members.find(name);
@@ -154,13 +155,13 @@
             continue;
         }
         tracked_member& tracked = found->second;
-        if (tracked.m_sends_left == 0 || tracked.m_forgotten) {
+        if (tracked.m_transmissions_left == 0 || tracked.m_is_tombstone) {
             tracked.m_queued = false;
             continue;
         }
         // A rumour's packets hold the entry besides; they don't count as one of its transmissions,
         // since nearly all nodes get the rumour at the same time and need the later ones.
-        if (contains_update(filler.m_packet, name)) {
+        if (contains_entry(filler.m_packet, name)) {
             table.m_update_queue.push_back(std::move(name));
             continue;
         }
@@ -168,8 +169,8 @@
             table.m_update_queue.push_front(std::move(name));
             return;
         }
-        tracked.m_sends_left -= std::min(tracked.m_sends_left, cost);
-        if (tracked.m_sends_left > 0) {
+        tracked.m_transmissions_left -= std::min(tracked.m_transmissions_left, cost);
+        if (tracked.m_transmissions_left > 0) {
             table.m_update_queue.push_back(std::move(name));
         } else {
             tracked.m_queued = false;
@@ -177,8 +178,8 @@
     }
 }
 
-void add_news(membership_table& table, packet_filler& filler, time_point now) {
-    if (introduces_itself(table, now)) {
+void add_self_and_updates(membership_table& table, packet_filler& filler, time_point now) {
+    if (is_announcing_self(table, now)) {
         add_self(table, filler);
     }
     add_updates(table, filler);
--- a/src/decide/membership_packets.hpp
+++ b/src/decide/membership_packets.hpp
@@ -25,7 +25,7 @@
 
 // Queues an entry for the other data centres. Entries of the own data centre's members are queued
 // there by queue_update already; this is for what this node found out of another one's member.
-void queue_for_others(membership_table& table, tracked_member& tracked);
+void queue_remote_update(membership_table& table, tracked_member& tracked);
 
 // Fills the rest of the packet with the entries that all other data centres are owed, each in turn.
 void add_remote_updates(membership_table& table, packet_filler& filler);
@@ -35,7 +35,7 @@
 
 packet_filler start_filling(packet& value);
 
-bool contains_update(const packet& value, std::string_view instance);
+bool contains_entry(const packet& value, std::string_view instance);
 
 // A gone or suspected member's entry travels without addresses: those who need them have them, and
 // three times as many updates fit into a packet when a data centre fails.
@@ -51,13 +51,13 @@
 bool add_self(const membership_table& table, packet_filler& filler);
 
 // Whether the own entry goes into every packet, since most receivers lack it.
-bool introduces_itself(const membership_table& table, time_point now);
+bool is_announcing_self(const membership_table& table, time_point now);
 
 // Fills the rest of the packet with owed updates, each in turn.
 void add_updates(membership_table& table, packet_filler& filler);
 
 // Introduces this node while that is due and fills the rest with owed updates.
-void add_news(membership_table& table, packet_filler& filler, time_point now);
+void add_self_and_updates(membership_table& table, packet_filler& filler, time_point now);
 
 void send(const ip_endpoint& to, packet value, actions& out);
 
--- a/src/decide/membership_probes.cpp
+++ b/src/decide/membership_probes.cpp
@@ -17,16 +17,16 @@
 // Timers handled per tick. A whole data centre that is suspected at once is spread over some ticks.
 constexpr std::size_t max_timers_per_tick = 256;
 // Checks of such claims per probe interval.
-constexpr int claims_per_interval = 4;
+constexpr int claim_checks_per_interval = 4;
 // Dead members are pinged once in this many probe intervals, in case a partition healed.
-constexpr int gone_ping_intervals = 5;
+constexpr int dead_ping_intervals = 5;
 // Members gone for less than this are pinged in every interval, some at a time: one that restarts
 // at its address then finds the others, also when the store can't name them.
 constexpr milliseconds restart_time{60'000};
-constexpr std::size_t restart_pings = 4;
-constexpr std::size_t restart_scan = 512;
+constexpr std::size_t restart_pings_per_interval = 4;
+constexpr std::size_t max_restart_scan = 512;
 // Entries looked at per search for a dead member.
-constexpr std::size_t gone_scan = 64;
+constexpr std::size_t max_dead_scan = 64;
 // With a share of one in this many dead members the table may be one side of a partition.
 constexpr std::size_t mass_loss_share = 10;
 constexpr std::size_t least_mass_loss = 2;
@@ -34,8 +34,8 @@
 constexpr milliseconds retention_check{60'000};
 // Probes per interval of a data centre of which a member has not answered, and for how long after
 // the last such probe.
-constexpr int doubt_probes_per_interval = 4;
-constexpr milliseconds doubt_time{5'000};
+constexpr int unresponsive_probes_per_interval = 4;
+constexpr milliseconds unresponsive_time{5'000};
 // A gap between ticks longer than this means that the process was paused.
 constexpr milliseconds pause_threshold{1'000};
 
@@ -49,35 +49,36 @@
     started.m_target = target.m_member.m_instance;
     started.m_sequence = table.m_next_sequence++;
     started.m_sent = now;
-    started.m_timeout = lengthened(table, table.m_options.m_probe_timeout);
-    started.m_limit = lengthened(table, table.m_options.m_probe_interval);
+    started.m_timeout = scaled_by_local_health(table, table.m_options.m_probe_timeout);
+    started.m_limit = scaled_by_local_health(table, table.m_options.m_probe_interval);
     send_ping(table, target, started.m_sequence, claim, out);
     table.m_probes.push_back(std::move(started));
 }
 
 // Asks some members to ping the target on this node's behalf.
-void ask_indirect(membership_table& table, probe& waiting, time_point now, actions& out) {
+void request_indirect_probes(membership_table& table, probe& waiting, time_point now,
+                             actions& out) {
     waiting.m_indirect = true;
-    for (const tracked_member* each :
+    for (const tracked_member* relay :
          pick_members(table, table.m_options.m_indirect_probes, waiting.m_target)) {
         packet request = make_packet(table, packet_kind::ping_request, waiting.m_target);
         request.m_sequence = waiting.m_sequence;
         packet_filler filler = start_filling(request);
-        add_news(table, filler, now);
-        send(each->m_member.m_udp, std::move(request), out);
+        add_self_and_updates(table, filler, now);
+        send(relay->m_member.m_udp, std::move(request), out);
         ++waiting.m_relays;
     }
 }
 
 // Makes a suspicion this node's own: the target is pinged with the accusation once per probe
 // interval, and is declared dead after the given time unless it refutes.
-void accuse(membership_table& table, tracked_member& suspect, milliseconds time, time_point now,
-            actions& out) {
-    if (suspect.m_accused) {
+void start_own_suspicion(membership_table& table, tracked_member& suspect, milliseconds timeout,
+                         time_point now, actions& out) {
+    if (suspect.m_suspected_locally) {
         return;
     }
-    suspect.m_accused = true;
-    suspect.m_suspect_until = std::min(*suspect.m_suspect_until, now + time);
+    suspect.m_suspected_locally = true;
+    suspect.m_suspect_until = std::min(*suspect.m_suspect_until, now + timeout);
     table.m_timers.emplace(*suspect.m_suspect_until, suspect.m_member.m_instance);
     table.m_timers.emplace(now + table.m_options.m_probe_interval, suspect.m_member.m_instance);
     send_ping(table, suspect, 0, std::nullopt, out);
@@ -85,7 +86,8 @@
 
 // The probe failed: the target is suspected. If none of the relays answered either, the fault may
 // be this node's own.
-void fail_probe(membership_table& table, const probe& failed, time_point now, actions& out) {
+void handle_failed_probe(membership_table& table, const probe& failed, time_point now,
+                         actions& out) {
     if (failed.m_relays > 0 && failed.m_relays_confirmed == 0) {
         worsen_local_health(table);
     }
@@ -94,25 +96,25 @@
         return;
     }
     if (target->m_member.m_state == member_state::alive) {
-        set_entry(table, *target, member_state::suspect, now);
+        change_state(table, *target, member_state::suspect, now);
         queue_update(table, *target);
-        queue_for_others(table, *target);
-        report_change(target->m_member.m_instance, out);
+        queue_remote_update(table, *target);
+        report_member_change(target->m_member.m_instance, out);
     }
     if (is_remote(table, target->m_member)) {
-        table.m_doubted_centre = target->m_member.m_data_centre;
-        table.m_doubted_until = now + doubt_time;
+        table.m_unresponsive_data_centre = target->m_member.m_data_centre;
+        table.m_unresponsive_until = now + unresponsive_time;
     }
-    accuse(table, *target, suspicion_time(table), now, out);
+    start_own_suspicion(table, *target, suspicion_time(table), now, out);
 }
 
 // Handles a due timer of a suspect. Hearsay that nobody has settled becomes an accusation of this
 // node's own, with time for two more pings. Returns whether the member is dead.
-bool judge_suspect(membership_table& table, tracked_member& suspect, time_point now, actions& out) {
+bool check_suspect(membership_table& table, tracked_member& suspect, time_point now, actions& out) {
     const std::string& name = suspect.m_member.m_instance;
     const milliseconds interval = table.m_options.m_probe_interval;
     if (now < *suspect.m_suspect_until) {
-        if (suspect.m_accused) {
+        if (suspect.m_suspected_locally) {
             send_ping(table, suspect, 0, std::nullopt, out);
             table.m_timers.emplace(now + interval, name);
         }
@@ -123,17 +125,17 @@
         table.m_timers.emplace(*suspect.m_suspect_until, name);
         return false;
     }
-    if (!suspect.m_accused) {
-        const milliseconds time = lengthened(table, interval) * 2;
-        suspect.m_suspect_until = now + time;
-        accuse(table, suspect, time, now, out);
+    if (!suspect.m_suspected_locally) {
+        const milliseconds timeout = scaled_by_local_health(table, interval) * 2;
+        suspect.m_suspect_until = now + timeout;
+        start_own_suspicion(table, suspect, timeout, now, out);
         return false;
     }
     return true;
 }
 
 // How long the gone member is kept. Dead ones are kept longer while many are dead.
-duration retention_of(const membership_table& table, const tracked_member& tracked) {
+duration retention_time(const membership_table& table, const tracked_member& tracked) {
     const bool mass_loss = table.m_dead >= least_mass_loss &&
                            table.m_dead * mass_loss_share >= table.m_live + 1 + table.m_dead;
     return mass_loss && tracked.m_counted_dead ? table.m_options.m_mass_loss_retention
@@ -142,11 +144,11 @@
 
 } // namespace
 
-void note_pause(membership_table& table, time_point now) {
+void detect_pause(membership_table& table, time_point now) {
     if (now - table.m_last_tick > pause_threshold) {
         // Acks and refutations of the pause still wait in the socket; judge nobody before they are
         // read.
-        std::erase_if(table.m_probes, [](const probe& each) { return !each.m_relay; });
+        std::erase_if(table.m_probes, [](const probe& pending) { return !pending.m_relay; });
         table.m_no_death_before = now + table.m_options.m_probe_interval * 2;
     }
     table.m_last_tick = now;
@@ -155,11 +157,11 @@
 void advance_probes(membership_table& table, time_point now, actions& out) {
     std::vector<probe> failed;
     for (std::size_t i = 0; i < table.m_probes.size();) {
-        probe& each = table.m_probes[i];
-        const duration waited = now - each.m_sent;
-        if (waited >= each.m_limit) {
-            if (!each.m_relay) {
-                failed.push_back(std::move(each));
+        probe& pending = table.m_probes[i];
+        const duration waited = now - pending.m_sent;
+        if (waited >= pending.m_limit) {
+            if (!pending.m_relay) {
+                failed.push_back(std::move(pending));
             }
             // The order of the probes under way has no meaning.
             if (i + 1 < table.m_probes.size()) {
@@ -168,13 +170,13 @@
             table.m_probes.pop_back();
             continue;
         }
-        if (!each.m_relay && !each.m_indirect && waited >= each.m_timeout) {
-            ask_indirect(table, each, now, out);
+        if (!pending.m_relay && !pending.m_indirect && waited >= pending.m_timeout) {
+            request_indirect_probes(table, pending, now, out);
         }
         ++i;
     }
-    for (const probe& each : failed) {
-        fail_probe(table, each, now, out);
+    for (const probe& failed_probe : failed) {
+        handle_failed_probe(table, failed_probe, now, out);
     }
 }
 
@@ -190,29 +192,29 @@
             continue;
         }
         if (tracked->m_suspect_until) {
-            if (judge_suspect(table, *tracked, now, out)) {
-                set_entry(table, *tracked, member_state::dead, now);
+            if (check_suspect(table, *tracked, now, out)) {
+                change_state(table, *tracked, member_state::dead, now);
                 queue_update(table, *tracked);
-                queue_for_others(table, *tracked);
-                report_change(name, out);
+                queue_remote_update(table, *tracked);
+                report_member_change(name, out);
             }
             continue;
         }
         if (!tracked->m_gone_since) {
             continue;
         }
-        const duration gone = now - *tracked->m_gone_since;
-        const duration forgotten_after = retention_of(table, *tracked);
-        const duration erased_after = forgotten_after + table.m_options.m_forgotten_retention;
-        if (gone >= erased_after) {
+        const duration gone_for = now - *tracked->m_gone_since;
+        const duration tombstone_after = retention_time(table, *tracked);
+        const duration erased_after = tombstone_after + table.m_options.m_tombstone_retention;
+        if (gone_for >= erased_after) {
             table.m_members.erase(name);
-        } else if (gone < forgotten_after) {
+        } else if (gone_for < tombstone_after) {
             table.m_timers.emplace(now + retention_check, name);
-        } else if (!tracked->m_forgotten) {
-            tracked->m_forgotten = true;
+        } else if (!tracked->m_is_tombstone) {
+            tracked->m_is_tombstone = true;
             table.m_dead -= std::exchange(tracked->m_counted_dead, false) ? 1U : 0U;
             table.m_timers.emplace(*tracked->m_gone_since + erased_after, name);
-            report_change(name, out);
+            report_member_change(name, out);
         }
     }
 }
@@ -223,17 +225,17 @@
     if (now < table.m_next_remote_probe) {
         return;
     }
-    const milliseconds interval = lengthened(table, table.m_options.m_probe_interval);
+    const milliseconds interval = scaled_by_local_health(table, table.m_options.m_probe_interval);
     table.m_next_remote_probe = now + interval;
-    if (!is_carrier(table)) {
+    if (!is_gateway(table)) {
         return;
     }
-    const bool doubted = now < table.m_doubted_until;
-    if (doubted) {
-        table.m_next_remote_probe = now + interval / doubt_probes_per_interval;
+    const bool unresponsive = now < table.m_unresponsive_until;
+    if (unresponsive) {
+        table.m_next_remote_probe = now + interval / unresponsive_probes_per_interval;
     }
-    const std::string centre = doubted ? table.m_doubted_centre : std::string{};
-    if (const tracked_member* target = next_remote_target(table, centre)) {
+    const std::string data_centre = unresponsive ? table.m_unresponsive_data_centre : std::string{};
+    if (const tracked_member* target = next_remote_target(table, data_centre)) {
         start_probe(table, *target, std::nullopt, now, out);
     }
 }
@@ -243,16 +245,16 @@
     if (now < table.m_next_probe) {
         return;
     }
-    table.m_next_probe = now + lengthened(table, table.m_options.m_probe_interval);
+    table.m_next_probe = now + scaled_by_local_health(table, table.m_options.m_probe_interval);
     if (const tracked_member* target = next_probe_target(table)) {
         start_probe(table, *target, std::nullopt, now, out);
     }
 }
 
-void check_claims(membership_table& table, time_point now, actions& out) {
-    while (!table.m_claims.empty() && now >= table.m_next_claim) {
-        const death_claim claim = std::move(table.m_claims.front());
-        table.m_claims.pop_front();
+void check_death_claims(membership_table& table, time_point now, actions& out) {
+    while (!table.m_death_claims.empty() && now >= table.m_next_claim_check) {
+        const death_claim claim = std::move(table.m_death_claims.front());
+        table.m_death_claims.pop_front();
         const tracked_member* target = find_tracked(table, claim.m_instance);
         if (target == nullptr || !has_addresses(target->m_member) ||
             target->m_member.m_incarnation > claim.m_incarnation) {
@@ -266,7 +268,8 @@
         } else {
             send_ping(table, *target, 0, entry, out);
         }
-        table.m_next_claim = now + table.m_options.m_probe_interval / claims_per_interval;
+        table.m_next_claim_check =
+            now + table.m_options.m_probe_interval / claim_checks_per_interval;
     }
 }
 
@@ -278,46 +281,48 @@
     }
     table.m_next_restart_ping = now + table.m_options.m_probe_interval;
     const auto& members = table.m_members;
-    auto at = members.upper_bound(table.m_restart_cursor);
+    auto position = members.upper_bound(table.m_restart_cursor);
     std::size_t pings = 0;
-    const bool carrier = is_carrier(table);
-    for (std::size_t step = 0; step < std::min(restart_scan, members.size()); ++step, ++at) {
-        at = at == members.end() ? members.begin() : at;
-        const tracked_member& each = at->second;
-        const bool lately = each.m_gone_since && now - *each.m_gone_since < restart_time;
-        if (lately && (carrier || !is_remote(table, each.m_member)) &&
-            has_addresses(each.m_member) && !each.m_forgotten) {
-            table.m_restart_cursor = at->first;
-            send_ping(table, each, 0, std::nullopt, out);
-            if (++pings == restart_pings) {
+    const bool gateway = is_gateway(table);
+    for (std::size_t step = 0; step < std::min(max_restart_scan, members.size());
+         ++step, ++position) {
+        position = position == members.end() ? members.begin() : position;
+        const tracked_member& candidate = position->second;
+        const bool recently_gone =
+            candidate.m_gone_since && now - *candidate.m_gone_since < restart_time;
+        if (recently_gone && (gateway || !is_remote(table, candidate.m_member)) &&
+            has_addresses(candidate.m_member) && !candidate.m_is_tombstone) {
+            table.m_restart_cursor = position->first;
+            send_ping(table, candidate, 0, std::nullopt, out);
+            if (++pings == restart_pings_per_interval) {
                 return;
             }
         }
     }
 }
 
-void ping_gone(membership_table& table, time_point now, actions& out) {
+void ping_dead_member(membership_table& table, time_point now, actions& out) {
     ping_restarting_members(table, now, out);
-    if (now < table.m_next_gone_ping) {
+    if (now < table.m_next_dead_ping) {
         return;
     }
-    table.m_next_gone_ping = now + table.m_options.m_probe_interval * gone_ping_intervals;
+    table.m_next_dead_ping = now + table.m_options.m_probe_interval * dead_ping_intervals;
     const auto& members = table.m_members;
-    auto at = members.upper_bound(table.m_gone_cursor);
-    const bool carrier = is_carrier(table);
-    for (std::size_t step = 0; step < std::min(gone_scan, members.size()); ++step, ++at) {
-        if (at == members.end()) {
-            at = members.begin();
+    auto position = members.upper_bound(table.m_dead_cursor);
+    const bool gateway = is_gateway(table);
+    for (std::size_t step = 0; step < std::min(max_dead_scan, members.size()); ++step, ++position) {
+        if (position == members.end()) {
+            position = members.begin();
         }
-        const tracked_member& each = at->second;
-        if (each.m_member.m_state == member_state::dead && has_addresses(each.m_member) &&
-            (carrier || !is_remote(table, each.m_member))) {
-            table.m_gone_cursor = at->first;
-            send_ping(table, each, 0, std::nullopt, out);
+        const tracked_member& candidate = position->second;
+        if (candidate.m_member.m_state == member_state::dead && has_addresses(candidate.m_member) &&
+            (gateway || !is_remote(table, candidate.m_member))) {
+            table.m_dead_cursor = position->first;
+            send_ping(table, candidate, 0, std::nullopt, out);
             return;
         }
     }
-    table.m_gone_cursor = at == members.end() ? std::string{} : at->first;
+    table.m_dead_cursor = position == members.end() ? std::string{} : position->first;
 }
 
 void relay_ping(membership_table& table, const packet& received, const ip_endpoint& from,
@@ -343,11 +348,11 @@
     table.m_probes.push_back(std::move(relayed));
 }
 
-void settle_probe(membership_table& table, const packet& received, time_point now, actions& out) {
-    const auto found =
-        std::find_if(table.m_probes.begin(), table.m_probes.end(), [&received](const probe& each) {
-            return each.m_sequence == received.m_sequence;
-        });
+void handle_probe_ack(membership_table& table, const packet& received, time_point now,
+                      actions& out) {
+    const auto found = std::find_if(
+        table.m_probes.begin(), table.m_probes.end(),
+        [&received](const probe& pending) { return pending.m_sequence == received.m_sequence; });
     if (received.m_sequence == 0 || found == table.m_probes.end()) {
         return;
     }
--- a/src/decide/membership_rumours.cpp
+++ b/src/decide/membership_rumours.cpp
@@ -17,9 +17,9 @@
 constexpr double gossip_byte_burst = 16'000;
 // Packets sent for their header alone, one per gossip interval, after the own version or facts have
 // changed. About 2% of the members are missed by a rumour and learn of it from such a header.
-constexpr std::uint32_t hints_per_change = 8;
+constexpr std::uint32_t header_packets_per_change = 8;
 // Rounds of such packets from each carrier to the other data centres.
-constexpr std::uint32_t remote_hints_per_change = 2;
+constexpr std::uint32_t remote_header_packets_per_change = 2;
 // Bytes per second and in one burst that a carrier may send to other data centres between probes.
 constexpr double remote_bytes_per_second = 3'000;
 constexpr double remote_byte_burst = 24'000;
@@ -31,7 +31,7 @@
 constexpr double replies_per_second = 20;
 constexpr double reply_burst = 50;
 // Facts remembered as already forwarded.
-constexpr std::size_t max_known_facts = 4'096;
+constexpr std::size_t max_forwarded_facts = 4'096;
 
 // Refills the budgets by the time since the last call.
 void fill_tokens(membership_table& table, time_point now) {
@@ -50,14 +50,14 @@
 }
 
 // Remembers a fact by its hash. Returns false when it was known.
-bool learn_fact(membership_table& table, std::uint64_t hash) {
-    if (!table.m_known_facts.insert(hash).second) {
+bool remember_fact(membership_table& table, std::uint64_t hash) {
+    if (!table.m_forwarded_facts.insert(hash).second) {
         return false;
     }
-    table.m_known_facts_order.push_back(hash);
-    if (table.m_known_facts_order.size() > max_known_facts) {
-        table.m_known_facts.erase(table.m_known_facts_order.front());
-        table.m_known_facts_order.pop_front();
+    table.m_forwarded_facts_order.push_back(hash);
+    if (table.m_forwarded_facts_order.size() > max_forwarded_facts) {
+        table.m_forwarded_facts.erase(table.m_forwarded_facts_order.front());
+        table.m_forwarded_facts_order.pop_front();
     }
     return true;
 }
@@ -90,23 +90,23 @@
     return true;
 }
 
-void send_rumour(membership_table& table, const packet& rumour, reach to, std::string_view except,
-                 time_point now, actions& out) {
-    for (const tracked_member* each :
-         pick_members(table, table.m_options.m_rumour_fanout, except)) {
+void send_rumour(membership_table& table, const packet& rumour, gossip_scope scope,
+                 std::string_view excluded, time_point now, actions& out) {
+    for (const tracked_member* target :
+         pick_members(table, table.m_options.m_rumour_fanout, excluded)) {
         packet copy = rumour;
         packet_filler filler = start_filling(copy);
-        add_news(table, filler, now);
-        send(each->m_member.m_udp, std::move(copy), out);
+        add_self_and_updates(table, filler, now);
+        send(target->m_member.m_udp, std::move(copy), out);
     }
-    if (to == reach::nearby) {
+    if (scope == gossip_scope::local_group) {
         return;
     }
-    for (const tracked_member* each : pick_remote_members(table)) {
+    for (const tracked_member* target : pick_remote_members(table)) {
         packet copy = rumour;
         packet_filler filler = start_filling(copy);
         add_self(table, filler);
-        send(each->m_member.m_udp, std::move(copy), out);
+        send(target->m_member.m_udp, std::move(copy), out);
     }
 }
 
@@ -114,20 +114,21 @@
     table.m_announced = table.m_self;
     table.m_self_changed = now;
     queue_self(table);
-    send_rumour(table, make_packet(table, packet_kind::rumour, {}), reach::everyone, {}, now, out);
+    send_rumour(table, make_packet(table, packet_kind::rumour, {}), gossip_scope::all_data_centres,
+                {}, now, out);
 }
 
 void gossip(membership_table& table, time_point now, actions& out) {
-    if (table.m_held_version != table.m_hinted_version ||
-        table.m_facts_digest != table.m_hinted_digest) {
-        table.m_hinted_version = table.m_held_version;
-        table.m_hinted_digest = table.m_facts_digest;
-        table.m_hints_left = hints_per_change;
-        table.m_remote_hints = remote_hints_per_change;
+    if (table.m_held_version != table.m_gossiped_version ||
+        table.m_facts_digest != table.m_gossiped_digest) {
+        table.m_gossiped_version = table.m_held_version;
+        table.m_gossiped_digest = table.m_facts_digest;
+        table.m_header_packets_left = header_packets_per_change;
+        table.m_remote_header_packets_left = remote_header_packets_per_change;
     }
-    const bool news =
-        !table.m_update_queue.empty() || table.m_self_sends_left > 0 || table.m_hints_left > 0;
-    if (now < table.m_next_gossip || !news) {
+    const bool has_updates = !table.m_update_queue.empty() || table.m_self_transmissions_left > 0 ||
+                             table.m_header_packets_left > 0;
+    if (now < table.m_next_gossip || !has_updates) {
         return;
     }
     fill_tokens(table, now);
@@ -135,26 +136,27 @@
         return;
     }
     table.m_next_gossip = now + table.m_options.m_probe_interval / 4;
-    for (const tracked_member* each : pick_members(table, 1, {})) {
+    for (const tracked_member* target : pick_members(table, 1, {})) {
         packet sent = make_packet(table, packet_kind::rumour, {});
         packet_filler filler = start_filling(sent);
-        add_news(table, filler, now);
-        if (!sent.m_updates.empty() || table.m_hints_left > 0) {
+        add_self_and_updates(table, filler, now);
+        if (!sent.m_updates.empty() || table.m_header_packets_left > 0) {
             table.m_gossip_bytes -= static_cast<double>(filler.m_bytes);
-            send(each->m_member.m_udp, std::move(sent), out);
+            send(target->m_member.m_udp, std::move(sent), out);
         }
-        table.m_hints_left -= table.m_hints_left > 0 ? 1 : 0;
+        table.m_header_packets_left -= table.m_header_packets_left > 0 ? 1 : 0;
     }
 }
 
 // The same packet goes to all other data centres, so that each gets every entry.
 void gossip_remote(membership_table& table, time_point now, actions& out) {
-    if (!is_carrier(table)) {
-        table.m_remote_hints = 0;
+    if (!is_gateway(table)) {
+        table.m_remote_header_packets_left = 0;
         return;
     }
-    const bool news = !table.m_remote_queue.empty() || table.m_remote_hints > 0;
-    if (now < table.m_next_remote_gossip || !news) {
+    const bool has_updates =
+        !table.m_remote_queue.empty() || table.m_remote_header_packets_left > 0;
+    if (now < table.m_next_remote_gossip || !has_updates) {
         return;
     }
     fill_tokens(table, now);
@@ -162,48 +164,48 @@
         return;
     }
     table.m_next_remote_gossip = now + table.m_options.m_probe_interval / 4;
-    table.m_remote_hints -= table.m_remote_hints > 0 ? 1 : 0;
-    packet news_packet = make_packet(table, packet_kind::rumour, {});
-    packet_filler filler = start_filling(news_packet);
+    table.m_remote_header_packets_left -= table.m_remote_header_packets_left > 0 ? 1 : 0;
+    packet update = make_packet(table, packet_kind::rumour, {});
+    packet_filler filler = start_filling(update);
     add_remote_updates(table, filler);
-    for (const tracked_member* each : pick_remote_members(table)) {
+    for (const tracked_member* target : pick_remote_members(table)) {
         table.m_remote_bytes -= static_cast<double>(filler.m_bytes);
-        send(each->m_member.m_udp, news_packet, out);
+        send(target->m_member.m_udp, update, out);
     }
 }
 
-void forward_news(membership_table& table, const packet& received, std::vector<member> rumours,
-                  time_point now, actions& out) {
-    packet news = make_packet(table, packet_kind::rumour, {});
-    for (const suspension& each : received.m_suspensions) {
-        if (learn_fact(table, fact_hash(each))) {
-            news.m_suspensions.push_back(each);
+void forward_rumours(membership_table& table, const packet& received, std::vector<member> rumours,
+                     time_point now, actions& out) {
+    packet forwarded = make_packet(table, packet_kind::rumour, {});
+    for (const suspension& suspended : received.m_suspensions) {
+        if (remember_fact(table, fact_hash(suspended))) {
+            forwarded.m_suspensions.push_back(suspended);
         }
     }
-    for (const move_record& each : received.m_records) {
-        if (learn_fact(table, fact_hash(each))) {
-            news.m_records.push_back(each);
+    for (const move_record& record : received.m_records) {
+        if (remember_fact(table, fact_hash(record))) {
+            forwarded.m_records.push_back(record);
         }
     }
-    const bool facts = !news.m_suspensions.empty() || !news.m_records.empty();
-    if (facts) {
+    const bool has_facts = !forwarded.m_suspensions.empty() || !forwarded.m_records.empty();
+    if (has_facts) {
         membership_action action;
-        action.m_kind = membership_action::kind::suspension_heard;
+        action.m_kind = membership_action::kind::facts_received;
         action.m_instance = received.m_sender;
-        action.m_packet = news;
+        action.m_packet = forwarded;
         out.push_back(std::move(action));
     }
     if (!rumours.empty() && !take_token(table, table.m_rumour_tokens, now)) {
         rumours.clear();
     }
-    if (!facts && rumours.empty()) {
+    if (!has_facts && rumours.empty()) {
         return;
     }
-    packet_filler filler = start_filling(news);
-    for (member& each : rumours) {
-        add_entry(filler, entry_to_send(each));
+    packet_filler filler = start_filling(forwarded);
+    for (member& entry : rumours) {
+        add_entry(filler, entry_to_send(entry));
     }
-    send_rumour(table, news, reach::nearby, received.m_sender, now, out);
+    send_rumour(table, forwarded, gossip_scope::local_group, received.m_sender, now, out);
 }
 
 } // namespace swim
@@ -223,8 +225,8 @@
     }
     table.m_announced = table.m_self;
     if (urgent) {
-        send_rumour(table, make_packet(table, packet_kind::rumour, {}), reach::everyone, {}, now,
-                    out);
+        send_rumour(table, make_packet(table, packet_kind::rumour, {}),
+                    gossip_scope::all_data_centres, {}, now, out);
     }
     return out;
 }
@@ -238,24 +240,24 @@
     return out;
 }
 
-std::vector<membership_action> membership_spread(membership_table& table,
-                                                 std::span<const suspension> suspensions,
-                                                 std::span<const move_record> records,
-                                                 time_point now) {
+std::vector<membership_action> membership_spread_facts(membership_table& table,
+                                                       std::span<const suspension> suspensions,
+                                                       std::span<const move_record> records,
+                                                       time_point now) {
     actions out;
     packet rumour = make_packet(table, packet_kind::rumour, {});
     const std::size_t empty = estimated_packet_bytes(rumour);
     std::size_t bytes = empty;
     const auto flush = [&] {
         if (bytes > empty) {
-            send_rumour(table, rumour, reach::everyone, {}, now, out);
+            send_rumour(table, rumour, gossip_scope::all_data_centres, {}, now, out);
             rumour.m_suspensions.clear();
             rumour.m_records.clear();
             bytes = empty;
         }
     };
     // A fact too large for any packet is left to the comparison of digests.
-    const auto make_room = [&](std::size_t size) {
+    const auto reserve_bytes = [&](std::size_t size) {
         if (empty + size > max_packet_bytes) {
             return false;
         }
@@ -265,14 +267,15 @@
         bytes += size;
         return true;
     };
-    for (const suspension& each : suspensions) {
-        if (learn_fact(table, fact_hash(each)) && make_room(suspension_bytes(each))) {
-            rumour.m_suspensions.push_back(each);
+    for (const suspension& suspended : suspensions) {
+        if (remember_fact(table, fact_hash(suspended)) &&
+            reserve_bytes(suspension_bytes(suspended))) {
+            rumour.m_suspensions.push_back(suspended);
         }
     }
-    for (const move_record& each : records) {
-        if (learn_fact(table, fact_hash(each)) && make_room(record_bytes(each))) {
-            rumour.m_records.push_back(each);
+    for (const move_record& record : records) {
+        if (remember_fact(table, fact_hash(record)) && reserve_bytes(record_bytes(record))) {
+            rumour.m_records.push_back(record);
         }
     }
     flush();
--- a/src/decide/membership_rumours.hpp
+++ b/src/decide/membership_rumours.hpp
@@ -19,8 +19,8 @@
 
 // Sends the rumour to the fanout nearby, but for one member, and, if it is for everyone, to one
 // member of each other data centre. The rest of the packets nearby carries owed updates.
-void send_rumour(membership_table& table, const packet& rumour, reach to, std::string_view except,
-                 time_point now, actions& out);
+void send_rumour(membership_table& table, const packet& rumour, gossip_scope scope,
+                 std::string_view excluded, time_point now, actions& out);
 
 // Announces the own entry to the fanout at once and with the next packets.
 void announce_self(membership_table& table, time_point now, actions& out);
@@ -33,7 +33,7 @@
 void gossip_remote(membership_table& table, time_point now, actions& out);
 
 // Forwards new facts and the given member rumours of a packet once, and reports new facts.
-void forward_news(membership_table& table, const packet& received, std::vector<member> rumours,
-                  time_point now, actions& out);
+void forward_rumours(membership_table& table, const packet& received, std::vector<member> rumours,
+                     time_point now, actions& out);
 
 } // namespace caraway::swim
--- a/src/decide/membership_table.cpp
+++ b/src/decide/membership_table.cpp
@@ -18,7 +18,7 @@
 constexpr double suspicion_intervals_per_decade = 3.0;
 // A suspicion that this node only heard of waits this many times longer than one of its own: by
 // then the accuser's verdict or the refutation has arrived.
-constexpr double hearsay_factor = 2.0;
+constexpr double received_suspicion_factor = 2.0;
 // Upper bound of the local health, so that a slow observer still notices dead members: its timeouts
 // grow at most ninefold.
 constexpr std::uint32_t max_local_health = 8;
@@ -44,23 +44,24 @@
 }
 
 // Begins or ends a loss with the state that the member enters.
-void note_loss(const membership_table& table, tracked_member& tracked, member_state state,
-               time_point now) {
+void update_losses(const membership_table& table, tracked_member& tracked, member_state state,
+                   time_point now) {
     std::vector<loss_episode>& losses = tracked.m_losses;
     const std::uint64_t now_ms = wall_ms(table, now);
     const bool running = !losses.empty() && losses.back().m_until_ms == 0;
-    if (!is_lost(state)) {
+    if (!is_suspect_or_dead(state)) {
         if (running) {
             losses.back().m_until_ms = now_ms;
         }
         tracked.m_member.m_lost_ms = 0;
         return;
     }
-    const std::uint64_t heard = tracked.m_member.m_lost_ms;
+    const std::uint64_t received_lost_ms = tracked.m_member.m_lost_ms;
     if (!running) {
-        const auto kept = static_cast<std::uint64_t>(table.m_options.m_dead_retention.count());
-        std::erase_if(losses, [now_ms, kept](const loss_episode& each) {
-            return each.m_until_ms + kept < now_ms;
+        const auto retention_ms =
+            static_cast<std::uint64_t>(table.m_options.m_dead_retention.count());
+        std::erase_if(losses, [now_ms, retention_ms](const loss_episode& episode) {
+            return episode.m_until_ms + retention_ms < now_ms;
         });
         if (losses.size() >= max_losses) {
             losses[1].m_from_ms = losses[0].m_from_ms;
@@ -69,7 +70,7 @@
         losses.push_back({now_ms, 0});
     }
     tracked.m_member.m_lost_ms = losses.back().m_from_ms;
-    lower_loss(tracked, heard);
+    lower_loss_start(tracked, received_lost_ms);
 }
 
 // Puts the state in force together with the timers, counters and indices that depend on it. The
@@ -77,17 +78,17 @@
 void enter_state(membership_table& table, tracked_member& tracked, member_state state,
                  time_point now) {
     const std::string& name = tracked.m_member.m_instance;
-    note_loss(table, tracked, state, now);
+    update_losses(table, tracked, state, now);
     tracked.m_member.m_state = state;
     if (is_live(state)) {
         tracked.m_gone_since.reset();
-        tracked.m_forgotten = false;
-        add_to_group(table, tracked);
+        tracked.m_is_tombstone = false;
+        add_to_probe_order(table, tracked);
     }
-    tracked.m_accused = false;
+    tracked.m_suspected_locally = false;
     if (state == member_state::suspect) {
         tracked.m_suspect_since = now;
-        tracked.m_suspect_until = now + scaled(suspicion_time(table), hearsay_factor);
+        tracked.m_suspect_until = now + scaled(suspicion_time(table), received_suspicion_factor);
         table.m_timers.emplace(*tracked.m_suspect_until, name);
     } else {
         tracked.m_suspect_since.reset();
@@ -112,11 +113,11 @@
     return value.m_udp.m_port != 0;
 }
 
-double decades(const membership_table& table) {
+double log10_live_members(const membership_table& table) {
     return std::max(1.0, std::log10(static_cast<double>(table.m_live) + 2.0));
 }
 
-milliseconds lengthened(const membership_table& table, milliseconds value) {
+milliseconds scaled_by_local_health(const membership_table& table, milliseconds value) {
     return value * (1 + table.m_local_health);
 }
 
@@ -125,8 +126,8 @@
 }
 
 milliseconds suspicion_time(const membership_table& table) {
-    return scaled(lengthened(table, table.m_options.m_probe_interval),
-                  suspicion_intervals_per_decade * decades(table));
+    return scaled(scaled_by_local_health(table, table.m_options.m_probe_interval),
+                  suspicion_intervals_per_decade * log10_live_members(table));
 }
 
 tracked_member* find_tracked(membership_table& table, std::string_view instance) {
@@ -138,17 +139,17 @@
     return static_cast<std::uint32_t>(hash_bytes(instance) % member_bucket_count);
 }
 
-void toggle_bucket(membership_table& table, const tracked_member& tracked) {
+void toggle_bucket_hash(membership_table& table, const tracked_member& tracked) {
     if (is_live(tracked.m_member.m_state)) {
         table.m_bucket_hashes.at(tracked.m_bucket) ^= entry_hash(tracked.m_member);
     }
 }
 
-bool is_lost(member_state state) {
+bool is_suspect_or_dead(member_state state) {
     return state == member_state::suspect || state == member_state::dead;
 }
 
-void lower_loss(tracked_member& tracked, std::uint64_t lost_ms) {
+void lower_loss_start(tracked_member& tracked, std::uint64_t lost_ms) {
     if (lost_ms == 0 || tracked.m_losses.empty() || tracked.m_losses.back().m_until_ms != 0) {
         return;
     }
@@ -157,17 +158,17 @@
     tracked.m_member.m_lost_ms = running.m_from_ms;
 }
 
-void set_entry(membership_table& table, tracked_member& tracked, member_state state,
-               time_point now) {
+void change_state(membership_table& table, tracked_member& tracked, member_state state,
+                  time_point now) {
     const bool was_live = is_live(tracked.m_member.m_state);
     const bool was_dead = tracked.m_counted_dead;
-    toggle_bucket(table, tracked);
+    toggle_bucket_hash(table, tracked);
     enter_state(table, tracked, state, now);
-    tracked.m_counted_dead = state == member_state::dead && !tracked.m_forgotten;
+    tracked.m_counted_dead = state == member_state::dead && !tracked.m_is_tombstone;
     table.m_dead += (tracked.m_counted_dead ? 1U : 0U) - (was_dead ? 1U : 0U);
-    toggle_bucket(table, tracked);
+    toggle_bucket_hash(table, tracked);
     if (tracked.m_member.m_data_centre == table.m_self.m_data_centre) {
-        table.m_group_changed = true;
+        table.m_group_outdated = true;
     }
     const bool live = is_live(state);
     if (live && !was_live) {
@@ -177,7 +178,7 @@
     }
 }
 
-void report_change(std::string_view instance, actions& out) {
+void report_member_change(std::string_view instance, actions& out) {
     membership_action action;
     action.m_kind = membership_action::kind::member_changed;
     action.m_instance = instance;
@@ -207,7 +208,8 @@
 
 const tracked_member* find_member(const membership_table& table, std::string_view instance) {
     const auto found = table.m_members.find(instance);
-    return found == table.m_members.end() || found->second.m_forgotten ? nullptr : &found->second;
+    return found == table.m_members.end() || found->second.m_is_tombstone ? nullptr
+                                                                          : &found->second;
 }
 
 std::uint64_t highest_version_of(const membership_table& table, std::string_view instance) {
@@ -226,9 +228,9 @@
 std::vector<member> members_in_buckets(const membership_table& table,
                                        std::span<const std::uint32_t> buckets) {
     std::array<bool, member_bucket_count> wanted{};
-    for (const std::uint32_t each : buckets) {
-        if (each < member_bucket_count) {
-            wanted.at(each) = true;
+    for (const std::uint32_t bucket : buckets) {
+        if (bucket < member_bucket_count) {
+            wanted.at(bucket) = true;
         }
     }
     std::vector<member> entries;
@@ -236,7 +238,7 @@
         entries.push_back(table.m_self);
     }
     for (const auto& [name, tracked] : table.m_members) {
-        if (wanted.at(tracked.m_bucket) && !tracked.m_forgotten) {
+        if (wanted.at(tracked.m_bucket) && !tracked.m_is_tombstone) {
             entries.push_back(tracked.m_member);
         }
     }
--- a/src/decide/membership_table.hpp
+++ b/src/decide/membership_table.hpp
@@ -22,10 +22,10 @@
 
 // The order of magnitude of the live members, at least 1; rumours need a number of rounds that
 // grows with it.
-double decades(const membership_table& table);
+double log10_live_members(const membership_table& table);
 
 // A time limit of this node's own probes, longer while its local health is bad.
-milliseconds lengthened(const membership_table& table, milliseconds value);
+milliseconds scaled_by_local_health(const membership_table& table, milliseconds value);
 
 // Notes a sign that this node itself is slow or cut off.
 void worsen_local_health(membership_table& table);
@@ -39,19 +39,19 @@
 std::uint32_t bucket_of(std::string_view instance);
 
 // Adds or removes the entry's part of its bucket hash; called in pairs around every change.
-void toggle_bucket(membership_table& table, const tracked_member& tracked);
+void toggle_bucket_hash(membership_table& table, const tracked_member& tracked);
 
 // Whether a member in this state can't be reached and has not left.
-bool is_lost(member_state state);
+bool is_suspect_or_dead(member_state state);
 
 // Lowers the start of a running loss to one heard from others.
-void lower_loss(tracked_member& tracked, std::uint64_t lost_ms);
+void lower_loss_start(tracked_member& tracked, std::uint64_t lost_ms);
 
 // Changes the state of an entry, with all that depends on it.
-void set_entry(membership_table& table, tracked_member& tracked, member_state state,
-               time_point now);
+void change_state(membership_table& table, tracked_member& tracked, member_state state,
+                  time_point now);
 
 // Tells the adapter that the entry of the instance has changed.
-void report_change(std::string_view instance, actions& out);
+void report_member_change(std::string_view instance, actions& out);
 
 } // namespace caraway::swim
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -139,13 +139,13 @@
             state.m_snapshot_dirty = true;
             note_member_change(state, action.m_instance);
             break;
-        case membership_action::kind::version_heard:
+        case membership_action::kind::version_reported:
             hear_version(state, action.m_instance, action.m_config_version);
             break;
         case membership_action::kind::facts_differ:
             exchange_facts(state, action.m_instance, [] {});
             break;
-        case membership_action::kind::suspension_heard:
+        case membership_action::kind::facts_received:
             learn_facts(state, action.m_packet.m_suspensions, action.m_packet.m_records, true);
             break;
         case membership_action::kind::compare_tables:
@@ -260,8 +260,8 @@
     state.m_members.m_facts_digest = facts_digest(state.m_facts);
     state.m_snapshot_dirty = true;
     if (spread) {
-        perform(state,
-                membership_spread(state.m_members, new_suspensions, new_records, state.now()));
+        perform(state, membership_spread_facts(state.m_members, new_suspensions, new_records,
+                                               state.now()));
     }
 }
 
--- a/src/node/join.cpp
+++ b/src/node/join.cpp
@@ -123,7 +123,7 @@
     join_state& join = state.m_join;
     operator_watch& watch = state.m_operator;
     const bool first_list = join.m_listed_at == time_point{};
-    const std::string own_slot = entry_slot(state.m_settings.m_instance);
+    const std::string own_slot = slot_of(state.m_settings.m_instance);
     join.m_listed_at = state.now();
     join.m_entry_points.clear();
     const auto spread = static_cast<std::uint64_t>(start_spread_per_entry.count()) * entries.size();
@@ -154,7 +154,7 @@
     const join_state& join = state.m_join;
     const bool near_ones_failed = join.m_failures > near_attempts;
     const std::string_view near = near_ones_failed ? "" : state.m_settings.m_data_centre;
-    const std::vector<ip_endpoint> named = near_entry_points(join.m_entry_points, near);
+    const std::vector<ip_endpoint> named = join_entry_points(join.m_entry_points, near);
     targets.insert(targets.end(), named.begin(), named.end());
     join_through_some(state, std::move(targets));
 }
@@ -172,7 +172,7 @@
     watch.m_unknown_slots = unknown_slots(state.m_members, state.m_join.m_entry_points);
     for (const std::string& slot : watch.m_unknown_slots) {
         if (std::find(before.begin(), before.end(), slot) != before.end()) {
-            write_entry(state, slot, entry_for_slot(state.m_members, slot).m_bulk);
+            write_entry(state, slot, member_for_slot(state.m_members, slot).m_bulk);
         }
     }
 }
@@ -210,7 +210,7 @@
         }
         take_entry_points(state, reply.m_entries);
         if (!state.m_operator.m_entry_written) {
-            write_entry(state, entry_slot(state.m_settings.m_instance),
+            write_entry(state, slot_of(state.m_settings.m_instance),
                         state.m_settings.m_announce_bulk);
         }
         ask_entry_points(state);
@@ -326,7 +326,7 @@
     }
     reply.m_members.push_back(state.m_members.m_self);
     for (const auto& [name, tracked] : state.m_members.m_members) {
-        if (!tracked.m_forgotten) {
+        if (!tracked.m_is_tombstone) {
             reply.m_members.push_back(tracked.m_member);
         }
     }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -74,7 +74,7 @@
     options.m_probe_interval = m_settings.m_probe_interval;
     options.m_probe_timeout = m_settings.m_probe_timeout;
     if (reads_operator_items()) {
-        options.m_complete_time = member_complete_time;
+        options.m_initial_comparison_time = member_complete_time;
     }
     m_members = make_membership(make_self(m_settings, clock), options, m_random(), clock.now());
     m_distribution = begin_distribution(m_settings, m_random(), clock.now());
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -209,7 +209,7 @@
     const auto reaching = [&beside](const member& m) { return beside(m) && !m.m_store_lost; };
     // A node that knows nobody yet would take itself for the first of its data centre.
     const bool settled = state.m_join.m_done || now >= watch.m_begin_at + alone_time;
-    const std::size_t watchers = watchers_in_each(state.m_members.m_groups.size());
+    const std::size_t watchers = watchers_per_data_centre(state.m_members.m_groups.size());
     const bool candidate =
         settled && (is_candidate(state, role, watchers, beside) ||
                     (!self.m_store_lost && is_candidate(state, role, watchers, reaching)));
--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -145,7 +145,7 @@
     self.m_state = input.m_draining ? member_state::left : member_state::alive;
     add_member(*snapshot, self, members.m_self, counters);
     for (const auto& [name, tracked] : members.m_members) {
-        if (!tracked.m_forgotten) {
+        if (!tracked.m_is_tombstone) {
             add_member(*snapshot, tracked.m_member, members.m_self, counters);
             add_departure(*snapshot, tracked, input);
             add_losses(*snapshot, tracked, input);
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -251,7 +251,7 @@
             run_for(schedule, milliseconds(schedule.m_random.below(200)));
         }
         run_for(schedule, std::chrono::seconds(20));
-        BOOST_TEST(schedule.m_fell == 0U, "CARAWAY_SEED=" << seed);
+        BOOST_TEST(schedule.m_downgrades == 0U, "CARAWAY_SEED=" << seed);
         BOOST_TEST(schedule.m_nodes[0].m_config.m_applied == 5U, "CARAWAY_SEED=" << seed);
         split = false;
         run_for(schedule, std::chrono::seconds(20));
@@ -307,7 +307,7 @@
         const auto took = run_until(schedule, std::chrono::seconds(18),
                                     [&] { return all_applied(schedule, schedule.m_store); });
         BOOST_TEST(took.has_value(), "CARAWAY_SEED=" << seed);
-        BOOST_TEST(schedule.m_fell == 0U, "CARAWAY_SEED=" << seed);
+        BOOST_TEST(schedule.m_downgrades == 0U, "CARAWAY_SEED=" << seed);
     }
 }
 
--- a/tests/entry_points_test.cpp
+++ b/tests/entry_points_test.cpp
@@ -23,25 +23,25 @@
 BOOST_AUTO_TEST_CASE(slots_do_not_grow_with_the_members) {
     std::set<std::string> slots;
     for (std::size_t index = 0; index < 14'000; ++index) {
-        slots.insert(entry_slot(node_name(index)));
+        slots.insert(slot_of(node_name(index)));
     }
     BOOST_TEST(slots.size() == 8U);
 }
 
 // Guards against a herd of joining nodes that loads other data centres, and against a small data
 // centre whose few members are all gone.
-BOOST_AUTO_TEST_CASE(the_own_data_centre_comes_first_where_it_has_many) {
+BOOST_AUTO_TEST_CASE(own_data_centre_is_preferred_when_it_has_enough) {
     std::vector<entry_point> all;
     for (std::size_t index = 0; index < 24; ++index) {
         all.push_back(entry_of(index, std::to_string(index / 4)));
     }
-    BOOST_TEST(near_entry_points(all, "dc-1").size() == 6U);
-    BOOST_TEST(near_entry_points(std::span(all).first(16), "dc-1").size() == 16U);
-    BOOST_TEST(near_entry_points(all, "").size() == 24U);
+    BOOST_TEST(join_entry_points(all, "dc-1").size() == 6U);
+    BOOST_TEST(join_entry_points(std::span(all).first(16), "dc-1").size() == 16U);
+    BOOST_TEST(join_entry_points(all, "").size() == 24U);
 }
 
 // Guards against nodes that started together and know nobody of another group.
-BOOST_AUTO_TEST_CASE(unknown_entry_points_are_named) {
+BOOST_AUTO_TEST_CASE(unknown_entry_points_are_returned) {
     node_schedule schedule = make_schedule(4, 1, milliseconds(1), 0);
     const std::vector<entry_point> all{entry_of(1, "0"), entry_of(2, "0"), entry_of(7, "1")};
     membership_table& table = schedule.m_nodes[0].m_members;
@@ -56,19 +56,19 @@
     const std::vector<entry_point> all{entry_of(4, "0"), entry_of(100, "1"), entry_of(101, "2")};
     const membership_table& first = schedule.m_nodes[0].m_members;
     BOOST_TEST((unknown_slots(first, all) == std::vector<std::string>{"1"}));
-    const member& named = entry_for_slot(first, "1");
+    const member& named = member_for_slot(first, "1");
     BOOST_TEST(named.m_data_centre == "dc-0");
-    BOOST_TEST(named.m_instance == entry_for_slot(schedule.m_nodes[8].m_members, "1").m_instance);
+    BOOST_TEST(named.m_instance == member_for_slot(schedule.m_nodes[8].m_members, "1").m_instance);
 }
 
 // Guards against calls to the store that grow with the data centres, and against so few watchers
 // that the store turns all of them away.
-BOOST_AUTO_TEST_CASE(watchers_are_few_and_never_one) {
-    BOOST_TEST(watchers_in_each(1) == 6U);
-    BOOST_TEST(watchers_in_each(3) == 2U);
-    BOOST_TEST(watchers_in_each(4) == 2U);
-    BOOST_TEST(watchers_in_each(6) == 1U);
-    BOOST_TEST(watchers_in_each(8) == 1U);
+BOOST_AUTO_TEST_CASE(watchers_per_data_centre_shrink_with_their_number) {
+    BOOST_TEST(watchers_per_data_centre(1) == 6U);
+    BOOST_TEST(watchers_per_data_centre(3) == 2U);
+    BOOST_TEST(watchers_per_data_centre(4) == 2U);
+    BOOST_TEST(watchers_per_data_centre(6) == 1U);
+    BOOST_TEST(watchers_per_data_centre(8) == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -25,16 +25,16 @@
             continue;
         }
         for (const scheduled_node& other : schedule.m_nodes) {
-            const member& truth = other.m_members.m_self;
+            const member& actual = other.m_members.m_self;
             if (&other == &node) {
                 continue;
             }
-            const tracked_member* found = find_member(node.m_members, truth.m_instance);
+            const tracked_member* found = find_member(node.m_members, actual.m_instance);
             const bool alive = found != nullptr && found->m_member.m_state == member_state::alive &&
-                               found->m_member.m_incarnation == truth.m_incarnation;
+                               found->m_member.m_incarnation == actual.m_incarnation;
             const bool live = found != nullptr && found->m_member.m_state < member_state::dead;
-            const bool here = other.m_up && truth.m_state == member_state::alive;
-            if (here ? !alive : live) {
+            const bool expected_alive = other.m_up && actual.m_state == member_state::alive;
+            if (expected_alive ? !alive : live) {
                 return false;
             }
         }
@@ -46,8 +46,8 @@
 void check_indices(const membership_table& table) {
     membership_table fresh = make_membership(table.m_self, {}, 1, table.m_last_tick);
     std::vector<member> live;
-    for (const member* each : live_members(table)) {
-        live.push_back(*each);
+    for (const member* other : live_members(table)) {
+        live.push_back(*other);
     }
     membership_merge(fresh, live, table.m_last_tick);
     BOOST_TEST(live_member_count(table) == live.size());
@@ -69,7 +69,7 @@
     };
 }
 
-member hearsay(member_state state, std::uint64_t incarnation) {
+member entry_with_state(member_state state, std::uint64_t incarnation) {
     member entry = node_entry(9, incarnation);
     entry.m_state = state;
     entry.m_config_version = incarnation;
@@ -82,7 +82,7 @@
 
 // Guards against a side of a partition that forgets the other one, and against a node that joins
 // meanwhile and doesn't learn when the loss began.
-BOOST_AUTO_TEST_CASE(a_mass_loss_is_remembered_and_passed_on) {
+BOOST_AUTO_TEST_CASE(mass_loss_is_retained_and_shared) {
     constexpr std::size_t count = 10;
     node_schedule schedule = make_schedule(count, 1, milliseconds(2), 0);
     for (scheduled_node& node : schedule.m_nodes) {
@@ -145,7 +145,7 @@
 
 // Guards against a slow observer that has healthy members declared dead, and against one that is
 // declared dead itself although it answers.
-BOOST_AUTO_TEST_CASE(slow_observer_accuses_nobody_to_death) {
+BOOST_AUTO_TEST_CASE(slow_observer_declares_nobody_dead) {
     for (const std::uint64_t seed : schedule_seeds(10)) {
         node_schedule schedule = make_schedule(20, seed, milliseconds(2), 0.03);
         const auto usual = schedule.m_link;
@@ -172,21 +172,21 @@
         schedule.m_link = [usual = schedule.m_link](std::size_t from, std::size_t to) {
             return from == 0 || to == 0 ? milliseconds(700) : usual(from, to);
         };
-        std::size_t accused_seconds = 0;
+        std::size_t suspected_seconds = 0;
         run_for(schedule, seconds(20));
         for (int second = 0; second < 300; ++second) {
             run_for(schedule, seconds(1));
             for (const auto& [name, tracked] : schedule.m_nodes[0].m_members.m_members) {
-                accused_seconds += tracked.m_accused ? 1 : 0;
+                suspected_seconds += tracked.m_suspected_locally ? 1 : 0;
             }
         }
-        BOOST_TEST(accused_seconds < 60U, "CARAWAY_SEED=" << seed);
+        BOOST_TEST(suspected_seconds < 60U, "CARAWAY_SEED=" << seed);
     }
 }
 
 // Guards against a process that was stopped for a while and takes its own pause for the death of
 // the others.
-BOOST_AUTO_TEST_CASE(paused_process_accuses_nobody) {
+BOOST_AUTO_TEST_CASE(paused_process_suspects_nobody) {
     for (const std::uint64_t seed : schedule_seeds(40)) {
         node_schedule schedule = make_schedule(10, seed, milliseconds(2), 0.0);
         std::size_t changes = 0;
@@ -194,9 +194,9 @@
         schedule.m_on_change = [&](std::size_t observer, const std::string& instance) {
             const tracked_member* found =
                 find_member(schedule.m_nodes[observer].m_members, instance);
-            const bool accused = found->m_member.m_state == member_state::suspect ||
-                                 found->m_member.m_state == member_state::dead;
-            changes += accused && instance != node_name(0) ? 1 : 0;
+            const bool suspected = found->m_member.m_state == member_state::suspect ||
+                                   found->m_member.m_state == member_state::dead;
+            changes += suspected && instance != node_name(0) ? 1 : 0;
         };
         run_for(schedule, milliseconds(schedule.m_random.below(2'000)));
         // The ack of a ping arrives during the pause.
@@ -215,19 +215,20 @@
 
 // Guards against leaves that are learnt too late (target 3 s), deaths that are never noticed, and
 // members that are missed by rumours for long. Tables are not exchanged here.
-BOOST_AUTO_TEST_CASE(leave_and_death_become_known_everywhere) {
+BOOST_AUTO_TEST_CASE(leave_and_death_reach_every_member) {
     for (const std::uint64_t seed : schedule_seeds(20)) {
         node_schedule schedule = make_schedule(60, seed, milliseconds(2), 0.05);
         schedule.m_exchange = false;
-        std::size_t too_small = 0; // estimates
+        std::size_t underestimated = 0; // estimates
         std::size_t seen = 0;
-        schedule.m_on_send = [&too_small, &seen](const packet& value) {
+        schedule.m_on_send = [&underestimated, &seen](const packet& value) {
             if (seen++ % 50 == 0) {
-                too_small += encode_packet(value).size() > estimated_packet_bytes(value) ? 1 : 0;
+                underestimated +=
+                    encode_packet(value).size() > estimated_packet_bytes(value) ? 1 : 0;
             }
         };
         run_for(schedule, seconds(30));
-        carry_out(schedule, 0, membership_leave(schedule.m_nodes[0].m_members, schedule.m_now));
+        run_actions(schedule, 0, membership_leave(schedule.m_nodes[0].m_members, schedule.m_now));
         const std::string leaver = node_name(0);
         run_for(schedule, milliseconds(100));
         const auto informed = std::count_if(
@@ -236,20 +237,21 @@
                 return find_member(node.m_members, leaver)->m_member.m_state == member_state::left;
             });
         BOOST_TEST(informed >= 45, "CARAWAY_SEED=" << seed);
-        const auto leave = run_until(
-            schedule, seconds(3), [&schedule] { return all_see(schedule, 0, member_state::left); });
+        const auto leave = run_until(schedule, seconds(3), [&schedule] {
+            return all_hold_state(schedule, 0, member_state::left);
+        });
         BOOST_TEST(leave.has_value(), "CARAWAY_SEED=" << seed);
         for (std::size_t index = 0; index < 4; ++index) {
             schedule.m_nodes[index].m_up = false;
         }
         const auto death = run_until(schedule, seconds(25), [&schedule] {
-            return all_see(schedule, 1, member_state::dead) &&
-                   all_see(schedule, 2, member_state::dead) &&
-                   all_see(schedule, 3, member_state::dead);
+            return all_hold_state(schedule, 1, member_state::dead) &&
+                   all_hold_state(schedule, 2, member_state::dead) &&
+                   all_hold_state(schedule, 3, member_state::dead);
         });
         BOOST_TEST(death.has_value(), "CARAWAY_SEED=" << seed);
         BOOST_TEST(schedule.m_largest <= max_packet_bytes);
-        BOOST_TEST(too_small == 0U);
+        BOOST_TEST(underestimated == 0U);
     }
 }
 
@@ -270,11 +272,11 @@
             } else if (schedule.m_random.below(2) == 0) {
                 node.m_up = false;
             } else if (schedule.m_random.below(2) == 0) {
-                carry_out(schedule, chosen, membership_leave(node.m_members, schedule.m_now));
+                run_actions(schedule, chosen, membership_leave(node.m_members, schedule.m_now));
             } else {
                 node.m_members.m_self.m_ready = !node.m_members.m_self.m_ready;
-                carry_out(schedule, chosen,
-                          membership_update_self(node.m_members, true, schedule.m_now));
+                run_actions(schedule, chosen,
+                            membership_update_self(node.m_members, true, schedule.m_now));
             }
         }
         // A node whose join request got lost knows nobody and asks again.
@@ -300,14 +302,14 @@
         random_source random(seed);
         membership_table table = make_membership(node_entry(0, 1), {}, seed, now);
         const member_state gone = random.below(2) == 0 ? member_state::dead : member_state::left;
-        const std::vector<member> first{hearsay(gone, 5)};
+        const std::vector<member> first{entry_with_state(gone, 5)};
         membership_merge(table, first, now);
         for (int i = 0; i < 10; ++i) {
             packet value;
             value.m_kind = packet_kind::rumour;
             value.m_sender = node_name(1);
             value.m_updates.push_back(
-                hearsay(static_cast<member_state>(random.below(2)), random.below(6)));
+                entry_with_state(static_cast<member_state>(random.below(2)), random.below(6)));
             if (random.below(2) == 0) {
                 membership_merge(table, value.m_updates, now);
             } else {
@@ -317,7 +319,7 @@
                        "CARAWAY_SEED=" << seed);
         }
         // A restart replaces it, but the version of the predecessor is remembered.
-        member restarted = hearsay(member_state::alive, 6);
+        member restarted = entry_with_state(member_state::alive, 6);
         restarted.m_config_version = 0;
         membership_merge(table, std::span(&restarted, 1), now);
         BOOST_TEST((find_member(table, node_name(9))->m_member.m_state == member_state::alive));
@@ -328,7 +330,7 @@
 
 // Guards against a death that rests on hearsay or on a single lost packet: before a member is
 // declared dead, this node has pinged it in vain several times with the accusation.
-BOOST_AUTO_TEST_CASE(nobody_is_dead_without_own_pings) {
+BOOST_AUTO_TEST_CASE(member_is_declared_dead_only_after_own_pings) {
     for (const std::uint64_t seed : schedule_seeds(100)) {
         time_point now{std::chrono::hours(1)};
         membership_table table = make_membership(node_entry(0, 1), {}, seed, now);
@@ -339,7 +341,7 @@
         membership_merge(table, others, now);
         // A suspicion arrives in a packet, or a death in another node's table.
         const std::vector<member> claim{
-            hearsay(seed % 2 == 0 ? member_state::suspect : member_state::dead, 5)};
+            entry_with_state(seed % 2 == 0 ? member_state::suspect : member_state::dead, 5)};
         if (seed % 2 == 0) {
             packet value;
             value.m_kind = packet_kind::rumour;
@@ -351,26 +353,26 @@
             membership_merge(table, claim, now);
             BOOST_TEST((find_member(table, node_name(9))->m_member.m_state == member_state::alive));
         }
-        std::size_t accusations = 0;
+        std::size_t suspicion_pings = 0;
         const time_point end = now + seconds(60);
         while (find_member(table, node_name(9))->m_member.m_state != member_state::dead &&
                now < end) {
             now += milliseconds(50);
-            for (const membership_action& each : membership_tick(table, now)) {
-                const bool accuses =
-                    each.m_packet.m_kind == packet_kind::ping &&
-                    each.m_packet.m_target == node_name(9) &&
-                    std::any_of(each.m_packet.m_updates.begin(), each.m_packet.m_updates.end(),
+            for (const membership_action& action : membership_tick(table, now)) {
+                const bool reports_suspicion =
+                    action.m_packet.m_kind == packet_kind::ping &&
+                    action.m_packet.m_target == node_name(9) &&
+                    std::any_of(action.m_packet.m_updates.begin(), action.m_packet.m_updates.end(),
                                 [](const member& entry) {
                                     return entry.m_instance == node_name(9) &&
                                            entry.m_state != member_state::alive;
                                 });
-                accusations += accuses ? 1 : 0;
+                suspicion_pings += reports_suspicion ? 1 : 0;
             }
         }
         BOOST_TEST((find_member(table, node_name(9))->m_member.m_state == member_state::dead),
                    "CARAWAY_SEED=" << seed);
-        BOOST_TEST(accusations >= 2U, "CARAWAY_SEED=" << seed);
+        BOOST_TEST(suspicion_pings >= 2U, "CARAWAY_SEED=" << seed);
     }
 }
 
@@ -388,11 +390,11 @@
         value.m_kind = packet_kind::rumour;
         value.m_sender = node_name(1);
         value.m_incarnation = 1;
-        value.m_updates.push_back(hearsay(state, 3));
+        value.m_updates.push_back(entry_with_state(state, 3));
         std::size_t refutations = 0;
-        for (const membership_action& each :
+        for (const membership_action& action :
              membership_receive(table, value, others[1].m_udp, now)) {
-            for (const member& entry : each.m_packet.m_updates) {
+            for (const member& entry : action.m_packet.m_updates) {
                 refutations += entry.m_instance == node_name(9) && entry.m_incarnation == 4 &&
                                        entry.m_state == member_state::alive
                                    ? 1
@@ -407,7 +409,7 @@
 // Guards against traffic between data centres that grows with the square of the members: at rest
 // and after a change only the carriers of a data centre and the changed member itself send there,
 // and everyone knows the change in time all the same.
-BOOST_AUTO_TEST_CASE(news_crosses_data_centres_through_few_members) {
+BOOST_AUTO_TEST_CASE(updates_cross_data_centres_through_few_members) {
     constexpr std::size_t count = 120; // 30 in each of 4 data centres
     for (const std::uint64_t seed : schedule_seeds(5)) {
         node_schedule schedule = make_schedule(count, seed, milliseconds(2), 0.05);
@@ -428,44 +430,45 @@
         BOOST_TEST(senders <= 24U, "CARAWAY_SEED=" << seed << " senders " << senders);
         BOOST_TEST(crossed * 5 <= packets, "CARAWAY_SEED=" << seed);
 
-        carry_out(schedule, 5, membership_leave(schedule.m_nodes[5].m_members, schedule.m_now));
-        const auto took = run_until(
-            schedule, seconds(5), [&schedule] { return all_see(schedule, 5, member_state::left); });
+        run_actions(schedule, 5, membership_leave(schedule.m_nodes[5].m_members, schedule.m_now));
+        const auto took = run_until(schedule, seconds(5), [&schedule] {
+            return all_hold_state(schedule, 5, member_state::left);
+        });
         BOOST_TEST(took.has_value(), "CARAWAY_SEED=" << seed);
     }
 }
 
 // Guards against a data centre that hears nothing more when all of its carriers die at once, and
 // against members that are lost or come back without the other data centres knowing.
-BOOST_AUTO_TEST_CASE(loss_of_all_carriers_is_made_good) {
+BOOST_AUTO_TEST_CASE(loss_of_all_gateways_is_recovered) {
     constexpr std::size_t count = 80; // 20 in each of 4 data centres
     for (const std::uint64_t seed : schedule_seeds(5)) {
         node_schedule schedule = make_schedule(count, seed, milliseconds(2), 0.05);
         run_for(schedule, seconds(60));
-        std::set<std::size_t> carriers;
+        std::set<std::size_t> gateways;
         for (std::size_t i = 0; i < count; ++i) {
-            if (swim::is_carrier(schedule.m_nodes[i].m_members)) {
-                carriers.insert(i);
+            if (swim::is_gateway(schedule.m_nodes[i].m_members)) {
+                gateways.insert(i);
             }
         }
-        BOOST_TEST(carriers.size() >= 12U);
-        for (const std::size_t each : carriers) {
-            schedule.m_nodes[each].m_up = false;
+        BOOST_TEST(gateways.size() >= 12U);
+        for (const std::size_t index : gateways) {
+            schedule.m_nodes[index].m_up = false;
         }
         run_for(schedule, seconds(1));
         std::size_t leaver = 0;
-        while (carriers.contains(leaver)) {
+        while (gateways.contains(leaver)) {
             ++leaver;
         }
-        carry_out(schedule, leaver,
-                  membership_leave(schedule.m_nodes[leaver].m_members, schedule.m_now));
+        run_actions(schedule, leaver,
+                    membership_leave(schedule.m_nodes[leaver].m_members, schedule.m_now));
         const auto known = run_until(schedule, seconds(15), [&schedule, leaver] {
-            return all_see(schedule, leaver, member_state::left);
+            return all_hold_state(schedule, leaver, member_state::left);
         });
         BOOST_TEST(known.has_value(), "CARAWAY_SEED=" << seed);
-        const auto dead = run_until(schedule, seconds(60), [&schedule, &carriers] {
-            return std::all_of(carriers.begin(), carriers.end(), [&schedule](std::size_t each) {
-                return all_see(schedule, each, member_state::dead);
+        const auto dead = run_until(schedule, seconds(60), [&schedule, &gateways] {
+            return std::all_of(gateways.begin(), gateways.end(), [&schedule](std::size_t index) {
+                return all_hold_state(schedule, index, member_state::dead);
             });
         });
         BOOST_TEST(dead.has_value(), "CARAWAY_SEED=" << seed);
@@ -474,7 +477,7 @@
 
 // Guards against a data centre that is lost as a whole and stays alive in the others' tables, and
 // against one that comes back without being known again.
-BOOST_AUTO_TEST_CASE(loss_and_return_of_a_data_centre_become_known) {
+BOOST_AUTO_TEST_CASE(loss_and_return_of_a_data_centre_are_detected) {
     constexpr std::size_t count = 80;
     for (const std::uint64_t seed : schedule_seeds(3)) {
         node_schedule schedule = make_schedule(count, seed, milliseconds(2), 0.05);
@@ -484,7 +487,7 @@
         }
         const auto all_are = [&schedule](member_state state) {
             for (std::size_t i = 1; i < count; i += 4) {
-                if (!all_see(schedule, i, state)) {
+                if (!all_hold_state(schedule, i, state)) {
                     return false;
                 }
             }
@@ -521,12 +524,13 @@
         };
         join_suspension(node.m_facts, suspended);
         node.m_members.m_facts_digest = facts_digest(node.m_facts);
-        carry_out(schedule, 0,
-                  membership_spread(node.m_members, std::span(&suspended, 1), {}, schedule.m_now));
+        run_actions(
+            schedule, 0,
+            membership_spread_facts(node.m_members, std::span(&suspended, 1), {}, schedule.m_now));
         const auto took = run_until(schedule, seconds(3), [&schedule] {
             return std::all_of(
                 schedule.m_nodes.begin(), schedule.m_nodes.end(),
-                [](const scheduled_node& each) { return is_suspended(each.m_facts, "move-1"); });
+                [](const scheduled_node& other) { return is_suspended(other.m_facts, "move-1"); });
         });
         run_for(schedule, seconds(5));
         BOOST_TEST(took.has_value(), "CARAWAY_SEED=" << seed);
@@ -626,12 +630,12 @@
         std::optional<time_point> dead;
         while (!dead) {
             now += milliseconds(50);
-            for (const membership_action& each : membership_tick(table, now)) {
-                if (each.m_kind != membership_action::kind::member_changed) {
+            for (const membership_action& action : membership_tick(table, now)) {
+                if (action.m_kind != membership_action::kind::member_changed) {
                     continue;
                 }
                 suspected = suspected.value_or(now);
-                if (find_member(table, each.m_instance)->m_member.m_state == member_state::dead) {
+                if (find_member(table, action.m_instance)->m_member.m_state == member_state::dead) {
                     dead = now;
                 }
             }
--- a/tests/node_schedule.hpp
+++ b/tests/node_schedule.hpp
@@ -44,14 +44,14 @@
     time_point m_now{std::chrono::hours{1}};
     random_source m_random{1};
     link m_link;
-    link m_bulk;                 // for bulk requests; m_link when empty
-    bool m_exchange = true;      // compare tables when that is due
-    std::uint64_t m_store = 0;   // accepted version, 0 if none
-    std::uint64_t m_packets = 0; // sent, by all nodes
-    std::uint64_t m_rumours = 0; // of these, rumours
-    std::uint64_t m_bytes = 0;   // of these packets, estimated
-    std::size_t m_largest = 0;   // largest packet
-    std::uint64_t m_fell = 0;    // versions applied below an earlier one of the same name
+    link m_bulk;                    // for bulk requests; m_link when empty
+    bool m_exchange = true;         // compare tables when that is due
+    std::uint64_t m_store = 0;      // accepted version, 0 if none
+    std::uint64_t m_packets = 0;    // sent, by all nodes
+    std::uint64_t m_rumours = 0;    // of these, rumours
+    std::uint64_t m_bytes = 0;      // of these packets, estimated
+    std::size_t m_largest = 0;      // largest packet
+    std::uint64_t m_downgrades = 0; // versions applied below an earlier one of the same name
     std::function<void(std::size_t observer, const std::string& instance)> m_on_change;
     std::function<void(const packet&)> m_on_send;
 
@@ -108,9 +108,10 @@
     schedule.m_events.push({when, schedule.m_next_order++, 0, std::move(run)});
 }
 
-void carry_out(node_schedule& schedule, std::size_t index,
-               std::vector<distribution_action> actions);
-void carry_out(node_schedule& schedule, std::size_t index, std::vector<membership_action> actions);
+void run_actions(node_schedule& schedule, std::size_t index,
+                 std::vector<distribution_action> actions);
+void run_actions(node_schedule& schedule, std::size_t index,
+                 std::vector<membership_action> actions);
 void exchange_tables(node_schedule& schedule, std::size_t index, std::size_t other);
 
 inline std::optional<duration> bulk_delay(const node_schedule& schedule, std::size_t from,
@@ -131,70 +132,71 @@
            [to, from, sent](node_schedule& later) { deliver(later, to, from, sent); });
         return;
     }
-    carry_out(schedule, to, membership_receive(receiver.m_members, *sent, from, schedule.m_now));
+    run_actions(schedule, to, membership_receive(receiver.m_members, *sent, from, schedule.m_now));
 }
 
 // What the control loop does with the actions of the membership.
-inline void carry_out(node_schedule& schedule, std::size_t index,
-                      std::vector<membership_action> actions) {
+inline void run_actions(node_schedule& schedule, std::size_t index,
+                        std::vector<membership_action> actions) {
     using kind = membership_action::kind;
     scheduled_node& node = schedule.m_nodes[index];
-    for (membership_action& each : actions) {
-        switch (each.m_kind) {
+    for (membership_action& action : actions) {
+        switch (action.m_kind) {
         case kind::send: {
-            const std::size_t bytes = estimated_packet_bytes(each.m_packet);
+            const std::size_t bytes = estimated_packet_bytes(action.m_packet);
             ++schedule.m_packets;
-            schedule.m_rumours += each.m_packet.m_kind == packet_kind::rumour ? 1 : 0;
+            schedule.m_rumours += action.m_packet.m_kind == packet_kind::rumour ? 1 : 0;
             schedule.m_bytes += bytes;
             schedule.m_largest = std::max(schedule.m_largest, bytes);
             if (schedule.m_on_send) {
-                schedule.m_on_send(each.m_packet);
+                schedule.m_on_send(action.m_packet);
             }
-            const std::size_t to = node_index(each.m_to);
+            const std::size_t to = node_index(action.m_to);
             const auto delay = schedule.m_link(index, to);
             if (!delay || to >= schedule.m_nodes.size()) {
                 break;
             }
-            auto sent = std::make_shared<const packet>(std::move(each.m_packet));
+            auto sent = std::make_shared<const packet>(std::move(action.m_packet));
             const ip_endpoint from = node.m_members.m_self.m_udp;
             at(schedule, schedule.m_now + *delay,
                [to, from, sent](node_schedule& later) { deliver(later, to, from, sent); });
             break;
         }
         case kind::member_changed: {
-            const tracked_member* found = find_member(node.m_members, each.m_instance);
+            const tracked_member* found = find_member(node.m_members, action.m_instance);
             if (found == nullptr || found->m_member.m_state >= member_state::dead) {
-                distribution_gone(node.m_config, each.m_instance);
+                distribution_gone(node.m_config, action.m_instance);
             }
             if (schedule.m_on_change) {
-                schedule.m_on_change(index, each.m_instance);
+                schedule.m_on_change(index, action.m_instance);
             }
             break;
         }
-        case kind::version_heard:
-            carry_out(schedule, index,
-                      distribution_heard(node.m_config, each.m_instance, each.m_config_version,
-                                         live_member_count(node.m_members), schedule.m_now));
+        case kind::version_reported:
+            run_actions(schedule, index,
+                        distribution_heard(node.m_config, action.m_instance,
+                                           action.m_config_version,
+                                           live_member_count(node.m_members), schedule.m_now));
             break;
-        case kind::suspension_heard:
-            for (const suspension& heard : each.m_packet.m_suspensions) {
-                join_suspension(node.m_facts, heard);
+        case kind::facts_received:
+            for (const suspension& suspended : action.m_packet.m_suspensions) {
+                join_suspension(node.m_facts, suspended);
             }
-            for (const move_record& heard : each.m_packet.m_records) {
-                join_record(node.m_facts, heard);
+            for (const move_record& record : action.m_packet.m_records) {
+                join_record(node.m_facts, record);
             }
             node.m_members.m_facts_digest = facts_digest(node.m_facts);
             break;
         case kind::compare_tables:
             if (schedule.m_exchange) {
                 const std::size_t other =
-                    node_index(find_member(node.m_members, each.m_instance)->m_member.m_bulk);
+                    node_index(find_member(node.m_members, action.m_instance)->m_member.m_bulk);
                 at(schedule, schedule.m_now,
                    [index, other](node_schedule& later) { exchange_tables(later, index, other); });
             }
             break;
         case kind::facts_differ: {
-            const tracked_member* holder = find_member(node.m_members, each.m_instance);
+            const tracked_member* holder = find_member(node.m_members, action.m_instance);
             const std::size_t from = node_index(holder->m_member.m_bulk);
             const auto delay = bulk_delay(schedule, index, from);
             if (!delay) {
@@ -221,57 +223,58 @@
 }
 
 // What the control loop does with the actions of the distribution. Every text parses.
-inline void carry_out(node_schedule& schedule, std::size_t index,
-                      std::vector<distribution_action> actions) {
+inline void run_actions(node_schedule& schedule, std::size_t index,
+                        std::vector<distribution_action> actions) {
     using kind = distribution_action::kind;
     scheduled_node& node = schedule.m_nodes[index];
-    for (const distribution_action& each : actions) {
+    for (const distribution_action& action : actions) {
         const std::size_t live = live_member_count(node.m_members);
-        switch (each.m_kind) {
+        switch (action.m_kind) {
         case kind::fetch: {
-            const tracked_member* holder = find_member(node.m_members, each.m_instance);
+            const tracked_member* holder = find_member(node.m_members, action.m_instance);
             const std::size_t from =
                 holder == nullptr ? index : node_index(holder->m_member.m_bulk);
             const auto delay = bulk_delay(schedule, index, from);
             const bool lost = !delay || !schedule.m_nodes[from].m_up;
             const std::uint64_t started = node.m_started;
             const time_point reply = schedule.m_now + (lost ? milliseconds(500) : 4 * *delay);
-            at(schedule, reply, [index, from, lost, started, each](node_schedule& later) {
+            at(schedule, reply, [index, from, lost, started, action](node_schedule& later) {
                 scheduled_node& asker = later.m_nodes[index];
                 const scheduled_node& holder_node = later.m_nodes[from];
                 if (!asker.m_up || asker.m_started != started) {
                     return;
                 }
                 if (lost || !holder_node.m_up || holder_node.m_config.m_texts.empty()) {
-                    carry_out(later, index, distribution_fetch_failed(asker.m_config, later.m_now));
+                    run_actions(later, index,
+                                distribution_fetch_failed(asker.m_config, later.m_now));
                     return;
                 }
-                carry_out(later, index,
-                          distribution_received(asker.m_config, each.m_instance,
-                                                holder_node.m_config.m_texts.rbegin()->second,
-                                                live_member_count(asker.m_members), later.m_now));
+                run_actions(later, index,
+                            distribution_received(asker.m_config, action.m_instance,
+                                                  holder_node.m_config.m_texts.rbegin()->second,
+                                                  live_member_count(asker.m_members), later.m_now));
             });
             break;
         }
         case kind::parse:
-            carry_out(
+            run_actions(
                 schedule, index,
-                distribution_parsed(node.m_config, each.m_version, true, live, schedule.m_now));
+                distribution_parsed(node.m_config, action.m_version, true, live, schedule.m_now));
             break;
         case kind::apply:
-            schedule.m_fell += each.m_version < node.m_highest_applied ? 1 : 0;
-            node.m_highest_applied = std::max(node.m_highest_applied, each.m_version);
-            node.m_members.m_self.m_config_version = each.m_version;
+            schedule.m_downgrades += action.m_version < node.m_highest_applied ? 1 : 0;
+            node.m_highest_applied = std::max(node.m_highest_applied, action.m_version);
+            node.m_members.m_self.m_config_version = action.m_version;
             break;
         case kind::announce:
             node.m_members.m_held_version = held_version(node.m_config);
-            carry_out(schedule, index,
-                      membership_update_self(node.m_members, true, schedule.m_now));
+            run_actions(schedule, index,
+                        membership_update_self(node.m_members, true, schedule.m_now));
             break;
         case kind::ready:
             node.m_members.m_self.m_ready = true;
-            carry_out(schedule, index,
-                      membership_update_self(node.m_members, false, schedule.m_now));
+            run_actions(schedule, index,
+                        membership_update_self(node.m_members, false, schedule.m_now));
             break;
         }
     }
@@ -282,9 +285,9 @@
     scheduled_node& node = schedule.m_nodes[index];
     const auto text =
         schedule.m_store == 0 ? std::nullopt : std::optional(text_of(schedule.m_store));
-    carry_out(schedule, index,
-              distribution_store_read(node.m_config, text, live_member_count(node.m_members),
-                                      schedule.m_now));
+    run_actions(schedule, index,
+                distribution_store_read(node.m_config, text, live_member_count(node.m_members),
+                                        schedule.m_now));
 }
 
 // Compares tables with another node and merges the buckets that differ, both ways.
@@ -306,9 +309,9 @@
     }
     const auto sent = members_in_buckets(node.m_members, differing);
     const auto received = members_in_buckets(schedule.m_nodes[other].m_members, differing);
-    carry_out(schedule, index, membership_merge(node.m_members, received, schedule.m_now));
-    carry_out(schedule, other,
-              membership_merge(schedule.m_nodes[other].m_members, sent, schedule.m_now));
+    run_actions(schedule, index, membership_merge(node.m_members, received, schedule.m_now));
+    run_actions(schedule, other,
+                membership_merge(schedule.m_nodes[other].m_members, sent, schedule.m_now));
 }
 
 inline void tick_node(node_schedule& schedule, std::size_t index, std::uint64_t started) {
@@ -321,9 +324,10 @@
            [index, started](node_schedule& later) { tick_node(later, index, started); });
         return;
     }
-    carry_out(schedule, index, membership_tick(node.m_members, schedule.m_now));
-    carry_out(schedule, index,
-              distribution_tick(node.m_config, live_member_count(node.m_members), schedule.m_now));
+    run_actions(schedule, index, membership_tick(node.m_members, schedule.m_now));
+    run_actions(
+        schedule, index,
+        distribution_tick(node.m_config, live_member_count(node.m_members), schedule.m_now));
     at(schedule, schedule.m_now + schedule_tick,
        [index, started](node_schedule& later) { tick_node(later, index, started); });
 }
@@ -359,14 +363,14 @@
     for (std::uint32_t bucket = 0; bucket < member_bucket_count; ++bucket) {
         buckets.push_back(bucket);
     }
-    carry_out(schedule, index,
-              membership_merge(node.m_members, members_in_buckets(member_node.m_members, buckets),
-                               schedule.m_now));
-    carry_out(schedule, index,
-              distribution_joined(node.m_config, node_name(other),
-                                  held_version(member_node.m_config),
-                                  highest_version_of(member_node.m_members, node_name(index)),
-                                  live_member_count(node.m_members), schedule.m_now));
+    run_actions(schedule, index,
+                membership_merge(node.m_members, members_in_buckets(member_node.m_members, buckets),
+                                 schedule.m_now));
+    run_actions(schedule, index,
+                distribution_joined(node.m_config, node_name(other),
+                                    held_version(member_node.m_config),
+                                    highest_version_of(member_node.m_members, node_name(index)),
+                                    live_member_count(node.m_members), schedule.m_now));
 }
 
 // Starts count nodes that know each other.
@@ -413,7 +417,8 @@
 }
 
 // Whether every node that is up holds the given state of the instance.
-inline bool all_see(const node_schedule& schedule, std::size_t instance, member_state state) {
+inline bool all_hold_state(const node_schedule& schedule, std::size_t instance,
+                           member_state state) {
     const std::string name = node_name(instance);
     for (std::size_t index = 0; index < schedule.m_nodes.size(); ++index) {
         const scheduled_node& node = schedule.m_nodes[index];
