--- a/src/decide/entry_points.cpp
+++ b/src/decide/entry_points.cpp
@@ -9,11 +9,12 @@
 namespace caraway {
 namespace {
 
-// Slots of a data centre: enough that some of them are up whatever fails.
+// Slots of a data centre; enough that some of their instances are up whatever fails.
 constexpr std::uint64_t slots_per_data_centre = 8;
-// Entry points of the own data centre from which on they suffice to join.
+// Entry points of a node's own data centre that suffice to join through them alone.
 constexpr std::size_t min_local_entry_points = 5;
-// Watchers of all data centres together, at least: the store may turn a third of the members away.
+// Minimum number of watchers in all data centres together: the store may reject a third of the
+// members.
 constexpr std::size_t min_watchers = 6;
 
 } // namespace
@@ -24,7 +25,7 @@
 
 namespace {
 
-// True if the data centre has entry points enough to join through them alone.
+// Returns whether the data centre has enough entry points to join through them alone.
 bool has_enough_entry_points(std::span<const entry_point> all, std::string_view data_centre) {
     const auto local_count =
         std::count_if(all.begin(), all.end(), [data_centre](const entry_point& point) {
--- a/src/decide/entry_points.hpp
+++ b/src/decide/entry_points.hpp
@@ -1,5 +1,6 @@
-// Entry points: the few addresses in the store through which nodes find the others. Their number
-// depends on the data centres, not on the members, so that a list of them stays small. Pure.
+// Entry points: the few addresses in the store through which nodes discover the others. Their
+// number depends on the number of data centres, not of members, so that the list stays small. Pure
+// functions.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +14,7 @@
 
 namespace caraway {
 
-// One address under a slot of its data centre.
+// The address stored under a slot of a data centre.
 struct entry_point {
     std::string m_data_centre;
     std::string m_slot;
@@ -21,28 +22,32 @@
     friend bool operator==(const entry_point&, const entry_point&) = default;
 };
 
-// The slot that an instance fills if it is free.
+// Returns the slot that an instance fills if it is free.
 std::string slot_of(std::string_view instance);
 
-// The entry points to join through first: those of the own data centre where it has many, so that a
-// herd of joining nodes loads no other one, else all.
+// Returns the entry points to join through first: only those of the node's own data centre if it
+// has enough, so that many nodes that join at once do not load the other data centres, otherwise
+// all.
 std::vector<ip_endpoint> join_entry_points(std::span<const entry_point> all,
                                            std::string_view data_centre);
 
-// The entry points of members that are unknown here, which may have joined only each other, or be
-// gone. Only a carrier looks for members of other data centres where these are groups.
+// Returns the entry points whose address belongs to no live member here. Their nodes may have
+// joined only each other, or may be dead. If members are grouped by data centre, only a gateway
+// searches for members of other data centres.
 std::vector<ip_endpoint> unknown_entry_points(membership_table& table,
                                               std::span<const entry_point> all);
 
-// The slots of the own data centre that name nobody who is known here.
+// Returns the slots of this node's data centre whose address belongs neither to a live member nor
+// to this node.
 std::vector<std::string> unknown_slots(const membership_table& table,
                                        std::span<const entry_point> all);
 
-// The live member of the own data centre to name in a slot; the same at every node.
+// Returns the live member of this node's data centre whose address belongs in the slot. Nodes with
+// equal tables return the same member.
 const member& member_for_slot(const membership_table& table, std::string_view slot);
 
-// Members of each data centre that watch the store: one where there are many data centres, since
-// members of the others pass news on, too.
+// Returns the number of members of each data centre that watch the store. One suffices where there
+// are many data centres, since the watchers of the other data centres forward changes too.
 std::size_t watchers_per_data_centre(std::size_t data_centres);
 
 } // namespace caraway
--- a/src/decide/membership.cpp
+++ b/src/decide/membership.cpp
@@ -15,10 +15,11 @@
 
 using namespace swim;
 
-// Differing facts are reported no more often than this; one fetch repairs several differences.
+// Minimum interval between reports of differing facts; one fetch repairs several differences.
 constexpr milliseconds facts_differ_interval{1'000};
 
-// Asks the sender for its entry, or tells it what is held against it.
+// Requests the sender's entry by a ping, which includes this node's entry for the sender if the
+// sender has to refute it.
 void request_sender_entry(membership_table& table, const packet& received, const ip_endpoint& from,
                           const tracked_member* sender, time_point now, actions& out) {
     if (!take_token(table, table.m_reply_tokens, now)) {
@@ -33,8 +34,8 @@
     send(from, std::move(ping), out);
 }
 
-// Takes over what the packet's header says of its sender. Returns whether the sender's entry is
-// unknown here, older than the packet, or wrongly gone.
+// Merges the packet's header into the sender's entry. Returns whether the sender's entry is unknown
+// here, older than the packet, or wrongly dead.
 bool merge_sender_header(membership_table& table, const packet& received, time_point now,
                          actions& out) {
     tracked_member* sender = find_tracked(table, received.m_sender);
@@ -72,7 +73,8 @@
     return false;
 }
 
-// Answers a ping. The own entry goes along when the sender may lack it or holds something else.
+// Answers a ping. The ack includes this node's entry if the sender may lack it or may hold a
+// different one.
 void answer_ping(membership_table& table, const packet& received, const ip_endpoint& from,
                  bool sender_outdated, time_point now, actions& out) {
     packet ack = make_packet(table, packet_kind::ack, received.m_sender);
@@ -93,11 +95,12 @@
     send(from, std::move(ack), out);
 }
 
-// Pause between comparisons of tables with a random member nearby, at random up to half more or
-// less, and between those of a carrier with another data centre.
+// Intervals between comparisons of tables: with a random member of the local group, randomised by
+// up to half in both directions, and on a gateway with a member of another data centre.
 constexpr milliseconds comparison_interval{30'000};
 constexpr milliseconds remote_comparison_interval{5'000};
-// The first pause: when many nodes start together, those that answer first know only a few others.
+// Interval during m_initial_comparison_time. When many nodes start together, those that answer
+// first know only a few others.
 constexpr milliseconds initial_comparison_interval{500};
 
 void request_comparison(const tracked_member& with, actions& out) {
@@ -107,7 +110,7 @@
     out.push_back(std::move(action));
 }
 
-// Asks for the comparisons of tables that are due.
+// Requests the comparisons of tables that are due.
 void request_due_comparisons(membership_table& table, time_point now, actions& out) {
     if (now >= table.m_next_comparison) {
         const bool starting = now - table.m_started < table.m_options.m_initial_comparison_time;
@@ -144,7 +147,7 @@
     table.m_random = random_source(seed);
     table.m_started = now;
     table.m_started_ms = self.m_incarnation;
-    // Nodes that start together don't probe in step.
+    // Random offset, so that nodes that start together do not probe at the same moments.
     const auto interval = static_cast<std::uint64_t>(options.m_probe_interval.count());
     table.m_next_probe = now + milliseconds(table.m_random.below(interval));
     table.m_next_gossip = now;
@@ -203,7 +206,7 @@
         answer_ping(table, received, from, sender_outdated, now, out);
         break;
     case packet_kind::ack:
-        // A relayed ack comes from another address than its sender's.
+        // The source address is not checked: a relayed ack arrives from the relay's address.
         handle_probe_ack(table, received, now, out);
         break;
     case packet_kind::ping_request:
--- a/src/decide/membership_groups.cpp
+++ b/src/decide/membership_groups.cpp
@@ -8,18 +8,18 @@
 namespace caraway::swim {
 namespace {
 
-// Alive members of a data centre, this node included, from which on it is a group of its own. In
-// smaller ones a few deaths at once would leave nobody who carries news.
+// Alive members of a data centre, this node included, from which it is a group of its own. In a
+// smaller one a few simultaneous deaths could leave no gateway.
 constexpr std::size_t min_group_size = 12;
-// Members of a group that carry news; more than one, since news must pass while one of them fails.
+// Gateways of a group; more than one, since changes must still get through while one of them fails.
 constexpr std::size_t gateways_per_group = 3;
-// Entries of members that are gone, met while looking for a live one, before the search ends.
+// Maximum number of non-live entries inspected in a search for a live one.
 constexpr int max_tries = 64;
 
 constexpr std::string_view gateway_role = "carrier";
 
-// Works out anew whether the own data centre is a group and this node a carrier of it. Suspected
-// members carry nothing, so that a dead carrier is replaced before its death is certain.
+// Recomputes whether this data centre is a group and this node one of its gateways. Suspect members
+// do not count as gateways, so that a dead gateway is replaced before its death is confirmed.
 void refresh_group(membership_table& table) {
     if (!table.m_group_outdated) {
         return;
@@ -39,7 +39,7 @@
     table.m_is_gateway = table.m_grouped_by_data_centre && higher_ranked < gateways_per_group;
 }
 
-// The orders of the data centres that count as near.
+// Returns the probe orders of the data centres that form the local group.
 std::vector<member_group*> local_groups(membership_table& table) {
     if (is_grouped_by_data_centre(table)) {
         return {&table.m_groups[table.m_self.m_data_centre]};
@@ -68,8 +68,8 @@
     return groups[group]->m_order[position];
 }
 
-// Takes a random one of the members that are left in this round; null if it is gone, which drops it
-// from the order.
+// Draws a random member from those that remain in this round. Returns null if there is none or if
+// the drawn member is not live; the latter is removed from the order.
 tracked_member* draw_from_round(membership_table& table, std::span<member_group* const> groups) {
     std::size_t remaining = 0;
     for (const member_group* group : groups) {
@@ -171,8 +171,8 @@
         }
         picked.push_back(&found->second);
     };
-    // A short order is walked from a random place in random order; a long one is sampled, with some
-    // tries to spare for entries of members that are gone.
+    // A short order is traversed in random order. A long one is sampled, with spare attempts for
+    // members that are not live.
     if (total <= 4 * count) {
         std::vector<std::size_t> positions(total);
         for (std::size_t i = 0; i < positions.size(); ++i) {
--- a/src/decide/membership_groups.hpp
+++ b/src/decide/membership_groups.hpp
@@ -1,6 +1,7 @@
-// Members by data centre. In a data centre with many members, probes and news stay inside. A few of
-// its members, the carriers, probe the other data centres and tell them what has changed here, so
-// that the bytes between data centres don't grow with the square of the members.
+// Groups members by data centre. In a data centre with many members, probes and gossip stay inside.
+// A few of its members, the gateways, probe the other data centres and send them the changes of
+// this one, so that the traffic between data centres does not grow with the square of the number of
+// members.
 #pragma once
 
 #include <cstddef>
@@ -12,35 +13,39 @@
 
 namespace caraway::swim {
 
-// Whom news is meant for.
+// Recipients of a rumour.
 enum class gossip_scope : std::uint8_t {
-    local_group,      // the own data centre if it is a group of its own, else everyone
-    all_data_centres, // besides, one member of each other data centre
+    local_group,      // see is_grouped_by_data_centre
+    all_data_centres, // also one member of each other data centre
 };
 
-// Adds a live member to the order of probes of its data centre.
+// Adds a live member to the probe order of its data centre.
 void add_to_probe_order(membership_table& table, tracked_member& tracked);
 
-// True if the own data centre has enough members to be a group of its own.
+// Returns whether this node's data centre has enough members to be a group of its own. The local
+// group is then this data centre, otherwise all members.
 bool is_grouped_by_data_centre(membership_table& table);
 
-// True if this node is one of those that carry news to the other data centres.
+// Returns whether this node is one of those that send changes to the other data centres and probe
+// them.
 bool is_gateway(membership_table& table);
 
-// True if the member is in another data centre and these are groups of their own.
+// Returns whether the member is in another data centre and members are grouped by data centre.
 bool is_remote(membership_table& table, const member& other);
 
-// Takes the next member nearby of the present round of probes, or null.
+// Returns the next live member of the local group in the current probe round, or null.
 tracked_member* next_probe_target(membership_table& table);
 
-// Takes the next member of another data centre, or of the one named if it is not empty.
+// Returns the next live member of the given data centre, or of any other one if the name is empty;
+// null if none is found.
 tracked_member* next_remote_target(membership_table& table, std::string_view data_centre);
 
-// Picks up to count distinct live members nearby at random, excluding one.
+// Picks up to count distinct random live members of the local group, except the excluded one.
 std::vector<const tracked_member*> pick_members(membership_table& table, std::size_t count,
                                                 std::string_view excluded);
 
-// Picks a random live member of each other data centre where these are groups.
+// Picks a random alive member of each other data centre; none if members are not grouped by data
+// centre.
 std::vector<const tracked_member*> pick_remote_members(membership_table& table);
 
 } // namespace caraway::swim
--- a/src/decide/membership_merge.cpp
+++ b/src/decide/membership_merge.cpp
@@ -11,22 +11,24 @@
 namespace swim {
 namespace {
 
-// A verdict of another node is believed when the suspicion has been known for this many probe
-// intervals: a suspected member hears of it and refutes it within one.
+// Another node's verdict of death is accepted once the suspicion has been known for this many probe
+// intervals; a suspected member receives the suspicion and refutes it within one.
 constexpr int refutation_intervals = 2;
-// Claims of death kept for checking; an exchange brings them again when they don't fit.
+// Maximum number of death claims queued for verification; a later table exchange repeats those that
+// do not fit.
 constexpr std::size_t max_death_claims = 1'024;
-// A merge that changes more than this is a join or a healed partition; its entries are known to
-// many others and not passed on by piggyback.
+// A merge that changes more entries than this is a join or a healed partition. Many other nodes
+// already know its entries, so they are not piggybacked.
 constexpr std::size_t max_piggybacked_changes = 64;
 
-// The earlier of two first starts; 0 stands for an unknown one.
+// Returns the earlier of two first starts; 0 means unknown.
 std::uint64_t earlier_start(std::uint64_t first, std::uint64_t second) {
     return first == 0 || second == 0 ? std::max(first, second) : std::min(first, second);
 }
 
-// Takes over an earlier first start of an entry, whatever its incarnation. A forgotten name counts
-// as new when it comes back, as it does for nodes that joined in between.
+// Merges an earlier first start, whatever the incarnation of the entry. Returns whether it changed.
+// The name of a tombstone counts as new when it comes back, as it does on nodes that joined in
+// between.
 bool lower_first_start(membership_table& table, tracked_member& tracked, const member& entry) {
     member& known = tracked.m_member;
     const std::uint64_t first = earlier_start(known.m_first_incarnation, entry.m_first_incarnation);
@@ -39,11 +41,11 @@
     return true;
 }
 
-// Answers what others say of this node. Any claim that isn't older than the own incarnation is
-// outbid, also an entry of a predecessor whose clock was ahead.
+// Handles an entry about this node. Any claim that is not older than this node's incarnation is
+// refuted by a higher one, including an entry of a predecessor whose clock was ahead.
 void refute_claim(membership_table& table, const member& entry, time_point now, actions& out) {
     member& self = table.m_self;
-    // A restarted process learns from its predecessor's entry when its name was first seen.
+    // A restarted process gets the first start of its name from its predecessor's entry.
     const std::uint64_t first = earlier_start(self.m_first_incarnation, entry.m_first_incarnation);
     if (first != self.m_first_incarnation) {
         self.m_first_incarnation = first;
@@ -66,17 +68,18 @@
         return;
     }
     self.m_incarnation = entry.m_incarnation + 1;
-    // To be suspected wrongly is a sign that this node answers slowly.
+    // A false suspicion indicates that this node answers slowly.
     worsen_local_health(table);
     announce_self(table, now, out);
 }
 
-// Adds the entry of an unknown member, unless the table is full.
+// Adds the entry of an unknown member unless the table is full.
 merge_result insert_entry(membership_table& table, const member& entry, time_point now) {
     if (table.m_members.size() >= max_members) {
         return merge_result::unchanged;
     }
-    // A suspicion without addresses about an unknown member can't be checked or used.
+    // A live entry without addresses is a suspicion of an unknown member, which can be neither
+    // verified nor used.
     if (is_live(entry.m_state) && !has_addresses(entry)) {
         return merge_result::unchanged;
     }
@@ -89,7 +92,8 @@
     return merge_result::changed;
 }
 
-// Takes over an entry of a higher incarnation: the instance restarted or refuted a suspicion.
+// Replaces an entry by one with a higher incarnation: the instance restarted, changed its entry or
+// refuted a suspicion.
 merge_result supersede_entry(membership_table& table, tracked_member& tracked, const member& entry,
                              time_point now) {
     if (is_live(entry.m_state) && !has_addresses(entry)) {
@@ -121,7 +125,7 @@
                                                           : merge_result::changed;
 }
 
-// Queues a member whose death another table claims; this node checks it by a ping of its own.
+// Queues a member whose death another table claims for verification by a ping of this node.
 void queue_death_claim(membership_table& table, const std::string& instance,
                        std::uint64_t incarnation) {
     if (table.m_death_claims.size() < max_death_claims) {
@@ -129,10 +133,9 @@
     }
 }
 
-// Takes over another node's verdict that a live member of the same incarnation is dead. A death
-// that comes without a suspicion some time before it may be the view of a healed partition's other
-// side. It counts as a suspicion at first, so that the member can refute it, but one that is judged
-// soon.
+// Handles another node's verdict that a live member of the same incarnation is dead. A verdict that
+// was not preceded by a suspicion may be the view of the other side of a healed partition. It first
+// counts as a suspicion with a short timeout, so that the member can refute it.
 merge_result merge_death_report(membership_table& table, tracked_member& tracked, time_point now) {
     const duration refutation_time = table.m_options.m_probe_interval * refutation_intervals;
     const bool was_alive = tracked.m_member.m_state == member_state::alive;
@@ -151,7 +154,7 @@
     return was_alive ? merge_result::changed : merge_result::unchanged;
 }
 
-// Merges one entry of a known member by the order of incarnations and states.
+// Merges an entry of a known member, ordered by incarnation and state.
 merge_result merge_known(membership_table& table, tracked_member& tracked, const member& entry,
                          entry_source source, time_point now) {
     tracked.m_highest_config_version =
@@ -175,7 +178,8 @@
         return merge_result::unchanged;
     }
     if (entry.m_state < state) {
-        // The other table holds as live whom this one holds as dead: let the member decide.
+        // The other table lists as live a member that is dead here; a ping lets the member refute
+        // its death.
         if (source == entry_source::exchange && state == member_state::dead) {
             queue_death_claim(table, entry.m_instance, entry.m_incarnation);
         }
--- a/src/decide/membership_merge.hpp
+++ b/src/decide/membership_merge.hpp
@@ -1,4 +1,4 @@
-// Merges what others say of members into the table, by the order of incarnations and states.
+// Merges received entries into the table, ordered by incarnation and state.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,17 @@
 
 namespace caraway::swim {
 
-// How an entry reached this node.
+// How an entry reached this node: in a packet, or in a join reply or table exchange.
 enum class entry_source : std::uint8_t { packet, exchange };
 
-// What a merge did. After rumour the change is to be forwarded at once.
+// Effect of a merge on the table. After rumour the entry has to be forwarded immediately.
 enum class merge_result : std::uint8_t { unchanged, changed, rumour };
 
-// Merges one entry. An entry of this node itself is answered instead.
+// Merges one entry. A claim about this node itself is refuted instead if necessary.
 merge_result merge_entry(membership_table& table, const member& entry, entry_source source,
                          time_point now, actions& out);
 
-// Raises the configuration version known to be in force at a member.
+// Raises the configuration version known to be in force at a member; a lower one has no effect.
 void raise_config_version(tracked_member& tracked, std::uint64_t config_version);
 
 } // namespace caraway::swim
--- a/src/decide/membership_packet_size.cpp
+++ b/src/decide/membership_packet_size.cpp
@@ -12,7 +12,7 @@
     return bytes;
 }
 
-// A field is a tag of one byte, for nested ones and strings a length, and its content.
+// A field consists of a one-byte tag, a length for strings and nested messages, and its content.
 std::size_t number_field(std::uint64_t value) {
     return 1 + varint_bytes(value);
 }
--- a/src/decide/membership_packet_size.hpp
+++ b/src/decide/membership_packet_size.hpp
@@ -1,5 +1,5 @@
-// Encoded sizes of the repeated parts of a packet, so that a packet can be filled to its limit
-// without encoding it. estimated_packet_bytes in membership.hpp gives the size of a whole packet.
+// Encoded sizes of the repeated fields of a packet, so that a packet can be filled up to its limit
+// without encoding it. estimated_packet_bytes in membership.hpp returns the size of a whole packet.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace caraway::swim {
 
-// Upper bounds in bytes, tag and length of the field included.
+// Upper bounds of the encoded sizes in bytes, including tag and length of the field.
 std::size_t member_bytes(const member& value);
 std::size_t suspension_bytes(const suspension& value);
 std::size_t record_bytes(const move_record& value);
--- a/src/decide/membership_packets.cpp
+++ b/src/decide/membership_packets.cpp
@@ -11,23 +11,25 @@
 namespace caraway::swim {
 namespace {
 
-// Piggyback transmissions of one update per power of ten of the table size. With half of this, some
-// member missed about one update in twenty at 50 members and 5% loss.
+// Piggyback transmissions of one update per power of ten of the table size. With half as many, some
+// member missed about one update in twenty at 50 members and 5% packet loss.
 constexpr double transmissions_per_decade = 6.0;
-// Updates queued at which each of their transmissions starts to count several times, down to this
-// many in all. When a data centre fails or returns, every node passes on thousands of updates; the
-// first transmissions of each reach nearly everyone, and the exchange of tables repairs the rest.
+// Each multiple of this queue length makes a transmission count once more, until an update is sent
+// only min_transmissions times. When a data centre fails or returns, every node forwards thousands
+// of updates; the first transmissions of each reach nearly all members, and the comparison of
+// tables repairs the rest.
 constexpr std::size_t long_queue_length = 64;
 constexpr std::uint32_t min_transmissions = 4;
-// The own entry goes into every packet for this long after the start or a new incarnation, since
-// most receivers don't have it yet.
+// This node's entry goes into every packet for this time after the start or a new incarnation,
+// since most receivers do not have it yet.
 constexpr milliseconds self_announcement_time{30'000};
-// Rounds of packets to the other data centres that an entry travels with, from each carrier.
+// Transmissions of an entry from each gateway to the other data centres.
 constexpr std::uint32_t remote_transmissions = 2;
-// Entries queued for the other data centres; the comparison of tables repairs what is left out.
+// Maximum number of entries queued for the other data centres; the comparison of tables repairs
+// omitted ones.
 constexpr std::size_t max_remote_queue = 1'024;
 
-// Transmissions of one update.
+// Returns the number of transmissions of one update for the present table size.
 std::uint32_t transmissions_per_update(const membership_table& table) {
     return static_cast<std::uint32_t>(
         std::ceil(transmissions_per_decade * log10_live_members(table)));
@@ -159,8 +161,9 @@
             tracked.m_queued = false;
             continue;
         }
-        // A rumour's packets hold the entry besides; they don't count as one of its transmissions,
-        // since nearly all nodes get the rumour at the same time and need the later ones.
+        // The packet already contains the entry as a rumour. This does not count as a transmission,
+        // since nearly all nodes receive the rumour at the same time and the later transmissions
+        // are for the rest.
         if (contains_entry(filler.m_packet, name)) {
             table.m_update_queue.push_back(std::move(name));
             continue;
--- a/src/decide/membership_probes.cpp
+++ b/src/decide/membership_probes.cpp
@@ -12,34 +12,37 @@
 namespace caraway::swim {
 namespace {
 
-// Probes under way, those for other nodes included; more ping requests are dropped.
+// Maximum number of probes in progress, including those for other nodes; further ping requests are
+// dropped.
 constexpr std::size_t max_probes = 256;
-// Timers handled per tick. A whole data centre that is suspected at once is spread over some ticks.
+// Maximum number of timers handled per tick, so that the suspicion of a whole data centre is spread
+// over several ticks.
 constexpr std::size_t max_timers_per_tick = 256;
-// Checks of such claims per probe interval.
+// Verifications of death claims per probe interval.
 constexpr int claim_checks_per_interval = 4;
-// Dead members are pinged once in this many probe intervals, in case a partition healed.
+// One dead member is pinged in this many probe intervals, to detect that a partition healed.
 constexpr int dead_ping_intervals = 5;
-// Members gone for less than this are pinged in every interval, some at a time: one that restarts
-// at its address then finds the others, also when the store can't name them.
+// Members that have been dead or left for less than this are pinged in every interval, a limited
+// number at a time. A member that restarts at its address then finds the others even if the store
+// cannot provide their addresses.
 constexpr milliseconds restart_time{60'000};
 constexpr std::size_t restart_pings_per_interval = 4;
 constexpr std::size_t max_restart_scan = 512;
-// Entries looked at per search for a dead member.
+// Entries inspected per search for a dead member.
 constexpr std::size_t max_dead_scan = 64;
-// With a share of one in this many dead members the table may be one side of a partition.
+// If at least one in this many members is dead, the table may be one side of a partition.
 constexpr std::size_t mass_loss_share = 10;
 constexpr std::size_t least_mass_loss = 2;
-// A dead member kept because many are dead is looked at this often.
+// Interval between retention checks of a dead member that is kept longer because many are dead.
 constexpr milliseconds retention_check{60'000};
-// Probes per interval of a data centre of which a member has not answered, and for how long after
-// the last such probe.
+// Probes per interval of a data centre in which a member did not answer, and the time for which
+// this rate applies after the last failed probe.
 constexpr int unresponsive_probes_per_interval = 4;
 constexpr milliseconds unresponsive_time{5'000};
-// A gap between ticks longer than this means that the process was paused.
+// A longer gap between ticks means that the process was paused.
 constexpr milliseconds pause_threshold{1'000};
 
-// Pings the target, with the claim if there is one, and waits for its ack.
+// Pings the target, including the claim if there is one, and registers the probe.
 void start_probe(membership_table& table, const tracked_member& target,
                  const std::optional<member>& claim, time_point now, actions& out) {
     if (table.m_probes.size() >= max_probes) {
@@ -55,7 +58,7 @@
     table.m_probes.push_back(std::move(started));
 }
 
-// Asks some members to ping the target on this node's behalf.
+// Requests some members of the local group to ping the target for this node.
 void request_indirect_probes(membership_table& table, probe& waiting, time_point now,
                              actions& out) {
     waiting.m_indirect = true;
@@ -70,8 +73,8 @@
     }
 }
 
-// Makes a suspicion this node's own: the target is pinged with the accusation once per probe
-// interval, and is declared dead after the given time unless it refutes.
+// Turns a suspicion into this node's own: pings the target with the suspicion once per probe
+// interval and declares it dead after the timeout unless it refutes.
 void start_own_suspicion(membership_table& table, tracked_member& suspect, milliseconds timeout,
                          time_point now, actions& out) {
     if (suspect.m_suspected_locally) {
@@ -84,8 +87,8 @@
     send_ping(table, suspect, 0, std::nullopt, out);
 }
 
-// The probe failed: the target is suspected. If none of the relays answered either, the fault may
-// be this node's own.
+// Handles a probe without an ack: suspects the target. If none of the relays answered either, this
+// node itself may be the cause.
 void handle_failed_probe(membership_table& table, const probe& failed, time_point now,
                          actions& out) {
     if (failed.m_relays > 0 && failed.m_relays_confirmed == 0) {
@@ -108,7 +111,7 @@
     start_own_suspicion(table, *target, suspicion_time(table), now, out);
 }
 
-// Handles a due timer of a suspect. Hearsay that nobody has settled becomes an accusation of this
+// Handles a due timer of a suspect. An unresolved suspicion received from another node becomes this
 // node's own, with time for two more pings. Returns whether the member is dead.
 bool check_suspect(membership_table& table, tracked_member& suspect, time_point now, actions& out) {
     const std::string& name = suspect.m_member.m_instance;
@@ -134,7 +137,7 @@
     return true;
 }
 
-// How long the gone member is kept. Dead ones are kept longer while many are dead.
+// Returns how long a dead or left member is kept. Dead ones are kept longer while many are dead.
 duration retention_time(const membership_table& table, const tracked_member& tracked) {
     const bool mass_loss = table.m_dead >= least_mass_loss &&
                            table.m_dead * mass_loss_share >= table.m_live + 1 + table.m_dead;
@@ -146,8 +149,8 @@
 
 void detect_pause(membership_table& table, time_point now) {
     if (now - table.m_last_tick > pause_threshold) {
-        // Acks and refutations of the pause still wait in the socket; judge nobody before they are
-        // read.
+        // Acks and refutations that arrived during the pause still wait in the socket; declare
+        // nobody dead before they have been read.
         std::erase_if(table.m_probes, [](const probe& pending) { return !pending.m_relay; });
         table.m_no_death_before = now + table.m_options.m_probe_interval * 2;
     }
@@ -163,7 +166,7 @@
             if (!pending.m_relay) {
                 failed.push_back(std::move(pending));
             }
-            // The order of the probes under way has no meaning.
+            // The order of the probes in progress has no meaning.
             if (i + 1 < table.m_probes.size()) {
                 table.m_probes[i] = std::move(table.m_probes.back());
             }
@@ -180,7 +183,7 @@
     }
 }
 
-// A timer whose member has changed state since is ignored.
+// A timer of a member that has changed its state since is ignored.
 void expire_timers(membership_table& table, time_point now, actions& out) {
     for (std::size_t handled = 0; handled < max_timers_per_tick && !table.m_timers.empty() &&
                                   table.m_timers.begin()->first <= now;
@@ -219,8 +222,8 @@
     }
 }
 
-// A carrier probes the other data centres. After a failed probe it looks at that data centre more
-// closely for a while, since all of its members may be gone at once.
+// On a gateway, probes the other data centres. After a failed probe it probes that data centre more
+// often for a while, since all of its members may have failed together.
 void probe_remote(membership_table& table, time_point now, actions& out) {
     if (now < table.m_next_remote_probe) {
         return;
@@ -273,8 +276,8 @@
     }
 }
 
-// Pings members that went away lately, in case they are back: a search of bounded length for each
-// interval, which goes on where the last one ended.
+// Pings members that were lost or left recently, in case they have restarted. Each search inspects
+// a bounded number of entries and continues where the previous one ended.
 void ping_restarting_members(membership_table& table, time_point now, actions& out) {
     if (now < table.m_next_restart_ping) {
         return;
@@ -371,7 +374,7 @@
     } else if (!found->m_indirect) {
         table.m_local_health -= table.m_local_health > 0 ? 1 : 0;
     } else if (found->m_relays > 0 && found->m_relays_confirmed == 0) {
-        // A late ack while the relays are silent too: this node is slow.
+        // A late ack while the relays do not answer either indicates that this node is slow.
         worsen_local_health(table);
     }
     table.m_probes.erase(found);
--- a/src/decide/membership_probes.hpp
+++ b/src/decide/membership_probes.hpp
@@ -1,5 +1,5 @@
-// Failure detection: direct and indirect probes, suspicions, and checks of deaths that other tables
-// claim.
+// Failure detection: direct and indirect probes, suspicions, and verification of deaths claimed by
+// other tables.
 #pragma once
 
 #include "decide/membership.hpp"
@@ -7,33 +7,36 @@
 
 namespace caraway::swim {
 
-// Notices that this process was paused, and puts off all verdicts until what waits in the socket is
-// read.
+// Detects a pause of this process. After one it drops this node's own probes and declares nobody
+// dead until the packets that wait in the socket have been read.
 void detect_pause(membership_table& table, time_point now);
 
-// Asks for indirect probes where no ack came in time, and ends probes that are over.
+// Requests indirect probes where no ack arrived in time, and ends expired probes.
 void advance_probes(membership_table& table, time_point now, actions& out);
 
-// Declares due suspects dead and forgets members that are gone for long.
+// Declares expired suspects dead, turns members past their retention into tombstones and erases old
+// tombstones.
 void expire_timers(membership_table& table, time_point now, actions& out);
 
-// Probes the next member of the round when that is due.
+// Probes the next member of the local group when due, and on a gateway also the next member of
+// another data centre.
 void probe_next(membership_table& table, time_point now, actions& out);
 
-// Pings a member whose death is claimed elsewhere or held here, together with that claim.
+// Verifies death claims: pings a member that either the claim or this table lists as dead,
+// including the claim.
 void check_death_claims(membership_table& table, time_point now, actions& out);
 
-// Pings one dead member now and then. Without this the halves of a long partition would never
-// find each other again.
+// Pings one dead member occasionally, and some recently lost members in each interval. Without this
+// the halves of a long partition would never find each other again.
 void ping_dead_member(membership_table& table, time_point now, actions& out);
 
-// Pings the target for another node, and tells that node at once that the request arrived, so that
-// it can tell a dead target from a broken path of its own.
+// Pings the target for another node and immediately acknowledges the request to that node, so that
+// it can distinguish a dead target from a broken path of its own.
 void relay_ping(membership_table& table, const packet& received, const ip_endpoint& from,
                 time_point now, actions& out);
 
-// Settles the probe that the ack belongs to. An ack by another instance than the target confirms a
-// ping request, or comes from an instance that took over the target's address.
+// Completes the probe that the ack belongs to. An ack from another instance than the target
+// confirms a ping request, or comes from an instance that took over the target's address.
 void handle_probe_ack(membership_table& table, const packet& received, time_point now,
                       actions& out);
 
--- a/src/decide/membership_rumours.cpp
+++ b/src/decide/membership_rumours.cpp
@@ -11,29 +11,33 @@
 namespace swim {
 namespace {
 
-// Bytes per second and in one burst for gossip between the probes. Together with one full ping and
-// one full ack a second, sent and received, control stays within 9 KB/s however many updates wait.
+// Budget of gossip between the probes, in bytes per second and per burst. Together with one full
+// ping and one full ack a second, sent and received, control traffic stays within 9 KB/s however
+// many updates are queued.
 constexpr double gossip_bytes_per_second = 2'000;
 constexpr double gossip_byte_burst = 16'000;
-// Packets sent for their header alone, one per gossip interval, after the own version or facts have
-// changed. About 2% of the members are missed by a rumour and learn of it from such a header.
+// Packets sent only for their header, one per gossip interval, after this node's held version or
+// facts have changed. A rumour misses about 2% of the members, which receive the change from such a
+// header.
 constexpr std::uint32_t header_packets_per_change = 8;
-// Rounds of such packets from each carrier to the other data centres.
+// Such packets from each gateway to every other data centre.
 constexpr std::uint32_t remote_header_packets_per_change = 2;
-// Bytes per second and in one burst that a carrier may send to other data centres between probes.
+// Budget of a gateway for packets to other data centres between probes, in bytes per second and per
+// burst.
 constexpr double remote_bytes_per_second = 3'000;
 constexpr double remote_byte_burst = 24'000;
-// Member rumours (leaving, refuted suspicions) forwarded at once, per second and in one burst. When
-// a data centre leaves, the rest travels by piggyback only and control stays within its bytes.
+// Member rumours (leaves, refuted suspicions) forwarded immediately, per second and per burst. When
+// a data centre leaves, the remaining changes travel only by piggyback, and control traffic stays
+// within its budget.
 constexpr double rumours_per_second = 4;
 constexpr double rumour_burst = 16;
-// Pings that answer packets of unknown or wrongly dead senders, per second and in one burst.
+// Pings in reply to packets of unknown or wrongly dead senders, per second and per burst.
 constexpr double replies_per_second = 20;
 constexpr double reply_burst = 50;
-// Facts remembered as already forwarded.
+// Number of forwarded facts that are remembered.
 constexpr std::size_t max_forwarded_facts = 4'096;
 
-// Refills the budgets by the time since the last call.
+// Refills the budgets for the time since the last call.
 void fill_tokens(membership_table& table, time_point now) {
     const double seconds = std::chrono::duration<double>(now - table.m_tokens_filled).count();
     if (seconds > 0) {
@@ -49,7 +53,7 @@
     }
 }
 
-// Remembers a fact by its hash. Returns false when it was known.
+// Remembers a fact by its hash. Returns false if it was already known.
 bool remember_fact(membership_table& table, std::uint64_t hash) {
     if (!table.m_forwarded_facts.insert(hash).second) {
         return false;
@@ -62,7 +66,7 @@
     return true;
 }
 
-// A suspension is known by its move: reports of other nodes about the same move change nothing.
+// A suspension is identified by its move: reports of other nodes about the same move add nothing.
 std::uint64_t fact_hash(const suspension& value) {
     return hash_bytes(value.m_move_id, 1);
 }
@@ -148,7 +152,7 @@
     }
 }
 
-// The same packet goes to all other data centres, so that each gets every entry.
+// The same packet goes to all other data centres, so that each receives every entry.
 void gossip_remote(membership_table& table, time_point now, actions& out) {
     if (!is_gateway(table)) {
         table.m_remote_header_packets_left = 0;
@@ -256,7 +260,7 @@
             bytes = empty;
         }
     };
-    // A fact too large for any packet is left to the comparison of digests.
+    // A fact that is too large for any packet is left to the comparison of digests.
     const auto reserve_bytes = [&](std::size_t size) {
         if (empty + size > max_packet_bytes) {
             return false;
--- a/src/decide/membership_rumours.hpp
+++ b/src/decide/membership_rumours.hpp
@@ -1,5 +1,5 @@
-// Rumours (news forwarded at once to a random few) and gossip of queued updates between the probes,
-// both within budgets that bound a node's control bytes.
+// Rumours (new information that is immediately forwarded to a few random members) and gossip of
+// queued updates between the probes. Both have budgets that limit a node's control traffic.
 #pragma once
 
 #include <string_view>
@@ -14,25 +14,27 @@
 // Fills the budgets of a new table.
 void start_budgets(membership_table& table, time_point now);
 
-// Takes a token from one of the table's budgets. Returns false when it is empty.
+// Consumes a token from one of the table's budgets. Returns false if it is empty.
 bool take_token(membership_table& table, double& tokens, time_point now);
 
-// Sends the rumour to the fanout nearby, but for one member, and, if it is for everyone, to one
-// member of each other data centre. The rest of the packets nearby carries owed updates.
+// Sends the rumour to as many members of the local group as the fanout, except the excluded one,
+// and with scope all_data_centres also to one member of each other data centre. Packets to the
+// local group are filled up with due updates.
 void send_rumour(membership_table& table, const packet& rumour, gossip_scope scope,
                  std::string_view excluded, time_point now, actions& out);
 
-// Announces the own entry to the fanout at once and with the next packets.
+// Announces this node's entry to the fanout immediately and with the next packets.
 void announce_self(membership_table& table, time_point now, actions& out);
 
-// Sends queued updates to one random member between the probes, so that news doesn't wait for them.
-// A changed header is news too.
+// Sends queued updates to one random member between the probes, so that they do not wait for the
+// next probe. A changed header (held version or facts digest) is sent the same way.
 void gossip(membership_table& table, time_point now, actions& out);
 
-// As carrier: sends what has changed in the own data centre to the others.
+// On a gateway: sends the queued changes to the other data centres.
 void gossip_remote(membership_table& table, time_point now, actions& out);
 
-// Forwards new facts and the given member rumours of a packet once, and reports new facts.
+// Forwards the facts of a packet that were not forwarded before and the given member rumours, and
+// reports the new facts to the caller.
 void forward_rumours(membership_table& table, const packet& received, std::vector<member> rumours,
                      time_point now, actions& out);
 
--- a/src/decide/membership_table.cpp
+++ b/src/decide/membership_table.cpp
@@ -12,17 +12,18 @@
 namespace caraway::swim {
 namespace {
 
-// The suspicion time is this many probe intervals per power of ten of the table size. A suspected
-// member must hear of it and its refutation must spread within that time; both take a number of
-// rounds that grows with the logarithm of the table.
+// Suspicion time in probe intervals per power of ten of the table size. A suspected member must
+// receive the suspicion and its refutation must spread within that time; both take a number of
+// rounds that grows with the logarithm of the table size.
 constexpr double suspicion_intervals_per_decade = 3.0;
-// A suspicion that this node only heard of waits this many times longer than one of its own: by
-// then the accuser's verdict or the refutation has arrived.
+// A suspicion received from another node lasts this many times longer than one of this node's own:
+// by then the other node's verdict or the refutation has arrived.
 constexpr double received_suspicion_factor = 2.0;
-// Upper bound of the local health, so that a slow observer still notices dead members: its timeouts
+// Upper bound of the local health, so that a slow observer still detects dead members: its timeouts
 // grow at most ninefold.
 constexpr std::uint32_t max_local_health = 8;
-// More losses of one member within the retention time are taken together.
+// Maximum number of losses recorded per member within the retention time; beyond it the two oldest
+// are merged.
 constexpr std::size_t max_losses = 4;
 
 milliseconds scaled(milliseconds value, double factor) {
@@ -36,14 +37,14 @@
     return hash_bytes(value.m_instance, hash_bytes({bytes.data(), bytes.size()}));
 }
 
-// The wall clock's time by the clock of the events, from the own start.
+// Returns the wall-clock milliseconds of a moment, extrapolated from the start of this node.
 std::uint64_t wall_ms(const membership_table& table, time_point now) {
     return table.m_started_ms +
            static_cast<std::uint64_t>(
                std::chrono::duration_cast<milliseconds>(now - table.m_started).count());
 }
 
-// Begins or ends a loss with the state that the member enters.
+// Starts or ends a loss according to the state that the member enters.
 void update_losses(const membership_table& table, tracked_member& tracked, member_state state,
                    time_point now) {
     std::vector<loss_episode>& losses = tracked.m_losses;
@@ -73,8 +74,8 @@
     lower_loss_start(tracked, received_lost_ms);
 }
 
-// Puts the state in force together with the timers, counters and indices that depend on it. The
-// entry's part of the bucket hash must be toggled out before.
+// Sets the state together with the timers, counters and indices that depend on it. The caller must
+// have removed the entry from its bucket hash.
 void enter_state(membership_table& table, tracked_member& tracked, member_state state,
                  time_point now) {
     const std::string& name = tracked.m_member.m_instance;
--- a/tests/entry_points_test.cpp
+++ b/tests/entry_points_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the choice of entry points.
+// Tests of the selection of entry points.
 #include <set>
 #include <string>
 #include <vector>
@@ -19,7 +19,7 @@
 
 BOOST_AUTO_TEST_SUITE(entry_points)
 
-// Guards against a list of entry points that grows with the fleet.
+// Guards against a list of entry points that grows with the number of members.
 BOOST_AUTO_TEST_CASE(slots_do_not_grow_with_the_members) {
     std::set<std::string> slots;
     for (std::size_t index = 0; index < 14'000; ++index) {
@@ -28,8 +28,8 @@
     BOOST_TEST(slots.size() == 8U);
 }
 
-// Guards against a herd of joining nodes that loads other data centres, and against a small data
-// centre whose few members are all gone.
+// Guards against many joining nodes that load other data centres, and against a small data centre
+// whose few entry points are all gone.
 BOOST_AUTO_TEST_CASE(own_data_centre_is_preferred_when_it_has_enough) {
     std::vector<entry_point> all;
     for (std::size_t index = 0; index < 24; ++index) {
@@ -40,7 +40,7 @@
     BOOST_TEST(join_entry_points(all, "").size() == 24U);
 }
 
-// Guards against nodes that started together and know nobody of another group.
+// Guards against nodes that started together and know no member of another group.
 BOOST_AUTO_TEST_CASE(unknown_entry_points_are_returned) {
     node_schedule schedule = make_schedule(4, 1, milliseconds(1), 0);
     const std::vector<entry_point> all{entry_of(1, "0"), entry_of(2, "0"), entry_of(7, "1")};
@@ -49,8 +49,8 @@
         (unknown_entry_points(table, all) == std::vector<ip_endpoint>{node_entry(7, 1).m_bulk}));
 }
 
-// Guards against slots that name a lost instance for ever, and against watchers that fill them with
-// different members.
+// Guards against slots that keep the address of a lost instance for ever, and against watchers that
+// fill them with different members.
 BOOST_AUTO_TEST_CASE(slots_of_lost_instances_get_a_live_member) {
     node_schedule schedule = make_schedule(16, 1, milliseconds(1), 0);
     const std::vector<entry_point> all{entry_of(4, "0"), entry_of(100, "1"), entry_of(101, "2")};
@@ -61,8 +61,8 @@
     BOOST_TEST(named.m_instance == member_for_slot(schedule.m_nodes[8].m_members, "1").m_instance);
 }
 
-// Guards against calls to the store that grow with the data centres, and against so few watchers
-// that the store turns all of them away.
+// Guards against calls to the store that grow with the number of data centres, and against so few
+// watchers that the store rejects all of them.
 BOOST_AUTO_TEST_CASE(watchers_per_data_centre_shrink_with_their_number) {
     BOOST_TEST(watchers_per_data_centre(1) == 6U);
     BOOST_TEST(watchers_per_data_centre(3) == 2U);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the failure detector and the spread of entries in meshes with delay, loss, partitions,
+// Tests of the failure detector and of the dissemination of entries with delay, loss, partitions,
 // pauses and restarts.
 #include <algorithm>
 #include <numeric>
@@ -18,7 +18,8 @@
 
 using std::chrono::seconds;
 
-// Whether every node that is up sees exactly the nodes that are up as alive.
+// Returns whether the live members of every running node are exactly the running nodes that have
+// not left, all alive and with their current incarnation.
 bool all_agree(const node_schedule& schedule) {
     for (const scheduled_node& node : schedule.m_nodes) {
         if (!node.m_up) {
@@ -42,7 +43,8 @@
     return true;
 }
 
-// The indices that are kept incrementally must equal what a walk of the table gives.
+// Checks that the incrementally maintained counters and hashes equal those computed from the whole
+// table.
 void check_indices(const membership_table& table) {
     membership_table fresh = make_membership(table.m_self, {}, 1, table.m_last_tick);
     std::vector<member> live;
@@ -54,7 +56,7 @@
     BOOST_TEST(member_bucket_hashes(table) == member_bucket_hashes(fresh));
 }
 
-// Counts members that are up, reachable and still declared dead by someone on the same side.
+// Counts deaths declared by an observer of running members that are connected to it.
 void count_false_deaths(node_schedule& schedule, std::size_t& deaths,
                         std::function<bool(std::size_t, std::size_t)> connected) {
     schedule.m_on_change = [&schedule, &deaths, connected](std::size_t observer,
@@ -80,8 +82,8 @@
 
 BOOST_AUTO_TEST_SUITE(membership)
 
-// Guards against a side of a partition that forgets the other one, and against a node that joins
-// meanwhile and doesn't learn when the loss began.
+// Guards against a side of a partition that drops the members of the other side, and against a node
+// that joins during the partition and does not receive the time at which the loss began.
 BOOST_AUTO_TEST_CASE(mass_loss_is_retained_and_shared) {
     constexpr std::size_t count = 10;
     node_schedule schedule = make_schedule(count, 1, milliseconds(2), 0);
@@ -111,7 +113,8 @@
 }
 
 // Guards against halves that never find each other again after a partition that outlasts the
-// retention of dead members, and against a half that believes the other half's view of itself.
+// retention of dead members, and against a half that accepts the other half's view that its own
+// members are dead.
 BOOST_AUTO_TEST_CASE(halves_of_a_partition_heal) {
     for (const std::uint64_t seed : schedule_seeds(40)) {
         constexpr std::size_t count = 24;
@@ -126,12 +129,12 @@
             return split && from % 2 != to % 2 ? std::nullopt : usual(from, to);
         };
         std::size_t deaths = 0;
-        // The other half's suspicions may still run out right after the partition; nobody may
-        // declare a member of the own half dead.
+        // The other half's suspicions may still expire right after the partition, but nobody may
+        // declare a member of its own half dead.
         count_false_deaths(schedule, deaths, [](std::size_t observer, std::size_t index) {
             return observer % 2 == index % 2;
         });
-        // Deaths are still being passed on when a short partition heals.
+        // If the partition is short, reports of deaths are still being forwarded when it heals.
         const std::uint64_t longest = seed % 2 == 0 ? 5'000 : 90'000;
         run_for(schedule, seconds(8) + milliseconds(schedule.m_random.below(longest)));
         split = false;
@@ -143,8 +146,8 @@
     }
 }
 
-// Guards against a slow observer that has healthy members declared dead, and against one that is
-// declared dead itself although it answers.
+// Guards against a slow observer whose suspicions get healthy members declared dead, and against a
+// slow member that is declared dead although it answers.
 BOOST_AUTO_TEST_CASE(slow_observer_declares_nobody_dead) {
     for (const std::uint64_t seed : schedule_seeds(10)) {
         node_schedule schedule = make_schedule(20, seed, milliseconds(2), 0.03);
@@ -165,7 +168,7 @@
 }
 
 // Guards against a slow observer that suspects a member at each of its probes: acks take longer
-// than a whole probe interval, and only longer timeouts of its own keep it quiet.
+// than a whole probe interval, so that only longer timeouts of the observer prevent suspicions.
 BOOST_AUTO_TEST_CASE(slow_observer_lengthens_its_timeouts) {
     for (const std::uint64_t seed : schedule_seeds(10)) {
         node_schedule schedule = make_schedule(20, seed, milliseconds(2), 0.0);
@@ -184,8 +187,8 @@
     }
 }
 
-// Guards against a process that was stopped for a while and takes its own pause for the death of
-// the others.
+// Guards against a process that was stopped for a while and declares the other members suspect or
+// dead because of its own pause.
 BOOST_AUTO_TEST_CASE(paused_process_suspects_nobody) {
     for (const std::uint64_t seed : schedule_seeds(40)) {
         node_schedule schedule = make_schedule(10, seed, milliseconds(2), 0.0);
@@ -199,7 +202,7 @@
             changes += suspected && instance != node_name(0) ? 1 : 0;
         };
         run_for(schedule, milliseconds(schedule.m_random.below(2'000)));
-        // The ack of a ping arrives during the pause.
+        // The pause begins while a probe is in progress, so that its ack arrives during the pause.
         while (schedule.m_nodes[0].m_members.m_probes.empty()) {
             run_for(schedule, milliseconds(1));
         }
@@ -213,13 +216,13 @@
     }
 }
 
-// Guards against leaves that are learnt too late (target 3 s), deaths that are never noticed, and
-// members that are missed by rumours for long. Tables are not exchanged here.
+// Guards against leaves that take too long to reach all members (target 3 s), deaths that are never
+// detected, and members that rumours miss for a long time. Tables are not exchanged here.
 BOOST_AUTO_TEST_CASE(leave_and_death_reach_every_member) {
     for (const std::uint64_t seed : schedule_seeds(20)) {
         node_schedule schedule = make_schedule(60, seed, milliseconds(2), 0.05);
         schedule.m_exchange = false;
-        std::size_t underestimated = 0; // estimates
+        std::size_t underestimated = 0; // packets
         std::size_t seen = 0;
         schedule.m_on_send = [&underestimated, &seen](const packet& value) {
             if (seen++ % 50 == 0) {
@@ -255,8 +258,8 @@
     }
 }
 
-// Guards against tables that differ for ever after members are killed, leave and restart in any
-// order, and against indices that drift from the table.
+// Guards against tables that never converge after members are killed, leave and restart in any
+// order, and against indices that diverge from the table.
 BOOST_AUTO_TEST_CASE(tables_converge_after_any_churn) {
     for (const std::uint64_t seed : schedule_seeds(60)) {
         constexpr std::size_t count = 9;
@@ -266,7 +269,7 @@
             const std::size_t chosen = 1 + schedule.m_random.below(count - 1);
             scheduled_node& node = schedule.m_nodes[chosen];
             if (!node.m_up || schedule.m_random.below(4) == 0) {
-                // Also at once, under the same name and address, as a crash loop does.
+                // Possibly immediately, under the same name and address, as in a crash loop.
                 start_node(schedule, chosen);
                 join_node(schedule, chosen, 0);
             } else if (schedule.m_random.below(2) == 0) {
@@ -279,7 +282,7 @@
                             membership_update_self(node.m_members, true, schedule.m_now));
             }
         }
-        // A node whose join request got lost knows nobody and asks again.
+        // A node whose join request was lost knows no member and asks again.
         for (std::size_t index = 1; index < count; ++index) {
             while (schedule.m_nodes[index].m_up &&
                    schedule.m_nodes[index].m_members.m_members.empty()) {
@@ -295,7 +298,7 @@
     }
 }
 
-// Guards against a dead member revived by entries that are older than its death, in any order.
+// Guards against entries that are older than a member's death and revive it, in any order.
 BOOST_AUTO_TEST_CASE(older_entries_do_not_revive) {
     const time_point now{std::chrono::hours(1)};
     for (const std::uint64_t seed : schedule_seeds(500)) {
@@ -318,7 +321,7 @@
             BOOST_TEST((find_member(table, node_name(9))->m_member.m_state == gone),
                        "CARAWAY_SEED=" << seed);
         }
-        // A restart replaces it, but the version of the predecessor is remembered.
+        // A restart replaces the entry, but the version of the predecessor is kept.
         member restarted = entry_with_state(member_state::alive, 6);
         restarted.m_config_version = 0;
         membership_merge(table, std::span(&restarted, 1), now);
@@ -328,8 +331,9 @@
     }
 }
 
-// Guards against a death that rests on hearsay or on a single lost packet: before a member is
-// declared dead, this node has pinged it in vain several times with the accusation.
+// Guards against a death declared from received suspicions alone or after a single lost packet:
+// before this node declares a member dead, it has pinged it several times with the suspicion and
+// without an answer.
 BOOST_AUTO_TEST_CASE(member_is_declared_dead_only_after_own_pings) {
     for (const std::uint64_t seed : schedule_seeds(100)) {
         time_point now{std::chrono::hours(1)};
@@ -339,7 +343,7 @@
             others.push_back(node_entry(index, 5));
         }
         membership_merge(table, others, now);
-        // A suspicion arrives in a packet, or a death in another node's table.
+        // The claim is a suspicion in a packet or a death in another node's table.
         const std::vector<member> claim{
             entry_with_state(seed % 2 == 0 ? member_state::suspect : member_state::dead, 5)};
         if (seed % 2 == 0) {
@@ -376,7 +380,7 @@
     }
 }
 
-// Guards against a suspected member that stays silent until it is declared dead.
+// Guards against a suspected member that does not refute and is declared dead.
 BOOST_AUTO_TEST_CASE(suspected_member_refutes_at_once) {
     const time_point now{std::chrono::hours(1)};
     for (const member_state state : {member_state::suspect, member_state::dead}) {
@@ -406,9 +410,9 @@
     }
 }
 
-// Guards against traffic between data centres that grows with the square of the members: at rest
-// and after a change only the carriers of a data centre and the changed member itself send there,
-// and everyone knows the change in time all the same.
+// Guards against traffic between data centres that grows with the square of the number of members:
+// at rest and after a change only the gateways of a data centre and the changed member itself send
+// to other data centres, and all members still receive the change in time.
 BOOST_AUTO_TEST_CASE(updates_cross_data_centres_through_few_members) {
     constexpr std::size_t count = 120; // 30 in each of 4 data centres
     for (const std::uint64_t seed : schedule_seeds(5)) {
@@ -426,7 +430,8 @@
         const auto senders = static_cast<std::size_t>(
             std::count_if(crossing.begin(), crossing.end(), [](std::size_t n) { return n > 10; }));
         const std::size_t crossed = std::accumulate(crossing.begin(), crossing.end(), 0UL);
-        // Three carriers a data centre; the others only answer probes, some three in this time.
+        // Three gateways per data centre; other members only answer probes, about three in this
+        // time.
         BOOST_TEST(senders <= 24U, "CARAWAY_SEED=" << seed << " senders " << senders);
         BOOST_TEST(crossed * 5 <= packets, "CARAWAY_SEED=" << seed);
 
@@ -438,8 +443,8 @@
     }
 }
 
-// Guards against a data centre that hears nothing more when all of its carriers die at once, and
-// against members that are lost or come back without the other data centres knowing.
+// Guards against a data centre that receives no more changes when all of its gateways die at once,
+// and against deaths of gateways that the other data centres never detect.
 BOOST_AUTO_TEST_CASE(loss_of_all_gateways_is_recovered) {
     constexpr std::size_t count = 80; // 20 in each of 4 data centres
     for (const std::uint64_t seed : schedule_seeds(5)) {
@@ -475,8 +480,8 @@
     }
 }
 
-// Guards against a data centre that is lost as a whole and stays alive in the others' tables, and
-// against one that comes back without being known again.
+// Guards against a data centre that fails as a whole and stays alive in the tables of the others,
+// and against one that comes back without being detected.
 BOOST_AUTO_TEST_CASE(loss_and_return_of_a_data_centre_are_detected) {
     constexpr std::size_t count = 80;
     for (const std::uint64_t seed : schedule_seeds(3)) {
@@ -508,7 +513,7 @@
     }
 }
 
-// Guards against rumours that circle for ever: each node sends a suspension to its fanout once.
+// Guards against rumours that circulate for ever: each node sends a suspension to its fanout once.
 BOOST_AUTO_TEST_CASE(rumour_is_forwarded_once) {
     for (const std::uint64_t seed : schedule_seeds(10)) {
         constexpr std::size_t count = 50;
@@ -518,7 +523,7 @@
         const suspension suspended{"move-1", "surveys", "2.0", node_name(0), "failures", 1};
         std::size_t sent = 0;
         schedule.m_on_send = [&sent](const packet& value) { sent += value.m_suspensions.size(); };
-        // Ends the schedule of a fault, which would otherwise multiply its packets without end.
+        // Stops a faulty run, which would otherwise multiply its packets without end.
         schedule.m_link = [usual = schedule.m_link, &sent](std::size_t from, std::size_t to) {
             return sent > 100 * count ? std::nullopt : usual(from, to);
         };
@@ -534,23 +539,25 @@
         });
         run_for(schedule, seconds(5));
         BOOST_TEST(took.has_value(), "CARAWAY_SEED=" << seed);
-        // The first node sends it to the three other data centres as well.
+        // The first node also sends it to the three other data centres.
         BOOST_TEST(sent <= 4 * count + 3, "CARAWAY_SEED=" << seed << " sent " << sent);
         BOOST_TEST(sent >= 3 * count, "CARAWAY_SEED=" << seed);
     }
 }
 
-// Guards against nodes that date a restarted name differently and so use different registrars of a
-// key: all of them, the restarted process and late joiners too, keep its first start.
+// Guards against nodes that hold different first starts of a restarted name and so choose different
+// registrars of a key: all of them, including the restarted process and late joiners, must keep its
+// first start.
 BOOST_AUTO_TEST_CASE(first_start_of_a_name_is_the_same_everywhere) {
     for (const std::uint64_t seed : schedule_seeds(20)) {
         constexpr std::size_t count = 10;
         node_schedule schedule = make_schedule(count, seed, milliseconds(2), 0.1);
         const std::uint64_t first = schedule.m_nodes[1].m_members.m_self.m_first_incarnation;
         for (std::size_t round = 0; round < 4; ++round) {
-            // Some restarts come before, some after the death is known.
+            // Some restarts happen before and some after the death is detected.
             run_for(schedule, milliseconds(1'000 + schedule.m_random.below(10'000)));
-            // The new node joins through the restarted one, which doesn't know its first start yet.
+            // The new node joins through the restarted one, which does not know its first start
+            // yet.
             start_node(schedule, 1);
             start_node(schedule, count + round);
             while (schedule.m_nodes[count + round].m_members.m_members.empty()) {
@@ -573,7 +580,7 @@
                 });
         });
         BOOST_TEST(took.has_value(), "CARAWAY_SEED=" << seed);
-        run_for(schedule, seconds(40)); // within the exchange of tables
+        run_for(schedule, seconds(40)); // longer than the interval of table comparisons
         BOOST_TEST(schedule.m_nodes[1].m_members.m_self.m_first_incarnation == first);
         const auto hashes = member_bucket_hashes(schedule.m_nodes[0].m_members);
         for (const scheduled_node& node : schedule.m_nodes) {
@@ -582,7 +589,7 @@
     }
 }
 
-// Guards against a member whose address nobody learns: a node that others don't know pings them.
+// Guards against a member whose address no other member obtains: an unknown node pings them.
 BOOST_AUTO_TEST_CASE(unknown_sender_becomes_known) {
     for (const std::uint64_t seed : schedule_seeds(20)) {
         node_schedule schedule = make_schedule(12, seed, milliseconds(2), 0.1);
@@ -598,7 +605,7 @@
     }
 }
 
-// Guards against a broken path between two members that is taken for a death.
+// Guards against a broken path between two members that is mistaken for a death.
 BOOST_AUTO_TEST_CASE(indirect_probes_bridge_a_broken_path) {
     for (const std::uint64_t seed : schedule_seeds(20)) {
         node_schedule schedule = make_schedule(8, seed, milliseconds(2), 0.0);
@@ -614,7 +621,8 @@
     }
 }
 
-// Guards against a suspicion time that is too short for a refutation to cross a large mesh.
+// Guards against a suspicion time that is too short for a refutation to spread through a large
+// mesh.
 BOOST_AUTO_TEST_CASE(suspicion_time_grows_with_the_logarithm_of_the_table) {
     std::vector<double> times;
     for (const std::size_t count : {8U, 98U, 998U, 9'998U}) {
@@ -625,7 +633,8 @@
             others.push_back(node_entry(index, 1));
         }
         membership_merge(table, others, now);
-        // Nobody answers: the first member that is suspected is the first to be declared dead.
+        // No member answers, so the first member that is suspected is the first to be declared
+        // dead.
         std::optional<time_point> suspected;
         std::optional<time_point> dead;
         while (!dead) {
--- a/tests/node_schedule.hpp
+++ b/tests/node_schedule.hpp
@@ -1,6 +1,6 @@
-// Runs the decisions of many nodes in one thread under a manual clock: packets and bulk requests
-// arrive after a seeded delay or get lost. It stands for sockets and the control loop only; nothing
-// of the nodes' decisions is modelled here.
+// Runs the decision code of many nodes in one thread with a manual clock. Packets and bulk requests
+// arrive after a seeded delay or are lost. Only sockets and the control loop are simulated; the
+// nodes run the real decision code.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 namespace caraway {
 
-// A text whose content depends on its version.
+// Returns a configuration text whose content depends on its version.
 inline config_text text_of(std::uint64_t version) {
     auto text = std::make_shared<const std::string>("text " + std::to_string(version));
     return {version, hash_bytes(*text), text};
@@ -31,27 +31,27 @@
     distribution_state m_config;
     fact_table m_facts;
     bool m_up = true;
-    std::uint64_t m_started = 0;         // counts the restarts, so that late replies are dropped
+    std::uint64_t m_started = 0;         // counts the starts, so that late replies are dropped
     std::uint64_t m_highest_applied = 0; // across restarts
-    time_point m_paused_until;           // the process is stopped; what arrives waits
+    time_point m_paused_until;           // the process is stopped until then; packets wait
 };
 
 struct node_schedule {
-    // Decides the fate of a packet or request between two nodes: its delay, or nothing when lost.
+    // Returns the delay of a packet or request between two nodes, or nothing if it is lost.
     using link = std::function<std::optional<duration>(std::size_t from, std::size_t to)>;
 
     std::vector<scheduled_node> m_nodes;
     time_point m_now{std::chrono::hours{1}};
     random_source m_random{1};
     link m_link;
-    link m_bulk;                    // for bulk requests; m_link when empty
-    bool m_exchange = true;         // compare tables when that is due
-    std::uint64_t m_store = 0;      // accepted version, 0 if none
-    std::uint64_t m_packets = 0;    // sent, by all nodes
-    std::uint64_t m_rumours = 0;    // of these, rumours
-    std::uint64_t m_bytes = 0;      // of these packets, estimated
-    std::size_t m_largest = 0;      // largest packet
-    std::uint64_t m_downgrades = 0; // versions applied below an earlier one of the same name
+    link m_bulk;                    // for bulk requests; m_link if empty
+    bool m_exchange = true;         // whether due comparisons of tables run
+    std::uint64_t m_store = 0;      // accepted version in the store, 0 if none
+    std::uint64_t m_packets = 0;    // packets sent by all nodes
+    std::uint64_t m_rumours = 0;    // rumours among m_packets
+    std::uint64_t m_bytes = 0;      // estimated bytes of m_packets
+    std::size_t m_largest = 0;      // estimated bytes of the largest packet
+    std::uint64_t m_downgrades = 0; // versions applied below an earlier one of the same instance
     std::function<void(std::size_t observer, const std::string& instance)> m_on_change;
     std::function<void(const packet&)> m_on_send;
 
@@ -93,7 +93,7 @@
     return self;
 }
 
-// Delivers after a delay of half to one and a half times the mean; loses packets at the given rate.
+// Returns a link with a delay of 0.5 to 1.5 times the mean that loses packets at the given rate.
 inline node_schedule::link seeded_link(duration mean, double loss, std::uint64_t seed) {
     auto random = std::make_shared<random_source>(seed);
     return [random, mean, loss](std::size_t, std::size_t) -> std::optional<duration> {
@@ -119,7 +119,7 @@
     return schedule.m_bulk ? schedule.m_bulk(from, to) : schedule.m_link(from, to);
 }
 
-// Delivers a packet, or lets it wait while the receiver is paused.
+// Delivers a packet. If the receiver is paused, the packet waits until the pause ends.
 inline void deliver(node_schedule& schedule, std::size_t to, const ip_endpoint& from,
                     const std::shared_ptr<const packet>& sent) {
     scheduled_node& receiver = schedule.m_nodes[to];
@@ -127,7 +127,7 @@
         return;
     }
     if (schedule.m_now < receiver.m_paused_until) {
-        // The timers of the process run before it reads its sockets.
+        // The process runs its timers before it reads its sockets.
         at(schedule, receiver.m_paused_until + milliseconds(1),
            [to, from, sent](node_schedule& later) { deliver(later, to, from, sent); });
         return;
@@ -135,7 +135,7 @@
     run_actions(schedule, to, membership_receive(receiver.m_members, *sent, from, schedule.m_now));
 }
 
-// What the control loop does with the actions of the membership.
+// Carries out membership actions in place of the control loop.
 inline void run_actions(node_schedule& schedule, std::size_t index,
                         std::vector<membership_action> actions) {
     using kind = membership_action::kind;
@@ -222,7 +222,7 @@
     }
 }
 
-// What the control loop does with the actions of the distribution. Every text parses.
+// Carries out distribution actions in place of the control loop. Every text parses successfully.
 inline void run_actions(node_schedule& schedule, std::size_t index,
                         std::vector<distribution_action> actions) {
     using kind = distribution_action::kind;
@@ -280,7 +280,7 @@
     }
 }
 
-// The node reads the accepted text from the store.
+// Lets the node read the accepted text from the store.
 inline void read_store(node_schedule& schedule, std::size_t index) {
     scheduled_node& node = schedule.m_nodes[index];
     const auto text =
@@ -290,7 +290,7 @@
                                         schedule.m_now));
 }
 
-// Compares tables with another node and merges the buckets that differ, both ways.
+// Compares the tables of two nodes and merges differing buckets in both directions.
 inline void exchange_tables(node_schedule& schedule, std::size_t index, std::size_t other) {
     scheduled_node& node = schedule.m_nodes[index];
     if (!node.m_up) {
@@ -332,7 +332,7 @@
        [index, started](node_schedule& later) { tick_node(later, index, started); });
 }
 
-// Starts a node, or starts it again under the same name with an empty memory. It knows nobody yet.
+// Starts a node, or restarts it under the same name without state. It knows no other member yet.
 inline void start_node(node_schedule& schedule, std::size_t index) {
     if (schedule.m_nodes.size() <= index) {
         schedule.m_nodes.resize(index + 1);
@@ -352,7 +352,7 @@
        [index, started](node_schedule& later) { tick_node(later, index, started); });
 }
 
-// The node asks the other to let it join, and hears its table, version and facts.
+// Lets the node join through the other one: it receives the other's table and held version.
 inline void join_node(node_schedule& schedule, std::size_t index, std::size_t other) {
     scheduled_node& node = schedule.m_nodes[index];
     const scheduled_node& member_node = schedule.m_nodes[other];
@@ -373,7 +373,7 @@
                                     live_member_count(node.m_members), schedule.m_now));
 }
 
-// Starts count nodes that know each other.
+// Starts count nodes that know each other. Link delays and losses follow from the seed.
 inline node_schedule make_schedule(std::size_t count, std::uint64_t seed, duration delay,
                                    double loss) {
     node_schedule schedule;
@@ -390,7 +390,7 @@
     return schedule;
 }
 
-// Runs everything that is due within the time.
+// Runs all events that are due within the time and advances the clock by it.
 inline void run_for(node_schedule& schedule, duration time) {
     const time_point end = schedule.m_now + time;
     while (!schedule.m_events.empty() && schedule.m_events.top().m_at <= end) {
@@ -402,8 +402,8 @@
     schedule.m_now = end;
 }
 
-// Runs until the condition holds, looked at every 10 ms. Returns the time it took, or nothing when
-// the limit passed first.
+// Runs until the condition holds, checked every 10 ms. Returns the time it took, or nothing if the
+// limit passed first.
 inline std::optional<duration> run_until(node_schedule& schedule, duration limit,
                                          const std::function<bool()>& condition) {
     const time_point start = schedule.m_now;
@@ -416,7 +416,7 @@
     return schedule.m_now - start;
 }
 
-// Whether every node that is up holds the given state of the instance.
+// Returns whether every other running node holds the given state of the instance.
 inline bool all_hold_state(const node_schedule& schedule, std::size_t instance,
                            member_state state) {
     const std::string name = node_name(instance);
