--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -25,15 +25,15 @@
 }
 
 std::string encode_refusal(std::uint64_t revision, const std::vector<text_fault>& faults) {
-    boost::json::array list;
+    boost::json::array fault_list;
     for (const text_fault& fault : faults) {
-        list.push_back(boost::json::object{{"line", fault.m_line},
-                                           {"column", fault.m_column},
-                                           {"found", fault.m_found},
-                                           {"expected", fault.m_expected}});
+        fault_list.push_back(boost::json::object{{"line", fault.m_line},
+                                                 {"column", fault.m_column},
+                                                 {"found", fault.m_found},
+                                                 {"expected", fault.m_expected}});
     }
     return boost::json::serialize(
-        boost::json::object{{"source_revision", revision}, {"faults", std::move(list)}});
+        boost::json::object{{"source_revision", revision}, {"faults", std::move(fault_list)}});
 }
 
 void write_refusal(control& state, std::uint64_t revision, const std::vector<text_fault>& faults) {
@@ -95,8 +95,8 @@
                        });
 }
 
-void write_whole(control& state, const accepted_record& record, std::string_view text,
-                 std::string delta) {
+void write_whole_text(control& state, const accepted_record& record, std::string_view text,
+                      std::string delta) {
     state.m_store->put(text_key(record.m_version, record.m_hash),
                        store_whole_text(record.m_version, record.m_hash, text), 0, {},
                        [&state, record, delta = std::move(delta)](const store_reply& reply) {
@@ -141,10 +141,10 @@
     if (!is_small_delta(delta.size(), text.size())) {
         delta.clear();
     }
-    write_whole(state, record, text, std::move(delta));
+    write_whole_text(state, record, text, std::move(delta));
 }
 
-void judge_text(control& state, const std::string& text, std::uint64_t revision) {
+void process_submitted_text(control& state, const std::string& text, std::uint64_t revision) {
     accepter_role& role = state.m_accepter;
     const acceptance_decision decision = decide_acceptance(
         text, revision, role.m_accepted, role.m_accepted_mesh.get(), role.m_refused_revision,
@@ -163,111 +163,112 @@
     }
 }
 
-void read_text(control& state) {
+void read_submitted_text(control& state) {
     state.m_store->get(text_store_key, [&state](const store_reply& reply) {
         if (reply.m_kind != error_kind::none) {
             reset_accepter(state.m_accepter, state.now() + store_retry_pause);
             return;
         }
-        judge_text(state, reply.m_value, reply.m_revision);
+        process_submitted_text(state, reply.m_value, reply.m_revision);
     });
 }
 
-void learn_submitted(control& state, const submitted_revisions& seen);
+void process_submitted_revisions(control& state, const submitted_revisions& submitted);
 
 // Takes the difference that carawayctl has written after the text. It names the text's revision in
 // place of a version. One that names an older text was written late, after another text.
-void take_text_delta(control& state, const submitted_revisions& seen, const store_reply& reply) {
+void apply_submitted_delta(control& state, const submitted_revisions& submitted,
+                           const store_reply& reply) {
     error reason;
     const auto delta = decode_stored_text(reply.m_value, reason);
     // A text always has a lower revision than its difference; a higher one named by mistake would
     // keep all later texts from being judged.
-    if (!delta || delta->m_version < seen.m_text || delta->m_version >= reply.m_revision) {
-        state.m_accepter.m_unusable_delta = seen.m_delta;
-        learn_submitted(state, seen);
+    if (!delta || delta->m_version < submitted.m_text || delta->m_version >= reply.m_revision) {
+        state.m_accepter.m_unusable_delta = submitted.m_delta;
+        process_submitted_revisions(state, submitted);
         return;
     }
     const auto base = delta->m_base_version == 0 ? std::make_shared<const std::string>()
                                                  : find_text(state, delta->m_base_version);
     const auto text = base ? unpack_text(*delta, *base, reason) : std::nullopt;
     if (!text) {
-        read_text(state);
+        read_submitted_text(state);
         return;
     }
-    judge_text(state, *text, delta->m_version);
+    process_submitted_text(state, *text, delta->m_version);
 }
 
-void read_text_delta(control& state, const submitted_revisions& seen) {
-    state.m_store->get(text_delta_store_key, [&state, seen](const store_reply& reply) {
+void read_submitted_delta(control& state, const submitted_revisions& submitted) {
+    state.m_store->get(text_delta_store_key, [&state, submitted](const store_reply& reply) {
         if (reply.m_kind != error_kind::none) {
             reset_accepter(state.m_accepter, state.now() + store_retry_pause);
             return;
         }
-        take_text_delta(state, seen, reply);
+        apply_submitted_delta(state, submitted, reply);
     });
 }
 
-void check_text_revision(control& state);
+void check_submitted_revisions(control& state);
 
-void wait_for_delta(control& state) {
+void wait_for_submitted_delta(control& state) {
     const accepter_role& role = state.m_accepter;
-    const auto left = std::chrono::duration_cast<milliseconds>(role.m_seen_at +
-                                                               submitted_delta_wait - state.now());
-    state.m_store->watch_keys(text_store_key, role.m_watch_after, std::max(left, milliseconds{1}),
-                              [&state](const store_reply& reply) {
-                                  if (reply.m_kind != error_kind::none) {
-                                      reset_accepter(state.m_accepter,
-                                                     state.now() + store_retry_pause);
-                                      return;
-                                  }
-                                  check_text_revision(state);
-                              });
+    const auto remaining = std::chrono::duration_cast<milliseconds>(
+        role.m_seen_at + submitted_delta_wait - state.now());
+    state.m_store->watch_keys(
+        text_store_key, role.m_watch_after, std::max(remaining, milliseconds{1}),
+        [&state](const store_reply& reply) {
+            if (reply.m_kind != error_kind::none) {
+                reset_accepter(state.m_accepter, state.now() + store_retry_pause);
+                return;
+            }
+            check_submitted_revisions(state);
+        });
 }
 
 // Goes on with the submitted text, given the revisions that the store holds. Only a new text is
 // read; it may be near a megabyte.
-void learn_submitted(control& state, const submitted_revisions& seen) {
+void process_submitted_revisions(control& state, const submitted_revisions& submitted) {
     accepter_role& role = state.m_accepter;
-    if (seen.m_text != role.m_seen_text) {
-        role.m_seen_text = seen.m_text;
+    if (submitted.m_text != role.m_seen_text) {
+        role.m_seen_text = submitted.m_text;
         role.m_seen_at = state.now();
     }
-    const std::uint64_t decided =
+    const std::uint64_t decided_revision =
         std::max(role.m_refused_revision, role.m_accepted ? role.m_accepted->m_source_revision : 0);
-    switch (choose_source(seen, role.m_text_revision, decided, role.m_unusable_delta,
+    switch (choose_source(submitted, role.m_text_revision, decided_revision, role.m_unusable_delta,
                           state.now() - role.m_seen_at)) {
     case text_source::nothing:
         role.m_busy = false;
         break;
     case text_source::delta:
-        read_text_delta(state, seen);
+        read_submitted_delta(state, submitted);
         break;
     case text_source::wait:
-        wait_for_delta(state);
+        wait_for_submitted_delta(state);
         break;
     case text_source::whole:
-        read_text(state);
+        read_submitted_text(state);
         break;
     }
 }
 
-void check_text_revision(control& state) {
+void check_submitted_revisions(control& state) {
     state.m_store->list_keys(text_store_key, [&state](const store_reply& reply) {
         accepter_role& role = state.m_accepter;
         if (reply.m_kind != error_kind::none) {
             reset_accepter(role, state.now() + store_retry_pause);
             return;
         }
-        submitted_revisions seen;
+        submitted_revisions submitted;
         for (const store_entry& entry : reply.m_entries) {
             if (entry.m_key == text_store_key) {
-                seen.m_text = entry.m_revision;
+                submitted.m_text = entry.m_revision;
             } else if (entry.m_key == text_delta_store_key) {
-                seen.m_delta = entry.m_revision;
+                submitted.m_delta = entry.m_revision;
             }
         }
-        role.m_watch_after = std::max(seen.m_text, seen.m_delta);
-        learn_submitted(state, seen);
+        role.m_watch_after = std::max(submitted.m_text, submitted.m_delta);
+        process_submitted_revisions(state, submitted);
     });
 }
 
@@ -287,7 +288,7 @@
 }
 
 // Removes the record of a move unless it has been replaced by that of a later move.
-void remove_record(control& state, const std::string& service, const std::string& id) {
+void remove_move_record(control& state, const std::string& service, const std::string& id) {
     const std::string key = std::string(state.m_adapter.m_move_prefix) + service;
     state.m_store->get(key, [&state, key, id](const store_reply& reply) {
         const auto record = reply.m_kind == error_kind::none
@@ -301,22 +302,22 @@
 
 // Removes the records of moves that the accepted text no longer names; their verdicts stay. Readers
 // read all records every 10 s, so that old ones would cost bytes for ever.
-void remove_ended_moves(control& state, const mesh& before, const mesh& after) {
+void remove_ended_move_records(control& state, const mesh& before, const mesh& after) {
     for (const auto& [name, service] : before.m_services) {
-        const auto now = after.m_services.find(name);
-        const bool moving = now != after.m_services.end() && now->second.m_move;
-        if (service.m_move && !moving) {
-            remove_record(state, name, move_id(name, *service.m_move));
+        const auto current = after.m_services.find(name);
+        const bool still_moving = current != after.m_services.end() && current->second.m_move;
+        if (service.m_move && !still_moving) {
+            remove_move_record(state, name, move_id(name, *service.m_move));
         }
     }
 }
 
-void take_accepted_text(control& state, std::shared_ptr<const std::string> text) {
+void set_accepted_text(control& state, std::shared_ptr<const std::string> text) {
     accepter_role& role = state.m_accepter;
     std::vector<text_fault> faults;
     auto parsed = parse_mesh(*text, wall_time{}, nullptr, faults);
     if (parsed && role.m_accepted_mesh) {
-        remove_ended_moves(state, *role.m_accepted_mesh, *parsed);
+        remove_ended_move_records(state, *role.m_accepted_mesh, *parsed);
     }
     role.m_accepted_mesh = parsed ? std::make_shared<const mesh>(std::move(*parsed)) : nullptr;
     role.m_accepted_text = std::move(text);
@@ -327,27 +328,28 @@
             config_text{role.m_accepted->m_version, role.m_accepted->m_hash, role.m_accepted_text};
         remove_old_texts(state, *role.m_accepted);
     }
-    check_text_revision(state);
+    check_submitted_revisions(state);
 }
 
 // Finds the text of the accepted record, against which the next text is judged: as read or
 // written before, as held for distribution, or in the store.
-void find_accepted_text(control& state) {
+void load_accepted_text(control& state) {
     accepter_role& role = state.m_accepter;
     const accepted_record& record = *role.m_accepted;
     if (role.m_accepted_text && role.m_accepted_text_version == record.m_version &&
         hash_bytes(*role.m_accepted_text) == record.m_hash) {
         role.m_accepted_read = true;
-        check_text_revision(state);
+        check_submitted_revisions(state);
         return;
     }
     if (role.m_written_text && hash_bytes(*role.m_written_text) == record.m_hash) {
-        take_accepted_text(state, std::move(role.m_written_text));
+        set_accepted_text(state, std::move(role.m_written_text));
         return;
     }
-    const auto held = state.m_distribution.m_texts.find(record.m_version);
-    if (held != state.m_distribution.m_texts.end() && held->second.m_hash == record.m_hash) {
-        take_accepted_text(state, held->second.m_text);
+    const auto held_text = state.m_distribution.m_texts.find(record.m_version);
+    if (held_text != state.m_distribution.m_texts.end() &&
+        held_text->second.m_hash == record.m_hash) {
+        set_accepted_text(state, held_text->second.m_text);
         return;
     }
     read_stored_text(state, record,
@@ -356,11 +358,11 @@
                              reset_accepter(state.m_accepter, state.now() + store_retry_pause);
                              return;
                          }
-                         take_accepted_text(state, std::move(text));
+                         set_accepted_text(state, std::move(text));
                      });
 }
 
-void read_accepted(control& state) {
+void read_accepted_record(control& state) {
     state.m_store->get(accepted_key, [&state](const store_reply& reply) {
         accepter_role& role = state.m_accepter;
         error reason;
@@ -370,7 +372,7 @@
             role.m_accepted_text.reset();
             role.m_accepted_revision = 0;
             role.m_accepted_read = true;
-            check_text_revision(state);
+            check_submitted_revisions(state);
             return;
         }
         role.m_accepted = reply.m_kind == error_kind::none ? decode_accepted(reply.m_value, reason)
@@ -380,11 +382,11 @@
             return;
         }
         role.m_accepted_revision = reply.m_revision;
-        find_accepted_text(state);
+        load_accepted_text(state);
     });
 }
 
-void watch_text(control& state) {
+void watch_submitted_text(control& state) {
     accepter_role& role = state.m_accepter;
     state.m_store->watch_keys(text_store_key, role.m_watch_after, list_interval,
                               [&state](const store_reply& reply) {
@@ -417,9 +419,9 @@
     }
     role.m_busy = true;
     if (!role.m_accepted_read) {
-        read_accepted(state);
+        read_accepted_record(state);
     } else {
-        watch_text(state);
+        watch_submitted_text(state);
     }
 }
 
--- a/src/node/config_sync.cpp
+++ b/src/node/config_sync.cpp
@@ -8,25 +8,25 @@
 namespace caraway {
 namespace {
 
-void report_parse_failure(std::uint64_t version, const std::vector<text_fault>& faults) {
+void log_parse_failure(std::uint64_t version, const std::vector<text_fault>& faults) {
     const std::string first = faults.empty() ? "unknown" : format_fault("text", faults.front());
     log_event(log_level::error, "config_rejected", {{"version", version}, {"fault", first}});
 }
 
 // The accepter has checked that deadlines lay ahead at acceptance; here an accepted text is valid
 // however late it arrives, so the time of the check is the beginning of the epoch.
-std::optional<mesh> parse_own_text(const control& state, std::uint64_t version,
-                                   std::string_view text) {
+std::optional<mesh> parse_submitted_text(const control& state, std::uint64_t version,
+                                         std::string_view text) {
     std::vector<text_fault> faults;
     auto parsed = parse_mesh(text, wall_time{}, state.m_mesh.get(), faults);
     if (!parsed) {
-        report_parse_failure(version, faults);
+        log_parse_failure(version, faults);
     }
     return parsed;
 }
 
-std::optional<mesh> parse_items_text(const control& state, std::uint64_t version,
-                                     std::string_view text) {
+std::optional<mesh> parse_operator_items(const control& state, std::uint64_t version,
+                                         std::string_view text) {
     const auto items = decode_items(text);
     error reason;
     if (!items) {
@@ -40,30 +40,30 @@
     return parsed;
 }
 
-void parse_text(control& state, std::uint64_t version) {
-    const auto held = state.m_distribution.m_texts.find(version);
-    if (held == state.m_distribution.m_texts.end()) {
+void parse_version(control& state, std::uint64_t version) {
+    const auto held_text = state.m_distribution.m_texts.find(version);
+    if (held_text == state.m_distribution.m_texts.end()) {
         return;
     }
     auto parsed = state.reads_operator_items()
-                      ? parse_items_text(state, version, *held->second.m_text)
-                      : parse_own_text(state, version, *held->second.m_text);
+                      ? parse_operator_items(state, version, *held_text->second.m_text)
+                      : parse_submitted_text(state, version, *held_text->second.m_text);
     const bool valid = parsed.has_value();
     if (valid) {
         state.m_parsed[version] = std::make_shared<const mesh>(std::move(*parsed));
     }
-    perform(state, decide_parsed(state, version, valid));
+    perform(state, decide_text_parsed(state, version, valid));
 }
 
 // Logs data centres that the new text takes out or brings back, for the auditor.
 void log_data_centre_changes(const mesh* before, const mesh& after, std::uint64_t version) {
     for (const auto& [name, spec] : after.m_data_centres) {
-        bool was_out = false;
+        bool was_taken_out = false;
         if (before != nullptr) {
-            const auto old = before->m_data_centres.find(name);
-            was_out = old != before->m_data_centres.end() && old->second.m_out;
+            const auto old_spec = before->m_data_centres.find(name);
+            was_taken_out = old_spec != before->m_data_centres.end() && old_spec->second.m_out;
         }
-        if (spec.m_out != was_out) {
+        if (spec.m_out != was_taken_out) {
             log_event(log_level::info, spec.m_out ? "data_centre_out" : "data_centre_in",
                       {{"of", name}, {"version", version}});
         }
@@ -88,10 +88,11 @@
     const std::shared_ptr<const mesh> before = state.m_mesh;
     state.m_mesh = parsed->second;
     state.m_parsed.erase(state.m_parsed.begin(), std::next(parsed));
-    std::uint64_t previous = state.m_members.m_self.m_config_version;
+    std::uint64_t previous_version = state.m_members.m_self.m_config_version;
     state.m_members.m_self.m_config_version = version;
     log_config_version(version);
-    log_event(log_level::info, "config_applied", {{"version", version}, {"previous", previous}});
+    log_event(log_level::info, "config_applied",
+              {{"version", version}, {"previous", previous_version}});
     log_data_centre_changes(before.get(), *state.m_mesh, version);
     state.m_metrics->set_config_version(version);
     prune_recorded_facts(state, move_ids(*state.m_mesh));
@@ -103,14 +104,15 @@
     }
 }
 
-void fetch_version(control& state, const std::string& instance, std::uint64_t have) {
-    const auto found = state.m_members.m_members.find(instance);
-    if (found == state.m_members.m_members.end()) {
+void fetch_version(control& state, const std::string& instance, std::uint64_t current_version) {
+    const auto holder = state.m_members.m_members.find(instance);
+    if (holder == state.m_members.m_members.end()) {
         perform(state, decide_fetch_failed(state));
         return;
     }
-    const fetch_config_request request{state.m_settings.m_instance, have, have + 1};
-    send_bulk(state, found->second.m_member.m_bulk, request,
+    const fetch_config_request request{state.m_settings.m_instance, current_version,
+                                       current_version + 1};
+    send_bulk(state, holder->second.m_member.m_bulk, request,
               [&state, instance](const std::optional<bulk_reply>& reply) {
                   const auto* fetched = reply ? std::get_if<fetch_config_reply>(&*reply) : nullptr;
                   if (fetched == nullptr || !fetched->m_config) {
@@ -130,7 +132,7 @@
             fetch_version(state, action.m_instance, action.m_version);
             break;
         case distribution_action::kind::parse:
-            parse_text(state, action.m_version);
+            parse_version(state, action.m_version);
             break;
         case distribution_action::kind::apply:
             apply_version(state, action.m_version);
@@ -152,7 +154,7 @@
 }
 
 void hear_version(control& state, std::string_view instance, std::uint64_t version) {
-    perform(state, decide_heard(state, instance, version));
+    perform(state, decide_version_announced(state, instance, version));
 }
 
 std::optional<packed_text> pack_for(control& state, std::uint64_t have_version,
@@ -186,12 +188,12 @@
 void receive_text(control& state, std::string_view instance, const packed_text& packed) {
     std::string_view base;
     if (packed.m_base_version != 0) {
-        const auto held = state.m_distribution.m_texts.find(packed.m_base_version);
-        if (held == state.m_distribution.m_texts.end()) {
+        const auto held_text = state.m_distribution.m_texts.find(packed.m_base_version);
+        if (held_text == state.m_distribution.m_texts.end()) {
             perform(state, decide_fetch_failed(state));
             return;
         }
-        base = *held->second.m_text;
+        base = *held_text->second.m_text;
     }
     error reason;
     auto text = unpack_text(packed, base, reason);
@@ -201,9 +203,9 @@
         perform(state, decide_fetch_failed(state));
         return;
     }
-    const config_text received{packed.m_version, packed.m_hash,
-                               std::make_shared<const std::string>(std::move(*text))};
-    perform(state, decide_received(state, instance, received));
+    const config_text received_text{packed.m_version, packed.m_hash,
+                                    std::make_shared<const std::string>(std::move(*text))};
+    perform(state, decide_text_received(state, instance, received_text));
 }
 
 void tick_config(control& state, time_point now) {
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -90,7 +90,7 @@
     const member& changed = found->second.m_member;
     const bool left = changed.m_state == member_state::left;
     if (left || changed.m_state == member_state::dead) {
-        forget_holder(state, instance);
+        remove_text_holder(state, instance);
         state.m_address_is_local.erase(changed.m_udp);
         state.m_address_is_local.erase(changed.m_bulk);
     } else {
--- a/src/node/in_force.cpp
+++ b/src/node/in_force.cpp
@@ -28,58 +28,61 @@
 }
 
 // The live member, self included, with the highest rendezvous weight for a role.
-const member& first_member(const control& state, std::string_view role,
-                           const std::function<bool(const member&)>& filter) {
-    const member* first = &state.m_members.m_self;
-    std::uint64_t best = filter(*first) ? rendezvous_weight(role, first->m_instance) : 0;
-    for (const member* each : live_members(state.m_members)) {
-        if (!filter(*each)) {
+const member& select_member(const control& state, std::string_view role,
+                            const std::function<bool(const member&)>& filter) {
+    const member* selected = &state.m_members.m_self;
+    std::uint64_t highest_weight =
+        filter(*selected) ? rendezvous_weight(role, selected->m_instance) : 0;
+    for (const member* candidate : live_members(state.m_members)) {
+        if (!filter(*candidate)) {
             continue;
         }
-        const std::uint64_t weight = rendezvous_weight(role, each->m_instance);
-        if (weight > best) {
-            best = weight;
-            first = each;
+        const std::uint64_t weight = rendezvous_weight(role, candidate->m_instance);
+        if (weight > highest_weight) {
+            highest_weight = weight;
+            selected = candidate;
         }
     }
-    return *first;
+    return *selected;
 }
 
-bool is_own(const control& state, const member& of) {
-    return of.m_instance == state.m_settings.m_instance;
+bool is_self(const control& state, const member& other) {
+    return other.m_instance == state.m_settings.m_instance;
 }
 
 const member& shard_collector(const control& state, std::uint32_t shard) {
-    const std::string& own = state.m_settings.m_data_centre;
-    return first_member(state, shard_role(own, shard),
-                        [&own](const member& m) { return m.m_data_centre == own; });
+    const std::string& own_data_centre = state.m_settings.m_data_centre;
+    return select_member(
+        state, shard_role(own_data_centre, shard),
+        [&own_data_centre](const member& m) { return m.m_data_centre == own_data_centre; });
 }
 
 // Members of the own data centre in the shard with the versions they have announced.
-in_force_report report_shard(const control& state, std::uint32_t shard, std::uint64_t version) {
+in_force_report make_shard_report(const control& state, std::uint32_t shard,
+                                  std::uint64_t version) {
     std::vector<member_version> members;
-    const auto add = [&](const member& of, std::uint64_t has) {
-        if (of.m_data_centre == state.m_settings.m_data_centre &&
-            shard_of(of.m_instance) == shard) {
-            members.push_back({of.m_instance, has});
+    const auto add_member = [&](const member& other, std::uint64_t applied_version) {
+        if (other.m_data_centre == state.m_settings.m_data_centre &&
+            shard_of(other.m_instance) == shard) {
+            members.push_back({other.m_instance, applied_version});
         }
     };
-    add(state.m_members.m_self, state.m_distribution.m_applied);
-    for (const member* each : live_members(state.m_members)) {
-        add(*each, each->m_config_version);
+    add_member(state.m_members.m_self, state.m_distribution.m_applied);
+    for (const member* live_member : live_members(state.m_members)) {
+        add_member(*live_member, live_member->m_config_version);
     }
     return report_in_force(version, members, duration{});
 }
 
 void send_summaries(control& state, std::uint64_t version) {
     bool complete = true;
-    const member& global =
-        first_member(state, "collector/global", [](const member&) { return true; });
+    const member& global_collector =
+        select_member(state, "collector/global", [](const member&) { return true; });
     for (std::uint32_t shard = 0; shard < shard_count; ++shard) {
-        if (!is_own(state, shard_collector(state, shard))) {
+        if (!is_self(state, shard_collector(state, shard))) {
             continue;
         }
-        const in_force_report report = report_shard(state, shard, version);
+        const in_force_report report = make_shard_report(state, shard, version);
         complete = complete && report.m_in_force == report.m_members;
         const in_force_request summary{state.m_settings.m_data_centre,
                                        shard,
@@ -87,10 +90,11 @@
                                        static_cast<std::uint32_t>(report.m_in_force),
                                        static_cast<std::uint32_t>(report.m_members),
                                        report.m_missing};
-        if (is_own(state, global)) {
+        if (is_self(state, global_collector)) {
             receive_in_force(state, summary);
         } else {
-            send_bulk(state, global.m_bulk, summary, [](const std::optional<bulk_reply>&) {});
+            send_bulk(state, global_collector.m_bulk, summary,
+                      [](const std::optional<bulk_reply>&) {});
         }
     }
     if (complete) {
@@ -100,26 +104,26 @@
 
 // Adds up the summaries. Final when every data centre with live members has reported all shards
 // complete, or the time limit has passed.
-in_force_report total_report(const control& state, duration elapsed) {
+in_force_report combine_summaries(const control& state, duration elapsed) {
     const collector_state& collector = state.m_collector;
-    in_force_report total;
-    total.m_version = collector.m_gathering;
+    in_force_report combined;
+    combined.m_version = collector.m_gathering;
     for (const auto& [key, summary] : collector.m_summaries) {
-        total.m_in_force += summary.m_in_force;
-        total.m_members += summary.m_members;
+        combined.m_in_force += summary.m_in_force;
+        combined.m_members += summary.m_members;
         for (const std::string& name : summary.m_missing) {
-            if (total.m_missing.size() < max_missing_names) {
-                total.m_missing.push_back(name);
+            if (combined.m_missing.size() < max_missing_names) {
+                combined.m_missing.push_back(name);
             }
         }
     }
-    const std::size_t expected = state.m_members.m_live + 1;
-    total.m_members = std::max(total.m_members, expected);
-    total.m_final = total.m_in_force >= total.m_members || elapsed >= in_force_limit;
-    return total;
+    const std::size_t expected_members = state.m_members.m_live + 1;
+    combined.m_members = std::max(combined.m_members, expected_members);
+    combined.m_final = combined.m_in_force >= combined.m_members || elapsed >= in_force_limit;
+    return combined;
 }
 
-void write_in_force(control& state, const in_force_report& report) {
+void write_in_force_verdict(control& state, const in_force_report& report) {
     boost::json::array missing;
     for (const std::string& name : report.m_missing) {
         missing.emplace_back(name);
@@ -155,17 +159,17 @@
 
 void announce_in_force(control& state) {
     const member& collector = shard_collector(state, shard_of(state.m_settings.m_instance));
-    if (is_own(state, collector)) {
+    if (is_self(state, collector)) {
         return;
     }
-    packet notice;
-    notice.m_kind = packet_kind::rumour;
-    notice.m_sender = state.m_settings.m_instance;
-    notice.m_incarnation = state.m_members.m_self.m_incarnation;
-    notice.m_config_version = state.m_distribution.m_applied;
-    notice.m_held_version = held_version(state.m_distribution);
-    notice.m_facts_digest = state.m_members.m_facts_digest;
-    state.m_udp->send(collector.m_udp, encode_packet(notice));
+    packet announcement;
+    announcement.m_kind = packet_kind::rumour;
+    announcement.m_sender = state.m_settings.m_instance;
+    announcement.m_incarnation = state.m_members.m_self.m_incarnation;
+    announcement.m_config_version = state.m_distribution.m_applied;
+    announcement.m_held_version = held_version(state.m_distribution);
+    announcement.m_facts_digest = state.m_members.m_facts_digest;
+    state.m_udp->send(collector.m_udp, encode_packet(announcement));
 }
 
 void receive_in_force(control& state, const in_force_request& summary) {
@@ -197,9 +201,10 @@
         send_summaries(state, version);
     }
     if (collector.m_gathering > collector.m_verdict_version) {
-        const in_force_report total = total_report(state, now - collector.m_gathering_since);
-        if (total.m_final) {
-            write_in_force(state, total);
+        const in_force_report combined =
+            combine_summaries(state, now - collector.m_gathering_since);
+        if (combined.m_final) {
+            write_in_force_verdict(state, combined);
             collector.m_verdict_version = collector.m_gathering;
         }
     }
--- a/src/node/move_control.cpp
+++ b/src/node/move_control.cpp
@@ -66,8 +66,9 @@
     record_move_change(state);
     if (service != nullptr && !role.m_lease) {
         role.m_lease.emplace();
-        role.m_lease->m_keeper = begin_lease("caraway/lease/move/" + service->m_name,
-                                             state.m_settings, state.m_random(), state.now());
+        role.m_lease->m_keeper =
+            create_lease_keeper("caraway/lease/move/" + service->m_name, state.m_settings,
+                                state.m_random(), state.now());
     }
 }
 
@@ -208,7 +209,7 @@
     }
     if (!role.m_record || role.m_record->m_move_id != role.m_move_id) {
         const std::uint64_t revision = role.m_record ? role.m_record->m_revision : 0;
-        write_record(state, decide_start(state, service), revision);
+        write_record(state, decide_move_start(state, service), revision);
         return;
     }
     if (role.m_record->m_state != move_state::running) {
@@ -216,10 +217,10 @@
         return;
     }
     if (!role.m_own) {
-        write_record(state, decide_takeover(state, *role.m_record), role.m_record->m_revision);
+        write_record(state, decide_move_takeover(state, *role.m_record), role.m_record->m_revision);
         return;
     }
-    const move_step step = decide_step(state, *role.m_record);
+    const move_step step = decide_move_step(state, *role.m_record);
     if (step.m_kind == move_step::kind::write) {
         write_record(state, step.m_record, role.m_record->m_revision);
     }
@@ -262,7 +263,7 @@
     move_role& role = state.m_move;
     if (stage != role.m_local_stage) {
         role.m_local_stage = stage;
-        begin_local_stage(state);
+        begin_local_evidence_stage(state);
     }
     std::uint32_t instances = 1;
     for (const member* each : live_members(state.m_members)) {
@@ -274,7 +275,7 @@
     const std::array reports{own, role.m_told_old_sum};
     role.m_told_old_sum = {};
     std::string reason;
-    const bool bad = decide_locally(state, reports, service, reason);
+    const bool bad = decide_local_evidence(state, reports, service, reason);
     if (bad && !is_suspended(state.m_facts, role.m_move_id)) {
         suspend(state, service, reason);
     }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -59,7 +59,8 @@
     const std::string place = settings.m_data_centre + "/" + std::to_string(index);
     auto reader = std::make_unique<reader_role>();
     reader->m_entry_key = std::string(entry_prefix) + place;
-    reader->m_lease.m_keeper = begin_lease("caraway/lease/reader/" + place, settings, seed, now);
+    reader->m_lease.m_keeper =
+        create_lease_keeper("caraway/lease/reader/" + place, settings, seed, now);
     return reader;
 }
 
@@ -77,12 +78,12 @@
         options.m_complete_time = member_complete_time;
     }
     m_members = make_membership(make_self(m_settings, clock), options, m_random(), clock.now());
-    m_distribution = begin_distribution(m_settings, m_random(), clock.now());
+    m_distribution = create_distribution(m_settings, m_random(), clock.now());
     for (int i = 0; i < readers_per_data_centre; ++i) {
         m_readers.push_back(make_reader(m_settings, i, m_random(), clock.now()));
     }
     m_accepter.m_lease.m_keeper =
-        begin_lease("caraway/lease/accepter", m_settings, m_random(), clock.now());
+        create_lease_keeper("caraway/lease/accepter", m_settings, m_random(), clock.now());
     m_own_view = view_own_server(*this);
     if (reads_operator_items()) {
         // The store loses nothing that it has acknowledged, so no text waits for replicas.
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -16,11 +16,11 @@
 namespace {
 
 // How long a watch waits at the store. A dead connection is noticed earlier, by keep-alive probes.
-constexpr milliseconds watch_wait{10'000};
+constexpr milliseconds watch_timeout{10'000};
 // Pause after the first failed call, doubled up to the longest one, with as much again at random,
 // so that a fleet doesn't call in step.
 constexpr milliseconds retry_pause{100};
-constexpr milliseconds longest_retry_pause{800};
+constexpr milliseconds max_retry_pause{800};
 // How often the watchers are worked out anew.
 constexpr milliseconds candidate_interval{500};
 // The same until a configuration is in force: after a loss of all power nobody has one, and every
@@ -34,40 +34,40 @@
 constexpr milliseconds relist_interval{30'000};
 
 // Tells the members whether this node reaches the store.
-void announce_store(control& state, bool lost) {
-    if (state.m_members.m_self.m_store_lost != lost) {
-        state.m_members.m_self.m_store_lost = lost;
+void announce_store_access(control& state, bool store_lost) {
+    if (state.m_members.m_self.m_store_lost != store_lost) {
+        state.m_members.m_self.m_store_lost = store_lost;
         state.m_operator.m_lost_since = state.now();
         state.m_operator.m_next_check = state.now();
         perform(state, membership_update_self(state.m_members, true, state.now()));
     }
 }
 
-void note_store(control& state, const store_reply& reply) {
+void update_store_access(control& state, const store_reply& reply) {
     operator_watch& watch = state.m_operator;
-    const bool reached =
+    const bool store_reached =
         reply.m_kind == error_kind::none || reply.m_kind == error_kind::store_not_found;
-    watch.m_failures = reached ? 0 : watch.m_failures + 1;
-    if (reached || watch.m_failures >= failures_before_lost) {
-        announce_store(state, !reached);
+    watch.m_failures = store_reached ? 0 : watch.m_failures + 1;
+    if (store_reached || watch.m_failures >= failures_before_lost) {
+        announce_store_access(state, !store_reached);
     }
-    if (reached != watch.m_reached) {
-        watch.m_reached = reached;
-        log_event(log_level::info, reached ? "store_regained" : "store_lost",
+    if (store_reached != watch.m_reached) {
+        watch.m_reached = store_reached;
+        log_event(log_level::info, store_reached ? "store_regained" : "store_lost",
                   {{"reason", answer_for(reply.m_kind).m_name}, {"text", reply.m_text}});
     }
 }
 
-void pause_watch(control& state) {
+void schedule_retry(control& state) {
     const std::uint32_t doublings = std::min(state.m_operator.m_failures, 8U);
-    const milliseconds pause = std::min(retry_pause * (1U << doublings), longest_retry_pause);
+    const milliseconds pause = std::min(retry_pause * (1U << doublings), max_retry_pause);
     state.m_operator.m_retry_at =
         state.now() + pause +
         milliseconds(state.m_random.below(static_cast<std::uint64_t>(pause.count())));
 }
 
 // Takes over the items as the text of the revision, unless they are those of the text held.
-void take_items(control& state) {
+void apply_items(control& state) {
     operator_watch& watch = state.m_operator;
     std::vector<store_entry> items;
     for (const auto& [key, entry] : watch.m_items) {
@@ -86,8 +86,8 @@
     }
     if (!texts.empty() && texts.rbegin()->first >= version) {
         // A list doesn't tell when an item was deleted; other content needs a version of its own.
-        const bool known = texts.rbegin()->second.m_hash == hash;
-        version = known ? texts.rbegin()->first : watch.m_after;
+        const bool unchanged = texts.rbegin()->second.m_hash == hash;
+        version = unchanged ? texts.rbegin()->first : watch.m_after;
     }
     perform(state, decide_store_read(state, config_text{version, hash, std::move(text)}));
 }
@@ -96,51 +96,51 @@
     operator_watch& watch = state.m_operator;
     watch.m_busy = true;
     state.m_store->list(state.m_adapter.m_operator_prefix, [&state](const store_reply& reply) {
-        operator_watch& listed = state.m_operator;
-        listed.m_busy = false;
-        note_store(state, reply);
+        operator_watch& current_watch = state.m_operator;
+        current_watch.m_busy = false;
+        update_store_access(state, reply);
         if (reply.m_kind != error_kind::none) {
-            pause_watch(state);
+            schedule_retry(state);
             return;
         }
-        listed.m_listed = true;
-        listed.m_after = reply.m_revision;
-        listed.m_next_list = state.now() + relist_interval;
-        listed.m_items.clear();
+        current_watch.m_listed = true;
+        current_watch.m_after = reply.m_revision;
+        current_watch.m_next_list = state.now() + relist_interval;
+        current_watch.m_items.clear();
         for (const store_entry& entry : reply.m_entries) {
-            listed.m_items.emplace(entry.m_key, entry);
+            current_watch.m_items.emplace(entry.m_key, entry);
         }
-        take_items(state);
+        apply_items(state);
     });
 }
 
 void watch_items(control& state) {
     operator_watch& watch = state.m_operator;
     watch.m_busy = true;
-    const auto done = [&state](const store_reply& reply) {
-        operator_watch& watched = state.m_operator;
-        watched.m_busy = false;
-        note_store(state, reply);
+    const auto on_reply = [&state](const store_reply& reply) {
+        operator_watch& current_watch = state.m_operator;
+        current_watch.m_busy = false;
+        update_store_access(state, reply);
         if (reply.m_kind != error_kind::none) {
             // Without its history the store can't tell what changed meanwhile.
-            watched.m_listed = reply.m_kind != error_kind::store_not_found;
-            pause_watch(state);
+            current_watch.m_listed = reply.m_kind != error_kind::store_not_found;
+            schedule_retry(state);
             return;
         }
-        watched.m_after = std::max(watched.m_after, reply.m_revision);
+        current_watch.m_after = std::max(current_watch.m_after, reply.m_revision);
         for (const store_entry& entry : reply.m_entries) {
             if (entry.m_deleted) {
-                watched.m_deleted_at = std::max(watched.m_deleted_at, entry.m_revision);
-                watched.m_items.erase(entry.m_key);
+                current_watch.m_deleted_at = std::max(current_watch.m_deleted_at, entry.m_revision);
+                current_watch.m_items.erase(entry.m_key);
             } else {
-                watched.m_items.insert_or_assign(entry.m_key, entry);
+                current_watch.m_items.insert_or_assign(entry.m_key, entry);
             }
         }
         if (!reply.m_entries.empty()) {
-            take_items(state);
+            apply_items(state);
         }
     };
-    state.m_store->watch(state.m_adapter.m_operator_prefix, watch.m_after, watch_wait, done);
+    state.m_store->watch(state.m_adapter.m_operator_prefix, watch.m_after, watch_timeout, on_reply);
 }
 
 // Reads the moves' records once, so that a node that starts after a move's end knows how it ended.
@@ -148,13 +148,13 @@
     operator_watch& watch = state.m_operator;
     watch.m_records_busy = true;
     state.m_store->list(state.m_adapter.m_move_prefix, [&state](const store_reply& reply) {
-        operator_watch& read = state.m_operator;
-        read.m_records_busy = false;
-        read.m_records_retry_at = state.now() + store_retry_pause;
+        operator_watch& current_watch = state.m_operator;
+        current_watch.m_records_busy = false;
+        current_watch.m_records_retry_at = state.now() + store_retry_pause;
         if (reply.m_kind != error_kind::none) {
             return;
         }
-        read.m_records_read = true;
+        current_watch.m_records_read = true;
         std::vector<move_record> records;
         for (const store_entry& entry : reply.m_entries) {
             if (auto record = state.m_adapter.m_decode_move(entry.m_value, entry.m_revision)) {
@@ -169,30 +169,30 @@
 
 // A node that has just started waits this long for others that start with it, and for what they
 // know, before it takes part itself: a fleet that starts together would else call all at once.
-constexpr milliseconds start_spread{600};
+constexpr milliseconds max_start_delay{600};
 
 // A starting node that doesn't watch asks the store for the configuration after this time, sooner
 // where there are few others to read it: in a small mesh a read each costs the store little.
-constexpr milliseconds members_first_time{700};
-constexpr milliseconds members_first_time_per_entry{15};
+constexpr milliseconds max_member_wait{700};
+constexpr milliseconds member_wait_per_entry{15};
 // The same where the store names nobody yet: all others start, too, and few of them need to read.
-constexpr milliseconds first_start_time{1'500};
+constexpr milliseconds first_start_member_wait{1'500};
 
-milliseconds members_first(const control& state) {
-    const auto others = static_cast<std::int64_t>(state.m_join.m_entry_points.size());
-    const bool listed = state.m_join.m_listed_at != time_point{};
-    if (listed && state.m_join.m_first_start) {
-        return first_start_time;
+milliseconds member_wait(const control& state) {
+    const auto entry_point_count = static_cast<std::int64_t>(state.m_join.m_entry_points.size());
+    const bool store_listed = state.m_join.m_listed_at != time_point{};
+    if (store_listed && state.m_join.m_first_start) {
+        return first_start_member_wait;
     }
-    return listed ? std::min(members_first_time, others * members_first_time_per_entry)
-                  : members_first_time;
+    return store_listed ? std::min(max_member_wait, entry_point_count * member_wait_per_entry)
+                        : max_member_wait;
 }
 
 // A node that gets a text from no member for this long reads it from the store.
-constexpr milliseconds behind_time{400};
+constexpr milliseconds max_behind_time{400};
 
 // A node that finds no member in this time after its start watches the store itself.
-constexpr milliseconds alone_time{1'500};
+constexpr milliseconds max_alone_time{1'500};
 
 // Works out whether this node watches: it is among the first of its data centre, or among the first
 // of those that reach the store.
@@ -205,20 +205,25 @@
         now + (state.m_distribution.m_ready ? candidate_interval : first_candidate_interval);
     const member& self = state.m_members.m_self;
     const std::string role = "watcher/" + self.m_data_centre;
-    const auto beside = [&self](const member& m) { return m.m_data_centre == self.m_data_centre; };
-    const auto reaching = [&beside](const member& m) { return beside(m) && !m.m_store_lost; };
+    const auto same_data_centre = [&self](const member& m) {
+        return m.m_data_centre == self.m_data_centre;
+    };
+    const auto reaches_store = [&same_data_centre](const member& m) {
+        return same_data_centre(m) && !m.m_store_lost;
+    };
     // A node that knows nobody yet would take itself for the first of its data centre.
-    const bool settled = state.m_join.m_done || now >= watch.m_begin_at + alone_time;
+    const bool membership_known = state.m_join.m_done || now >= watch.m_begin_at + max_alone_time;
     const std::size_t watchers = watchers_in_each(state.m_members.m_groups.size());
     const bool candidate =
-        settled && (is_candidate(state, role, watchers, beside) ||
-                    (!self.m_store_lost && is_candidate(state, role, watchers, reaching)));
+        membership_known &&
+        (is_candidate(state, role, watchers, same_data_centre) ||
+         (!self.m_store_lost && is_candidate(state, role, watchers, reaches_store)));
     if (candidate != watch.m_candidate) {
         watch.m_candidate = candidate;
         log_event(log_level::info, candidate ? "store_watch_begun" : "store_watch_ended", {});
     }
     if (!candidate && self.m_store_lost && now - watch.m_lost_since > lost_retention) {
-        announce_store(state, false);
+        announce_store_access(state, false);
     }
 }
 
@@ -229,38 +234,38 @@
     if (state.m_distribution.m_highest <= held_version(state.m_distribution)) {
         watch.m_behind_since = now;
     }
-    return now - watch.m_behind_since > behind_time;
+    return now - watch.m_behind_since > max_behind_time;
 }
 
 } // namespace
 
 std::string encode_items(std::span<const store_entry> items) {
-    boost::json::array out;
+    boost::json::array rows;
     for (const store_entry& item : items) {
-        out.push_back(boost::json::array{item.m_key, item.m_revision, item.m_value});
+        rows.push_back(boost::json::array{item.m_key, item.m_revision, item.m_value});
     }
-    return boost::json::serialize(out);
+    return boost::json::serialize(rows);
 }
 
 std::optional<std::vector<store_entry>> decode_items(std::string_view text) {
-    boost::json::error_code failed;
+    boost::json::error_code parse_error;
     const boost::json::value parsed =
-        boost::json::parse(boost::json::string_view(text.data(), text.size()), failed);
-    if (failed || !parsed.is_array()) {
+        boost::json::parse(boost::json::string_view(text.data(), text.size()), parse_error);
+    if (parse_error || !parsed.is_array()) {
         return std::nullopt;
     }
     std::vector<store_entry> items;
-    for (const boost::json::value& each : parsed.get_array()) {
-        const auto* row = each.if_array();
+    for (const boost::json::value& row_value : parsed.get_array()) {
+        const auto* row = row_value.if_array();
         if (row == nullptr || row->size() != 3 || !(*row)[0].is_string() ||
             !(*row)[2].is_string()) {
             return std::nullopt;
         }
         store_entry item;
         item.m_key = std::string((*row)[0].get_string());
-        item.m_revision = (*row)[1].to_number<std::uint64_t>(failed);
+        item.m_revision = (*row)[1].to_number<std::uint64_t>(parse_error);
         item.m_value = std::string((*row)[2].get_string());
-        if (failed) {
+        if (parse_error) {
             return std::nullopt;
         }
         items.push_back(std::move(item));
@@ -287,7 +292,7 @@
 void tick_operator_watch(control& state, time_point now) {
     operator_watch& watch = state.m_operator;
     if (watch.m_begin_at == time_point{}) {
-        watch.m_begin_at = now + milliseconds(state.m_random.below(start_spread.count()));
+        watch.m_begin_at = now + milliseconds(state.m_random.below(max_start_delay.count()));
     }
     refresh_watcher(state, now);
     if (now < watch.m_begin_at) {
@@ -295,7 +300,7 @@
     }
     // A node that got no configuration from members reads it from the store, whoever watches.
     const bool starting =
-        !state.m_distribution.m_ready && now >= watch.m_begin_at + members_first(state);
+        !state.m_distribution.m_ready && now >= watch.m_begin_at + member_wait(state);
     if (!watch.m_candidate && is_behind(state, now)) {
         watch.m_behind_since = now; // the next list, if this one brings nothing new
         watch.m_listed = false;
--- a/src/node/recorded.cpp
+++ b/src/node/recorded.cpp
@@ -9,26 +9,26 @@
 namespace caraway {
 namespace {
 
-constexpr std::string_view lease_part = "lease";
-constexpr std::string_view config_part = "distribution";
-constexpr std::string_view move_part = "version_move";
-constexpr std::string_view facts_part = "facts";
+constexpr std::string_view lease_component = "lease";
+constexpr std::string_view config_component = "distribution";
+constexpr std::string_view move_component = "version_move";
+constexpr std::string_view facts_component = "facts";
 
 // What a tick of a lease may change. Keys and periods are fixed, and the random numbers move only
 // with a reply.
-auto changeable(const lease_keeper& keeper) {
+auto tick_fields(const lease_keeper& keeper) {
     return std::tuple(keeper.m_phase, keeper.m_wanted, keeper.m_held, keeper.m_under_way,
                       keeper.m_release_due, keeper.m_read_first, keeper.m_claim_unknown,
                       keeper.m_lease.empty(), keeper.m_next_attempt);
 }
 
 // True when an event may find something to fetch or to apply.
-bool has_pending(const distribution_state& state) {
+bool has_pending_work(const distribution_state& state) {
     return state.m_fetch_from || state.m_highest > held_version(state) ||
            !state.m_candidates.empty();
 }
 
-std::uint64_t version_of_peer(const distribution_state& state, std::string_view instance) {
+std::uint64_t announced_version(const distribution_state& state, std::string_view instance) {
     const auto found = state.m_peer_versions.find(instance);
     return found == state.m_peer_versions.end() ? 0 : found->second;
 }
@@ -40,11 +40,11 @@
 void record_config(std::string_view input, time_point now, std::initializer_list<log_field> fields,
                    std::span<const distribution_action> actions) {
     if (is_recording()) {
-        record_input(config_part, input, now, fields, action_text(actions));
+        record_input(config_component, input, now, fields, action_text(actions));
     }
 }
 
-std::uint64_t live(const control& state) {
+std::uint64_t live_member_count(const control& state) {
     return state.m_members.m_live;
 }
 
@@ -53,7 +53,7 @@
     for (const evidence_report& report : reports) {
         bool first = true;
         for (const auto& [route, counts] : report.m_routes) {
-            record_input(move_part, "report", now,
+            record_input(move_component, "report", now,
                          {{"from_instance", report.m_instance},
                           {"version", report.m_version},
                           {"first", first},
@@ -65,7 +65,7 @@
     }
 }
 
-std::uint64_t weight_here(const control& state) {
+std::uint64_t local_move_weight(const control& state) {
     return move_weight(state.m_facts, state.m_settings.m_service, state.m_move.m_move_id);
 }
 
@@ -79,10 +79,10 @@
     }
 }
 
-lease_keeper begin_lease(std::string key, const node_settings& settings, std::uint64_t seed,
-                         time_point now) {
+lease_keeper create_lease_keeper(std::string key, const node_settings& settings, std::uint64_t seed,
+                                 time_point now) {
     if (is_recording()) {
-        record_input(lease_part, "begin", now,
+        record_input(lease_component, "begin", now,
                      {{"key", key},
                       {"value", settings.m_instance},
                       {"period_ms", static_cast<std::int64_t>(settings.m_lease_period.count())},
@@ -92,23 +92,23 @@
     return make_lease_keeper(std::move(key), settings.m_instance, settings.m_lease_period, seed);
 }
 
-lease_request decide_lease(lease_keeper& keeper, bool wanted, time_point now) {
+lease_request next_lease_request(lease_keeper& keeper, bool wanted, time_point now) {
     if (!is_recording()) {
         return lease_tick(keeper, wanted, now);
     }
-    const auto before = changeable(keeper);
+    const auto before = tick_fields(keeper);
     const lease_request request = lease_tick(keeper, wanted, now);
-    if (request != lease_request::none || changeable(keeper) != before) {
-        record_input(lease_part, "tick", now, {{"key", keeper.m_key}, {"wanted", wanted}},
+    if (request != lease_request::none || tick_fields(keeper) != before) {
+        record_input(lease_component, "tick", now, {{"key", keeper.m_key}, {"wanted", wanted}},
                      action_text(keeper, request));
     }
     return request;
 }
 
-void settle_lease(lease_keeper& keeper, const lease_reply& reply, time_point now) {
+void apply_lease_reply(lease_keeper& keeper, const lease_reply& reply, time_point now) {
     lease_receive(keeper, reply, now);
     if (is_recording()) {
-        record_input(lease_part, "reply", now,
+        record_input(lease_component, "reply", now,
                      {{"key", keeper.m_key},
                       {"kind", answer_for(reply.m_kind).m_name},
                       {"lease", reply.m_lease},
@@ -118,11 +118,11 @@
     }
 }
 
-distribution_state begin_distribution(const node_settings& settings, std::uint64_t seed,
-                                      time_point now) {
+distribution_state create_distribution(const node_settings& settings, std::uint64_t seed,
+                                       time_point now) {
     if (is_recording()) {
         record_input(
-            config_part, "begin", now,
+            config_component, "begin", now,
             {{"fetch_timeout_ms", static_cast<std::int64_t>(settings.m_fetch_timeout.count())},
              {"seed", seed}},
             {});
@@ -130,42 +130,46 @@
     return make_distribution(settings.m_instance, settings.m_fetch_timeout, seed);
 }
 
-std::vector<distribution_action> decide_heard(control& state, std::string_view instance,
-                                              std::uint64_t version) {
-    distribution_state& own = state.m_distribution;
+std::vector<distribution_action> decide_version_announced(control& state, std::string_view instance,
+                                                          std::uint64_t version) {
+    distribution_state& distribution = state.m_distribution;
     const time_point now = state.now();
-    const bool recorded = is_recording() && (has_pending(own) || version > held_version(own) ||
-                                             version_of_peer(own, instance) != version);
-    auto actions = distribution_heard(own, instance, version, live(state), now);
+    const bool recorded =
+        is_recording() && (has_pending_work(distribution) || version > held_version(distribution) ||
+                           announced_version(distribution, instance) != version);
+    auto actions =
+        distribution_heard(distribution, instance, version, live_member_count(state), now);
     if (recorded) {
-        record_config("heard", now,
-                      {{"from_instance", instance}, {"version", version}, {"live", live(state)}},
-                      actions);
+        record_config(
+            "heard", now,
+            {{"from_instance", instance}, {"version", version}, {"live", live_member_count(state)}},
+            actions);
     }
     return actions;
 }
 
 std::vector<distribution_action> decide_config_tick(control& state, time_point now) {
-    distribution_state& own = state.m_distribution;
-    const bool pending = has_pending(own);
-    const bool waited = own.m_store_waited;
-    auto actions = distribution_tick(own, live(state), now);
-    if (pending || own.m_store_waited != waited) {
-        record_config("tick", now, {{"live", live(state)}}, actions);
+    distribution_state& distribution = state.m_distribution;
+    const bool had_pending_work = has_pending_work(distribution);
+    const bool store_waited_before = distribution.m_store_waited;
+    auto actions = distribution_tick(distribution, live_member_count(state), now);
+    if (had_pending_work || distribution.m_store_waited != store_waited_before) {
+        record_config("tick", now, {{"live", live_member_count(state)}}, actions);
     }
     return actions;
 }
 
-std::vector<distribution_action> decide_received(control& state, std::string_view instance,
-                                                 const config_text& text) {
+std::vector<distribution_action> decide_text_received(control& state, std::string_view instance,
+                                                      const config_text& text) {
     const time_point now = state.now();
-    auto actions = distribution_received(state.m_distribution, instance, text, live(state), now);
+    auto actions =
+        distribution_received(state.m_distribution, instance, text, live_member_count(state), now);
     record_config("received", now,
                   {{"from_instance", instance},
                    {"version", text.m_version},
                    {"hash", text.m_hash},
                    {"intact", is_recording() && is_intact(text)},
-                   {"live", live(state)}},
+                   {"live", live_member_count(state)}},
                   actions);
     return actions;
 }
@@ -180,20 +184,24 @@
 std::vector<distribution_action> decide_store_read(control& state,
                                                    const std::optional<config_text>& text) {
     const time_point now = state.now();
-    auto actions = distribution_store_read(state.m_distribution, text, live(state), now);
+    auto actions =
+        distribution_store_read(state.m_distribution, text, live_member_count(state), now);
     record_config("store_read", now,
                   {{"version", text ? text->m_version : 0},
                    {"hash", text ? text->m_hash : 0},
                    {"intact", is_recording() && text && is_intact(*text)},
-                   {"live", live(state)}},
+                   {"live", live_member_count(state)}},
                   actions);
     return actions;
 }
 
-std::vector<distribution_action> decide_parsed(control& state, std::uint64_t version, bool valid) {
+std::vector<distribution_action> decide_text_parsed(control& state, std::uint64_t version,
+                                                    bool valid) {
     const time_point now = state.now();
-    auto actions = distribution_parsed(state.m_distribution, version, valid, live(state), now);
-    record_config("parsed", now, {{"version", version}, {"valid", valid}, {"live", live(state)}},
+    auto actions =
+        distribution_parsed(state.m_distribution, version, valid, live_member_count(state), now);
+    record_config("parsed", now,
+                  {{"version", version}, {"valid", valid}, {"live", live_member_count(state)}},
                   actions);
     return actions;
 }
@@ -203,48 +211,48 @@
                                                std::uint64_t predecessor_version) {
     const time_point now = state.now();
     auto actions = distribution_joined(state.m_distribution, instance, version, predecessor_version,
-                                       live(state), now);
+                                       live_member_count(state), now);
     record_config("joined", now,
                   {{"from_instance", instance},
                    {"version", version},
                    {"predecessor_version", predecessor_version},
-                   {"live", live(state)}},
+                   {"live", live_member_count(state)}},
                   actions);
     return actions;
 }
 
-void forget_holder(control& state, std::string_view instance) {
-    const bool known = version_of_peer(state.m_distribution, instance) != 0;
+void remove_text_holder(control& state, std::string_view instance) {
+    const bool was_known = announced_version(state.m_distribution, instance) != 0;
     distribution_gone(state.m_distribution, instance);
-    if (known) {
+    if (was_known) {
         record_config("gone", state.now(), {{"from_instance", instance}}, {});
     }
 }
 
 void record_move_change(const control& state) {
     if (is_recording()) {
-        record_input(move_part, "change", state.now(), {{"move", state.m_move.m_move_id}}, {});
+        record_input(move_component, "change", state.now(), {{"move", state.m_move.m_move_id}}, {});
     }
 }
 
 void record_fact(const control& state, const suspension& value) {
     if (is_recording() && value.m_service == state.m_settings.m_service) {
-        record_input(facts_part, "suspension", state.now(),
+        record_input(facts_component, "suspension", state.now(),
                      {{"move", value.m_move_id},
                       {"service", value.m_service},
                       {"version", value.m_version},
                       {"seen_by", value.m_instance},
                       {"reason", value.m_reason},
                       {"at_ms", value.m_at_ms}},
-                     std::to_string(weight_here(state)));
+                     std::to_string(local_move_weight(state)));
     }
 }
 
 void record_fact(const control& state, const move_record& value) {
     if (is_recording() && value.m_service == state.m_settings.m_service) {
-        record_input(facts_part, "record", state.now(),
+        record_input(facts_component, "record", state.now(),
                      {{"record", encode_move(value)}, {"revision", value.m_revision}},
-                     std::to_string(weight_here(state)));
+                     std::to_string(local_move_weight(state)));
     }
 }
 
@@ -253,12 +261,12 @@
     if (!is_recording()) {
         return;
     }
-    std::string keep;
+    std::string kept_move_id;
     const auto service = state.m_mesh->m_services.find(state.m_settings.m_service);
     if (service != state.m_mesh->m_services.end() && service->second.m_move) {
-        keep = move_id(service->first, *service->second.m_move);
+        kept_move_id = move_id(service->first, *service->second.m_move);
     }
-    record_input(facts_part, "prune", state.now(), {{"keep", keep}}, {});
+    record_input(facts_component, "prune", state.now(), {{"keep", kept_move_id}}, {});
 }
 
 evidence_result decide_evidence(control& state, std::span<const evidence_report> reports,
@@ -269,22 +277,22 @@
     if (is_recording()) {
         const time_point now = state.now();
         record_reports(now, reports);
-        record_input(move_part, "evidence", now,
+        record_input(move_component, "evidence", now,
                      {{"from", service.m_version}, {"to", service.m_move->m_to}},
                      action_text(result));
     }
     return result;
 }
 
-bool decide_locally(control& state, std::span<const evidence_report> reports,
-                    const service_spec& service, std::string& reason) {
+bool decide_local_evidence(control& state, std::span<const evidence_report> reports,
+                           const service_spec& service, std::string& reason) {
     move_evidence& evidence = state.m_move.m_local;
     add_evidence(evidence, reports, service.m_version, service.m_move->m_to);
     const bool bad = is_locally_bad(evidence, reason);
     if (is_recording()) {
         const time_point now = state.now();
         record_reports(now, reports);
-        record_input(move_part, "local_evidence", now,
+        record_input(move_component, "local_evidence", now,
                      {{"from", service.m_version},
                       {"to", service.m_move->m_to},
                       {"instances", evidence.m_instances}},
@@ -296,61 +304,61 @@
 void begin_evidence_stage(control& state) {
     begin_stage(state.m_move.m_evidence);
     if (is_recording()) {
-        record_input(move_part, "stage", state.now(), {}, {});
+        record_input(move_component, "stage", state.now(), {}, {});
     }
 }
 
-void begin_local_stage(control& state) {
+void begin_local_evidence_stage(control& state) {
     begin_stage(state.m_move.m_local);
     if (is_recording()) {
-        record_input(move_part, "local_stage", state.now(), {}, {});
+        record_input(move_component, "local_stage", state.now(), {}, {});
     }
 }
 
-move_record decide_start(const control& state, const service_spec& service) {
-    const wall_time wall = state.m_clock.wall_now();
+move_record decide_move_start(const control& state, const service_spec& service) {
+    const wall_time wall_time_now = state.m_clock.wall_now();
     const std::string& id = state.m_move.m_move_id;
     // A duration counts from the order, which this node saw some time ago.
-    const auto since =
+    const auto time_since_order =
         std::chrono::duration_cast<milliseconds>(state.now() - state.m_move.m_ordered_at);
     const wall_time deadline = service.m_move->m_order == 0
                                    ? service.m_move->m_deadline
-                                   : wall + service.m_move->m_duration - since;
+                                   : wall_time_now + service.m_move->m_duration - time_since_order;
     move_record record = start_move(id, service.m_name, service.m_version, service.m_move->m_to,
-                                    deadline, state.m_settings.m_instance, wall);
+                                    deadline, state.m_settings.m_instance, wall_time_now);
     if (is_recording()) {
-        record_input(move_part, "start", state.now(),
+        record_input(move_component, "start", state.now(),
                      {{"move", id},
                       {"service", service.m_name},
                       {"from", service.m_version},
                       {"to", service.m_move->m_to},
                       {"deadline_ms", unix_ms(deadline)},
-                      {"wall_ms", unix_ms(wall)}},
+                      {"wall_ms", unix_ms(wall_time_now)}},
                      action_text(move_step{move_step::kind::write, record}));
     }
     return record;
 }
 
-move_record decide_takeover(const control& state, const move_record& record) {
-    move_record next = take_over_move(record, state.m_settings.m_instance);
+move_record decide_move_takeover(const control& state, const move_record& record) {
+    move_record new_record = take_over_move(record, state.m_settings.m_instance);
     if (is_recording()) {
-        record_input(move_part, "takeover", state.now(),
+        record_input(move_component, "takeover", state.now(),
                      {{"record", encode_move(record)}, {"revision", record.m_revision}},
-                     action_text(move_step{move_step::kind::write, next}));
+                     action_text(move_step{move_step::kind::write, new_record}));
     }
-    return next;
+    return new_record;
 }
 
-move_step decide_step(const control& state, const move_record& record) {
-    const wall_time wall = state.m_clock.wall_now();
+move_step decide_move_step(const control& state, const move_record& record) {
+    const wall_time wall_time_now = state.m_clock.wall_now();
     const bool suspended = is_suspended(state.m_facts, state.m_move.m_move_id);
-    move_step step = step_move(record, state.m_move.m_evidence, suspended, wall);
+    move_step step = step_move(record, state.m_move.m_evidence, suspended, wall_time_now);
     if (is_recording()) {
-        record_input(move_part, "step", state.now(),
+        record_input(move_component, "step", state.now(),
                      {{"record", encode_move(record)},
                       {"revision", record.m_revision},
                       {"suspended", suspended},
-                      {"wall_ms", unix_ms(wall)}},
+                      {"wall_ms", unix_ms(wall_time_now)}},
                      action_text(step));
     }
     return step;
--- a/src/node/recorded.hpp
+++ b/src/node/recorded.hpp
@@ -17,32 +17,33 @@
 void begin_recording(const node_settings& settings, time_point now);
 
 // make_lease_keeper
-lease_keeper begin_lease(std::string key, const node_settings& settings, std::uint64_t seed,
-                         time_point now);
+lease_keeper create_lease_keeper(std::string key, const node_settings& settings, std::uint64_t seed,
+                                 time_point now);
 // lease_tick; ticks that change nothing are not recorded.
-lease_request decide_lease(lease_keeper& keeper, bool wanted, time_point now);
+lease_request next_lease_request(lease_keeper& keeper, bool wanted, time_point now);
 // lease_receive
-void settle_lease(lease_keeper& keeper, const lease_reply& reply, time_point now);
+void apply_lease_reply(lease_keeper& keeper, const lease_reply& reply, time_point now);
 
 // make_distribution
-distribution_state begin_distribution(const node_settings& settings, std::uint64_t seed,
-                                      time_point now);
+distribution_state create_distribution(const node_settings& settings, std::uint64_t seed,
+                                       time_point now);
 // distribution_heard and distribution_tick; calls that can't change anything are not recorded.
-std::vector<distribution_action> decide_heard(control& state, std::string_view instance,
-                                              std::uint64_t version);
+std::vector<distribution_action> decide_version_announced(control& state, std::string_view instance,
+                                                          std::uint64_t version);
 std::vector<distribution_action> decide_config_tick(control& state, time_point now);
 // distribution_received, distribution_fetch_failed, distribution_store_read, distribution_parsed,
 // distribution_joined and distribution_gone
-std::vector<distribution_action> decide_received(control& state, std::string_view instance,
-                                                 const config_text& text);
+std::vector<distribution_action> decide_text_received(control& state, std::string_view instance,
+                                                      const config_text& text);
 std::vector<distribution_action> decide_fetch_failed(control& state);
 std::vector<distribution_action> decide_store_read(control& state,
                                                    const std::optional<config_text>& text);
-std::vector<distribution_action> decide_parsed(control& state, std::uint64_t version, bool valid);
+std::vector<distribution_action> decide_text_parsed(control& state, std::uint64_t version,
+                                                    bool valid);
 std::vector<distribution_action> decide_joined(control& state, std::string_view instance,
                                                std::uint64_t version,
                                                std::uint64_t predecessor_version);
-void forget_holder(control& state, std::string_view instance);
+void remove_text_holder(control& state, std::string_view instance);
 
 // Records that the text names another move, for which all evidence starts empty.
 void record_move_change(const control& state);
@@ -56,14 +57,14 @@
 evidence_result decide_evidence(control& state, std::span<const evidence_report> reports,
                                 const service_spec& service);
 // add_evidence, then is_locally_bad: the own server's evidence.
-bool decide_locally(control& state, std::span<const evidence_report> reports,
-                    const service_spec& service, std::string& reason);
+bool decide_local_evidence(control& state, std::span<const evidence_report> reports,
+                           const service_spec& service, std::string& reason);
 // begin_stage, on the evidence of all instances or on the own server's.
 void begin_evidence_stage(control& state);
-void begin_local_stage(control& state);
+void begin_local_evidence_stage(control& state);
 // start_move, take_over_move and step_move
-move_record decide_start(const control& state, const service_spec& service);
-move_record decide_takeover(const control& state, const move_record& record);
-move_step decide_step(const control& state, const move_record& record);
+move_record decide_move_start(const control& state, const service_spec& service);
+move_record decide_move_takeover(const control& state, const move_record& record);
+move_step decide_move_step(const control& state, const move_record& record);
 
 } // namespace caraway
--- a/src/node/store_roles.cpp
+++ b/src/node/store_roles.cpp
@@ -9,15 +9,15 @@
 // How often a role's candidates are worked out anew.
 constexpr milliseconds candidate_interval{1'000};
 // How long a watch waits at the store.
-constexpr milliseconds watch_wait{20'000};
+constexpr milliseconds watch_timeout{20'000};
 
 void finish_lease_call(control& state, lease_role& role, const store_reply& reply) {
     role.m_busy = false;
-    settle_lease(role.m_keeper, {reply.m_kind, reply.m_lease, reply.m_revision, reply.m_value},
-                 state.now());
+    apply_lease_reply(role.m_keeper, {reply.m_kind, reply.m_lease, reply.m_revision, reply.m_value},
+                      state.now());
 }
 
-void take_text(control& state, const accepted_record& record, std::string text) {
+void apply_accepted_text(control& state, const accepted_record& record, std::string text) {
     if (hash_bytes(text) != record.m_hash) {
         return; // the next list tries again
     }
@@ -27,7 +27,7 @@
 }
 
 // Takes over what a list or watch of the state prefix returned.
-void learn_entries(control& state, const std::vector<store_entry>& entries) {
+void apply_state_entries(control& state, const std::vector<store_entry>& entries) {
     std::vector<move_record> records;
     for (const store_entry& entry : entries) {
         if (entry.m_deleted) {
@@ -52,15 +52,15 @@
 
 // Joins with entry points that are not live members, so that parts of the mesh that lost each
 // other for longer than dead members are remembered find together again.
-void reunite(control& state) {
+void join_unknown_entry_points(control& state) {
     state.m_store->list(entry_prefix, [&state](const store_reply& reply) {
-        std::set<ip_endpoint> known{state.m_settings.m_announce_bulk};
-        for (const member* each : live_members(state.m_members)) {
-            known.insert(each->m_bulk);
+        std::set<ip_endpoint> known_addresses{state.m_settings.m_announce_bulk};
+        for (const member* live_member : live_members(state.m_members)) {
+            known_addresses.insert(live_member->m_bulk);
         }
         for (const store_entry& entry : reply.m_entries) {
             const auto address = parse_endpoint(entry.m_value);
-            if (address && !known.contains(*address)) {
+            if (address && !known_addresses.contains(*address)) {
                 join_through(state, *address);
             }
         }
@@ -71,27 +71,27 @@
     role.m_busy = true;
     state.m_store->list(state_prefix, [&state, &role](const store_reply& reply) {
         role.m_busy = false;
-        const time_point at = state.now();
+        const time_point replied_at = state.now();
         if (reply.m_kind != error_kind::none) {
-            role.m_retry_at = at + store_retry_pause;
+            role.m_retry_at = replied_at + store_retry_pause;
             return;
         }
         role.m_listed = true;
         role.m_after = reply.m_revision;
-        role.m_next_list = at + list_interval;
-        learn_entries(state, reply.m_entries);
+        role.m_next_list = replied_at + list_interval;
+        apply_state_entries(state, reply.m_entries);
     });
     if (now >= role.m_next_list) {
-        reunite(state);
+        join_unknown_entry_points(state);
     }
 }
 
 void watch_state(control& state, reader_role& role) {
     role.m_busy = true;
-    const auto wait =
+    const auto timeout =
         std::clamp(std::chrono::duration_cast<milliseconds>(role.m_next_list - state.now()),
-                   milliseconds{100}, watch_wait);
-    state.m_store->watch(state_prefix, role.m_after, wait,
+                   milliseconds{100}, watch_timeout);
+    state.m_store->watch(state_prefix, role.m_after, timeout,
                          [&state, &role](const store_reply& reply) {
                              role.m_busy = false;
                              if (reply.m_kind != error_kind::none) {
@@ -100,11 +100,11 @@
                                  return;
                              }
                              role.m_after = std::max(role.m_after, reply.m_revision);
-                             learn_entries(state, reply.m_entries);
+                             apply_state_entries(state, reply.m_entries);
                          });
 }
 
-void write_entry(control& state, reader_role& role) {
+void write_entry_point(control& state, reader_role& role) {
     role.m_busy = true;
     state.m_store->put(
         role.m_entry_key, format_endpoint(state.m_settings.m_announce_bulk), std::nullopt,
@@ -119,7 +119,7 @@
 // Instances that started in a partition and joined only each other stayed apart after it had
 // healed: those of them that try for the lease, as they all do in a small table, learn here of the
 // others.
-void notice_unknown_holder(control& state, lease_keeper& keeper) {
+void rejoin_on_unknown_holder(control& state, lease_keeper& keeper) {
     const std::string_view holder = other_holder(keeper);
     if (holder.empty() || holder == state.m_settings.m_instance ||
         state.m_members.m_members.contains(holder)) {
@@ -131,9 +131,11 @@
 }
 
 void tick_reader(control& state, reader_role& role, time_point now) {
-    const std::string& own = state.m_settings.m_data_centre;
-    const bool candidate = refresh_candidate(
-        state, role.m_lease, now, [&own](const member& m) { return m.m_data_centre == own; });
+    const std::string& own_data_centre = state.m_settings.m_data_centre;
+    const bool candidate =
+        refresh_candidate(state, role.m_lease, now, [&own_data_centre](const member& m) {
+            return m.m_data_centre == own_data_centre;
+        });
     // One instance holds at most one of the two reader leases of its data centre while others
     // could take the second.
     bool holds_other = false;
@@ -145,7 +147,7 @@
         !state.m_leaving && (role.m_lease.m_keeper.m_held || (candidate && !holds_other));
     run_lease(state, role.m_lease, wanted);
     if (!lease_held(role.m_lease.m_keeper, now)) {
-        notice_unknown_holder(state, role.m_lease.m_keeper);
+        rejoin_on_unknown_holder(state, role.m_lease.m_keeper);
         role.m_active = false;
         role.m_listed = false;
         return;
@@ -154,7 +156,7 @@
         return;
     }
     if (!role.m_active) {
-        write_entry(state, role);
+        write_entry_point(state, role);
     } else if (!role.m_listed || now >= role.m_next_list) {
         list_state(state, role, now);
     } else {
@@ -178,15 +180,15 @@
     if (state.m_distribution.m_store_read && record.m_version <= state.m_distribution.m_applied) {
         return;
     }
-    const auto held = texts.find(record.m_version);
-    if (held != texts.end()) {
-        take_text(state, record, *held->second.m_text);
+    const auto held_text = texts.find(record.m_version);
+    if (held_text != texts.end()) {
+        apply_accepted_text(state, record, *held_text->second.m_text);
         return;
     }
     read_stored_text(state, record,
                      [&state, record](error_kind kind, std::shared_ptr<const std::string> text) {
                          if (kind == error_kind::none) {
-                             take_text(state, record, *text);
+                             apply_accepted_text(state, record, *text);
                          }
                      });
 }
@@ -203,28 +205,28 @@
         return;
     }
     lease_keeper& keeper = role.m_keeper;
-    const auto done = [&state, &role](const store_reply& reply) {
+    const auto on_reply = [&state, &role](const store_reply& reply) {
         finish_lease_call(state, role, reply);
     };
-    const lease_request request = decide_lease(keeper, wanted, now);
+    const lease_request request = next_lease_request(keeper, wanted, now);
     role.m_busy = request != lease_request::none;
     switch (request) {
     case lease_request::none:
         break;
     case lease_request::create:
-        state.m_store->create_lease(keeper.m_period, done);
+        state.m_store->create_lease(keeper.m_period, on_reply);
         break;
     case lease_request::claim:
-        state.m_store->put(keeper.m_key, lease_claim_value(keeper), 0, keeper.m_lease, done);
+        state.m_store->put(keeper.m_key, lease_claim_value(keeper), 0, keeper.m_lease, on_reply);
         break;
     case lease_request::renew:
-        state.m_store->renew_lease(keeper.m_lease, done);
+        state.m_store->renew_lease(keeper.m_lease, on_reply);
         break;
     case lease_request::read_back:
-        state.m_store->get(keeper.m_key, done);
+        state.m_store->get(keeper.m_key, on_reply);
         break;
     case lease_request::release:
-        state.m_store->end_lease(keeper.m_lease, done);
+        state.m_store->end_lease(keeper.m_lease, on_reply);
         break;
     }
 }
--- a/src/node/stored_text.cpp
+++ b/src/node/stored_text.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 // Restores the record's text from its delta and the base, if the base is held here.
-std::shared_ptr<const std::string> restore(const control& state, const accepted_record& record,
-                                           const packed_text& delta) {
+std::shared_ptr<const std::string> restore_text(const control& state, const accepted_record& record,
+                                                const packed_text& delta) {
     const auto base = find_text(state, delta.m_base_version);
     if (!base || delta.m_hash != record.m_hash) {
         return nullptr;
@@ -21,28 +21,29 @@
 // Reads the whole text that the record's text is restored from, and restores it.
 void read_whole_text(control& state, const accepted_record& record,
                      std::optional<packed_text> delta, text_callback done) {
-    const text_name name = whole_text_of(record);
-    state.m_store->get(text_key(name.m_version, name.m_hash),
-                       [&state, record, name, delta = std::move(delta),
+    const text_name whole_text_name = whole_text_of(record);
+    state.m_store->get(text_key(whole_text_name.m_version, whole_text_name.m_hash),
+                       [&state, record, whole_text_name, delta = std::move(delta),
                         done = std::move(done)](const store_reply& reply) {
                            if (reply.m_kind != error_kind::none) {
                                done(reply.m_kind, nullptr);
                                return;
                            }
                            error reason;
-                           auto whole = load_whole_text(reply.m_value, name.m_hash, reason);
-                           if (!whole) {
+                           auto whole_text =
+                               load_whole_text(reply.m_value, whole_text_name.m_hash, reason);
+                           if (!whole_text) {
                                done(reason.m_kind, nullptr);
                                return;
                            }
-                           state.m_whole_text =
-                               config_text{name.m_version, name.m_hash,
-                                           std::make_shared<const std::string>(std::move(*whole))};
-                           if (name.m_version == record.m_version) {
+                           state.m_whole_text = config_text{
+                               whole_text_name.m_version, whole_text_name.m_hash,
+                               std::make_shared<const std::string>(std::move(*whole_text))};
+                           if (whole_text_name.m_version == record.m_version) {
                                done(error_kind::none, state.m_whole_text->m_text);
                                return;
                            }
-                           auto text = delta ? restore(state, record, *delta) : nullptr;
+                           auto text = delta ? restore_text(state, record, *delta) : nullptr;
                            done(text ? error_kind::none : error_kind::store_not_found, text);
                        });
 }
@@ -57,8 +58,8 @@
     if (role.m_accepted_text && role.m_accepted_text_version == version) {
         return role.m_accepted_text;
     }
-    const auto held = state.m_distribution.m_texts.find(version);
-    return held == state.m_distribution.m_texts.end() ? nullptr : held->second.m_text;
+    const auto held_text = state.m_distribution.m_texts.find(version);
+    return held_text == state.m_distribution.m_texts.end() ? nullptr : held_text->second.m_text;
 }
 
 void read_stored_text(control& state, const accepted_record& record, text_callback done) {
@@ -75,7 +76,7 @@
             auto delta = reply.m_kind == error_kind::none
                              ? decode_stored_text(reply.m_value, reason)
                              : std::nullopt;
-            if (auto text = delta ? restore(state, record, *delta) : nullptr) {
+            if (auto text = delta ? restore_text(state, record, *delta) : nullptr) {
                 done(error_kind::none, std::move(text));
                 return;
             }
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -11,11 +11,11 @@
 public:
     pipeline_fixture() {
         m_reported_slots = 8;
-        add_node("n1", "pour", m_behind.port());
+        add_node("n1", "pour", m_backend_server.port());
         start();
     }
 
-    fake_server m_behind;
+    fake_server m_backend_server;
 };
 
 } // namespace
@@ -35,17 +35,17 @@
         BOOST_TEST(reason_of(answer) == "answered/none");
         BOOST_TEST(answer.body() == expected);
     }
-    const auto took = std::chrono::steady_clock::now() - start_time;
-    BOOST_TEST((took < milliseconds(700)));
+    const auto elapsed = std::chrono::steady_clock::now() - start_time;
+    BOOST_TEST((elapsed < milliseconds(700)));
 }
 
 // Guards against a request that is read while the first one runs, and not only with it.
 BOOST_AUTO_TEST_CASE(a_request_sent_later_runs_beside_the_first_one) {
     caller connection(entry());
     connection.send("/again/slow", "first");
-    BOOST_TEST(settled([this] { return m_behind.running_slow(); }, 1) == 1U);
+    BOOST_TEST(settled([this] { return m_backend_server.running_slow(); }, 1) == 1U);
     connection.send("/again/slow", "second");
-    BOOST_TEST(settled([this] { return m_behind.running_slow(); }, 2) == 2U);
+    BOOST_TEST(settled([this] { return m_backend_server.running_slow(); }, 2) == 2U);
     BOOST_TEST(connection.receive().body() == "first");
     BOOST_TEST(connection.receive().body() == "second");
     BOOST_TEST(connection.call("/once/echo", "third").body() == "third");
@@ -59,13 +59,13 @@
     connection.send("/once/slow", "second");
     connection.send("/again/echo", "third");
     std::this_thread::sleep_for(milliseconds(200));
-    BOOST_TEST(m_behind.runs() == 1);
+    BOOST_TEST(m_backend_server.runs() == 1);
     BOOST_TEST(connection.receive().body() == "first");
     std::this_thread::sleep_for(milliseconds(200));
-    BOOST_TEST(m_behind.runs() == 2);
+    BOOST_TEST(m_backend_server.runs() == 2);
     BOOST_TEST(connection.receive().body() == "second");
     BOOST_TEST(connection.receive().body() == "third");
-    BOOST_TEST(m_behind.runs() == 3);
+    BOOST_TEST(m_backend_server.runs() == 3);
 }
 
 // Guards against work that goes on for a caller that has left.
@@ -75,9 +75,9 @@
         connection.send("/again/slow");
         connection.send("/again/slow");
         connection.send("/again/slow");
-        BOOST_TEST(settled([this] { return m_behind.running_slow(); }, 3) == 3U);
+        BOOST_TEST(settled([this] { return m_backend_server.running_slow(); }, 3) == 3U);
     }
-    BOOST_TEST(settled([this] { return m_behind.closed_while_slow(); }, 3) == 3U);
+    BOOST_TEST(settled([this] { return m_backend_server.closed_while_slow(); }, 3) == 3U);
     BOOST_TEST(settled([this] { return entry().m_server->calls_in_progress(); }, 0) == 0U);
 }
 
@@ -91,7 +91,7 @@
     BOOST_TEST(answer.body() == "first");
     BOOST_TEST(!answer.keep_alive());
     BOOST_CHECK_THROW(connection.receive(), boost::system::system_error);
-    BOOST_TEST(m_behind.runs() == 1);
+    BOOST_TEST(m_backend_server.runs() == 1);
 }
 
 // Guards against a planned stop that cuts off requests that were accepted behind another one.
@@ -99,7 +99,7 @@
     caller connection(entry());
     connection.send("/again/slow", "first");
     connection.send("/again/slow", "second");
-    BOOST_TEST(settled([this] { return m_behind.running_slow(); }, 2) == 2U);
+    BOOST_TEST(settled([this] { return m_backend_server.running_slow(); }, 2) == 2U);
     entry().m_server->drain();
     const http_answer first = connection.receive();
     BOOST_TEST(first.body() == "first");
@@ -113,8 +113,8 @@
 BOOST_AUTO_TEST_CASE(bad_request_is_refused_in_its_turn) {
     caller connection(entry());
     connection.send("/again/slow", "first");
-    const std::string bad = "this is no request\r\n\r\n";
-    asio::write(connection.socket(), asio::buffer(bad));
+    const std::string malformed = "this is no request\r\n\r\n";
+    asio::write(connection.socket(), asio::buffer(malformed));
     BOOST_TEST(connection.receive().body() == "first");
     const http_answer refusal = connection.receive();
     BOOST_TEST(refusal.result_int() == 400U);
@@ -123,15 +123,15 @@
 
 // Guards against answers lost or mixed up where more requests wait than are read ahead.
 BOOST_AUTO_TEST_CASE(many_requests_are_all_answered_in_order) {
-    constexpr int requests = 60;
+    constexpr int request_count = 60;
     caller connection(entry());
-    for (int i = 0; i < requests; ++i) {
+    for (int i = 0; i < request_count; ++i) {
         connection.send(i % 5 == 4 ? "/once/echo" : "/again/slower", std::to_string(i));
     }
-    for (int i = 0; i < requests; ++i) {
+    for (int i = 0; i < request_count; ++i) {
         BOOST_TEST(connection.receive().body() == std::to_string(i));
     }
-    BOOST_TEST(m_behind.runs() == requests);
+    BOOST_TEST(m_backend_server.runs() == request_count);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
