--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -1,5 +1,5 @@
-// The accepter: judges submitted texts and stores the accepted ones. docs/design.md, section 6,
-// says in which order the values are written.
+// The accepter role: validates submitted configuration texts and stores the accepted ones.
+// docs/design.md, section 6, specifies the order in which the values are written.
 #include <algorithm>
 #include <utility>
 
@@ -12,18 +12,21 @@
 namespace caraway {
 namespace {
 
-// Values removed in one pass. A pass a few versions finds some 16; the rest of more waits for the
-// next, so that removals don't use up the store's writes.
+// Maximum number of values removed in one pass. A pass every few versions finds about 16 values.
+// Any above the limit are left for the next pass, so that removals don't use up the write capacity
+// of the store.
 constexpr std::size_t max_removals = 64;
 
-// Forgets what was read, so that the next step reads the store again before it decides.
+// Discards what was read from the store, so that the next step reads the store again before it
+// decides. The role makes no further call before `retry_at`.
 void reset_accepter(accepter_role& role, time_point retry_at) {
     role.m_busy = false;
     role.m_accepted_read = false;
-    role.m_text_revision = 0; // judged again; decide_acceptance skips what has been decided
+    role.m_text_revision = 0; // validated again; decide_acceptance skips decided texts
     role.m_retry_at = retry_at;
 }
 
+// Returns the stored form of a refusal: the revision of the submitted text and its faults.
 std::string encode_refusal(std::uint64_t revision, const std::vector<text_fault>& faults) {
     boost::json::array fault_list;
     for (const text_fault& fault : faults) {
@@ -36,6 +39,7 @@
         boost::json::object{{"source_revision", revision}, {"faults", std::move(fault_list)}});
 }
 
+// Logs the faults of a submitted text and writes them to the store for the submitter.
 void write_refusal(control& state, std::uint64_t revision, const std::vector<text_fault>& faults) {
     log_event(log_level::warning, "text_refused",
               {{"source_revision", revision},
@@ -53,9 +57,9 @@
                        });
 }
 
-// The commit point: whoever wins this compare-and-swap has decided the version. Whatever the
-// reply, the accepted record is read again before the next decision, so a lost reply needs no
-// case of its own.
+// Commits the accepted record by compare-and-swap: the accepter whose write succeeds decides the
+// version. The record is read again before the next decision whatever the reply is, so a lost reply
+// needs no special handling.
 void commit_accepted(control& state, const accepted_record& record) {
     if (!lease_held(state.m_accepter.m_lease.m_keeper, state.now())) {
         reset_accepter(state.m_accepter, state.now());
@@ -77,9 +81,10 @@
                        });
 }
 
-// Writes the difference from the latest whole text. A text stored whole needs none, so a failure
-// then doesn't stop the acceptance: readers read the whole text. Overwrites what a dead accepter
-// left under the key, which names the content.
+// Writes the delta from the latest text stored whole, then commits the record. If the new text is
+// itself stored whole, a failed write of its delta doesn't stop the acceptance, since readers can
+// read the whole text. Overwrites a value that a dead accepter left under the key, since the key
+// identifies the content.
 void write_delta(control& state, const accepted_record& record, const std::string& delta) {
     if (delta.empty()) {
         commit_accepted(state, record);
@@ -95,12 +100,14 @@
                        });
 }
 
+// Writes the whole text, then its delta (which may be empty) and the record.
 void write_whole_text(control& state, const accepted_record& record, std::string_view text,
                       std::string delta) {
     state.m_store->put(text_key(record.m_version, record.m_hash),
                        store_whole_text(record.m_version, record.m_hash, text), 0, {},
                        [&state, record, delta = std::move(delta)](const store_reply& reply) {
-                           // The key names the content, so a text found there is this text.
+                           // The key identifies the content, so a text that exists under it is this
+                           // text.
                            if (reply.m_kind != error_kind::none &&
                                reply.m_kind != error_kind::store_conflict) {
                                reset_accepter(state.m_accepter, state.now() + store_retry_pause);
@@ -110,8 +117,8 @@
                        });
 }
 
-// The text's difference from the latest whole text; empty if that isn't held here or if the
-// difference doesn't restore the text.
+// Returns the encoded delta from the latest text stored whole. The result is empty if this node
+// doesn't hold that text or if the delta doesn't restore the new text.
 std::string make_delta(const control& state, const accepted_record& record, const text_name& base,
                        std::string_view text) {
     const auto base_text = find_text(state, base.m_version);
@@ -124,7 +131,7 @@
     return unpack_text(packed, *base_text, reason) ? encode_stored_text(packed) : std::string{};
 }
 
-// Writes the text, whole or as a delta, then the record.
+// Stores the text, whole or as a delta, and then commits its record.
 void write_accepted(control& state, accepted_record record, const std::string& text) {
     accepter_role& role = state.m_accepter;
     text_name base = role.m_accepted ? whole_text_of(*role.m_accepted) : text_name{};
@@ -144,6 +151,8 @@
     write_whole_text(state, record, text, std::move(delta));
 }
 
+// Validates the text submitted at a store revision, unless it has been decided, and stores either
+// the accepted text or the faults found.
 void process_submitted_text(control& state, const std::string& text, std::uint64_t revision) {
     accepter_role& role = state.m_accepter;
     const acceptance_decision decision = decide_acceptance(
@@ -163,6 +172,7 @@
     }
 }
 
+// Reads and processes the whole submitted text.
 void read_submitted_text(control& state) {
     state.m_store->get(text_store_key, [&state](const store_reply& reply) {
         if (reply.m_kind != error_kind::none) {
@@ -175,14 +185,16 @@
 
 void process_submitted_revisions(control& state, const submitted_revisions& submitted);
 
-// Takes the difference that carawayctl has written after the text. It names the text's revision in
-// place of a version. One that names an older text was written late, after another text.
+// Processes the submitted text as restored from the delta that carawayctl writes after the text, or
+// reads the whole text if that fails. The delta names the revision of that text instead of a
+// version. A delta that names an older text was written late, after another text was submitted, and
+// is ignored.
 void apply_submitted_delta(control& state, const submitted_revisions& submitted,
                            const store_reply& reply) {
     error reason;
     const auto delta = decode_stored_text(reply.m_value, reason);
-    // A text always has a lower revision than its difference; a higher one named by mistake would
-    // keep all later texts from being judged.
+    // A text always has a lower revision than its delta. A delta that named a higher one by mistake
+    // would prevent all later texts from being validated.
     if (!delta || delta->m_version < submitted.m_text || delta->m_version >= reply.m_revision) {
         state.m_accepter.m_unusable_delta = submitted.m_delta;
         process_submitted_revisions(state, submitted);
@@ -198,6 +210,7 @@
     process_submitted_text(state, *text, delta->m_version);
 }
 
+// Reads the submitted delta and processes the text restored from it.
 void read_submitted_delta(control& state, const submitted_revisions& submitted) {
     state.m_store->get(text_delta_store_key, [&state, submitted](const store_reply& reply) {
         if (reply.m_kind != error_kind::none) {
@@ -210,6 +223,8 @@
 
 void check_submitted_revisions(control& state);
 
+// Waits until the submitted keys change or `submitted_delta_wait` has passed since the text was
+// first seen, then checks the revisions again.
 void wait_for_submitted_delta(control& state) {
     const accepter_role& role = state.m_accepter;
     const auto remaining = std::chrono::duration_cast<milliseconds>(
@@ -225,8 +240,8 @@
         });
 }
 
-// Goes on with the submitted text, given the revisions that the store holds. Only a new text is
-// read; it may be near a megabyte.
+// Chooses how to obtain the submitted text, given the revisions in the store, and does so. The text
+// is read only if it is new, since it may be almost 1 MB long.
 void process_submitted_revisions(control& state, const submitted_revisions& submitted) {
     accepter_role& role = state.m_accepter;
     if (submitted.m_text != role.m_seen_text) {
@@ -252,6 +267,7 @@
     }
 }
 
+// Lists the revisions of the submitted text and its delta, then processes them.
 void check_submitted_revisions(control& state) {
     state.m_store->list_keys(text_store_key, [&state](const store_reply& reply) {
         accepter_role& role = state.m_accepter;
@@ -272,9 +288,9 @@
     });
 }
 
-// Removes the values that are no longer needed once a text is committed that is stored whole. Finds
-// them in the store, so that those of dead accepters go too; what stays through a failure goes the
-// next time.
+// Removes the texts and deltas that are no longer needed once a text stored whole is committed.
+// Lists them in the store, so that those of dead accepters are removed too; a value whose removal
+// fails is removed in a later pass.
 void remove_old_texts(control& state, const accepted_record& committed) {
     state.m_store->list_keys(accepted_prefix, [&state, committed](const store_reply& reply) {
         std::size_t removals = 0;
@@ -287,7 +303,7 @@
     });
 }
 
-// Removes the record of a move unless it has been replaced by that of a later move.
+// Removes the record of a move unless the record of a later move has replaced it.
 void remove_move_record(control& state, const std::string& service, const std::string& id) {
     const std::string key = std::string(state.m_adapter.m_move_prefix) + service;
     state.m_store->get(key, [&state, key, id](const store_reply& reply) {
@@ -301,7 +317,7 @@
 }
 
 // Removes the records of moves that the accepted text no longer names; their verdicts stay. Readers
-// read all records every 10 s, so that old ones would cost bytes for ever.
+// read all records every 10 s, so records of ended moves would use bandwidth forever.
 void remove_ended_move_records(control& state, const mesh& before, const mesh& after) {
     for (const auto& [name, service] : before.m_services) {
         const auto current = after.m_services.find(name);
@@ -312,6 +328,8 @@
     }
 }
 
+// Sets the text of the accepted record, against which the next text is validated. Removes the
+// values in the store that it makes obsolete, then checks for a submitted text.
 void set_accepted_text(control& state, std::shared_ptr<const std::string> text) {
     accepter_role& role = state.m_accepter;
     std::vector<text_fault> faults;
@@ -331,8 +349,8 @@
     check_submitted_revisions(state);
 }
 
-// Finds the text of the accepted record, against which the next text is judged: as read or
-// written before, as held for distribution, or in the store.
+// Obtains the text of the accepted record, against which the next text is validated: the one read
+// or written earlier, the one held for distribution, or the one in the store.
 void load_accepted_text(control& state) {
     accepter_role& role = state.m_accepter;
     const accepted_record& record = *role.m_accepted;
@@ -362,6 +380,7 @@
                      });
 }
 
+// Reads the accepted record and then its text. The store has no record before the first acceptance.
 void read_accepted_record(control& state) {
     state.m_store->get(accepted_key, [&state](const store_reply& reply) {
         accepter_role& role = state.m_accepter;
@@ -386,6 +405,7 @@
     });
 }
 
+// Waits for a change of the submitted text or its delta for at most `list_interval`.
 void watch_submitted_text(control& state) {
     accepter_role& role = state.m_accepter;
     state.m_store->watch_keys(text_store_key, role.m_watch_after, list_interval,
@@ -396,7 +416,8 @@
                                       reset_accepter(accepter, state.now() + store_retry_pause);
                                       return;
                                   }
-                                  // Read again after every watch, since a watch can miss events.
+                                  // Reads the accepted record again after every watch, since a
+                                  // watch can miss events.
                                   accepter.m_accepted_read = false;
                               });
 }
--- a/src/node/config_sync.cpp
+++ b/src/node/config_sync.cpp
@@ -1,3 +1,4 @@
+// Carries out the decisions of the configuration distribution: fetches, parses and applies texts.
 #include <algorithm>
 
 #include "base/hash.hpp"
@@ -8,13 +9,15 @@
 namespace caraway {
 namespace {
 
+// Logs the first fault of a text that was rejected here.
 void log_parse_failure(std::uint64_t version, const std::vector<text_fault>& faults) {
     const std::string first = faults.empty() ? "unknown" : format_fault("text", faults.front());
     log_event(log_level::error, "config_rejected", {{"version", version}, {"fault", first}});
 }
 
-// The accepter has checked that deadlines lay ahead at acceptance; here an accepted text is valid
-// however late it arrives, so the time of the check is the beginning of the epoch.
+// Parses an accepted text in the submitted format. The accepter checked at acceptance that
+// deadlines were in the future; here an accepted text is valid however late it arrives, so the time
+// of the check is the epoch.
 std::optional<mesh> parse_submitted_text(const control& state, std::uint64_t version,
                                          std::string_view text) {
     std::vector<text_fault> faults;
@@ -25,12 +28,13 @@
     return parsed;
 }
 
+// Parses a text that lists the operators' items, using the platform adapter.
 std::optional<mesh> parse_operator_items(const control& state, std::uint64_t version,
                                          std::string_view text) {
     const auto items = decode_items(text);
     error reason;
     if (!items) {
-        fail(reason, error_kind::invalid_text, "no list of items");
+        fail(reason, error_kind::invalid_text, "text is not a list of items");
     }
     auto parsed = items ? state.m_adapter.m_parse_items(*items, reason) : std::nullopt;
     if (!parsed) {
@@ -40,6 +44,7 @@
     return parsed;
 }
 
+// Parses the held text of a version and reports the result to the distribution.
 void parse_version(control& state, std::uint64_t version) {
     const auto held_text = state.m_distribution.m_texts.find(version);
     if (held_text == state.m_distribution.m_texts.end()) {
@@ -55,7 +60,8 @@
     perform(state, decide_text_parsed(state, version, valid));
 }
 
-// Logs data centres that the new text takes out or brings back, for the auditor.
+// Logs data centres that the new version takes out of service or brings back; the audit evaluates
+// these lines.
 void log_data_centre_changes(const mesh* before, const mesh& after, std::uint64_t version) {
     for (const auto& [name, spec] : after.m_data_centres) {
         bool was_taken_out = false;
@@ -70,6 +76,7 @@
     }
 }
 
+// Returns the ids of all moves in a configuration.
 std::vector<std::string> move_ids(const mesh& config) {
     std::vector<std::string> ids;
     for (const auto& [name, service] : config.m_services) {
@@ -80,6 +87,8 @@
     return ids;
 }
 
+// Puts a parsed version in force: replaces the mesh, drops facts of moves that it no longer names,
+// rebuilds the snapshot and announces the version to the collector. Drops older parsed versions.
 void apply_version(control& state, std::uint64_t version) {
     const auto parsed = state.m_parsed.find(version);
     if (parsed == state.m_parsed.end()) {
@@ -95,7 +104,7 @@
               {{"version", version}, {"previous", previous_version}});
     log_data_centre_changes(before.get(), *state.m_mesh, version);
     state.m_metrics->set_config_version(version);
-    prune_recorded_facts(state, move_ids(*state.m_mesh));
+    prune_and_record_facts(state, move_ids(*state.m_mesh));
     state.m_members.m_facts_digest = facts_digest(state.m_facts);
     state.m_snapshot_dirty = true;
     refresh_snapshot(state);
@@ -104,6 +113,7 @@
     }
 }
 
+// Requests a text newer than `current_version` from an instance.
 void fetch_version(control& state, const std::string& instance, std::uint64_t current_version) {
     const auto holder = state.m_members.m_members.find(instance);
     if (holder == state.m_members.m_members.end()) {
@@ -138,8 +148,8 @@
             apply_version(state, action.m_version);
             break;
         case distribution_action::kind::announce:
-            // Every packet names the version held here; an urgent one to the fanout makes others
-            // fetch it.
+            // Every packet carries the version held here. An urgent update to the gossip fanout
+            // makes other members fetch that version.
             state.m_members.m_held_version = held_version(state.m_distribution);
             perform(state, membership_update_self(state.m_members, true, state.now()));
             break;
--- a/src/node/in_force.cpp
+++ b/src/node/in_force.cpp
@@ -1,6 +1,7 @@
-// How the in-force verdict is gathered: every member tells the collector of its shard (one of 16
-// in its data centre) when it has applied a version; shard collectors send summaries to one global
-// collector, which writes the verdict. No node hears from more than a few hundred others.
+// Gathers the in-force verdict: how many members have applied a version. Every member notifies the
+// collector of its shard (one of 16 in its data centre) when it has applied a version. Shard
+// collectors send summaries to one global collector, which writes the verdict. No node receives
+// notifications from more than a few hundred others.
 
 #include <boost/json.hpp>
 
@@ -13,21 +14,27 @@
 namespace caraway {
 namespace {
 
-// Shards of a data centre: 1,750 members give some 110 packets to each collector for a change.
+// Number of shards of a data centre. With 1,750 members, each collector receives about 110 packets
+// for a change.
 constexpr std::uint32_t shard_count = 16;
+// Interval at which a node repeats its announcement, sends its summaries and evaluates received
+// ones, while there are any outstanding.
 constexpr milliseconds report_interval{500};
-// Verdicts kept in the store.
+// Number of latest versions whose verdicts are kept in the store.
 constexpr std::uint64_t kept_verdicts = 100;
 
+// Returns the shard of an instance within its data centre.
 std::uint32_t shard_of(std::string_view instance) {
     return static_cast<std::uint32_t>(hash_bytes(instance) % shard_count);
 }
 
+// Returns the role name by which the collector of a shard is selected.
 std::string shard_role(std::string_view data_centre, std::uint32_t shard) {
     return fmt::format("collector/{}/{}", data_centre, shard);
 }
 
-// The live member, self included, with the highest rendezvous weight for a role.
+// Returns the live member, including this node, with the highest rendezvous weight for a role among
+// those that satisfy the filter. Returns this node if there is none.
 const member& select_member(const control& state, std::string_view role,
                             const std::function<bool(const member&)>& filter) {
     const member* selected = &state.m_members.m_self;
@@ -50,6 +57,7 @@
     return other.m_instance == state.m_settings.m_instance;
 }
 
+// Returns the collector of a shard of this node's data centre.
 const member& shard_collector(const control& state, std::uint32_t shard) {
     const std::string& own_data_centre = state.m_settings.m_data_centre;
     return select_member(
@@ -57,7 +65,7 @@
         [&own_data_centre](const member& m) { return m.m_data_centre == own_data_centre; });
 }
 
-// Members of the own data centre in the shard with the versions they have announced.
+// Reports which members of a shard of this node's data centre have announced the version.
 in_force_report make_shard_report(const control& state, std::uint32_t shard,
                                   std::uint64_t version) {
     std::vector<member_version> members;
@@ -74,6 +82,8 @@
     return report_in_force(version, members, duration{});
 }
 
+// Sends the global collector a summary of each shard that this node collects. Marks the version as
+// reported once all these shards are complete.
 void send_summaries(control& state, std::uint64_t version) {
     bool complete = true;
     const member& global_collector =
@@ -102,8 +112,8 @@
     }
 }
 
-// Adds up the summaries. Final when every data centre with live members has reported all shards
-// complete, or the time limit has passed.
+// Adds up the summaries. The result is final when they show the version in force at every live
+// member, or when the time limit has passed.
 in_force_report combine_summaries(const control& state, duration elapsed) {
     const collector_state& collector = state.m_collector;
     in_force_report combined;
@@ -123,6 +133,7 @@
     return combined;
 }
 
+// Writes a verdict to the store and removes the one that is `kept_verdicts` versions older.
 void write_in_force_verdict(control& state, const in_force_report& report) {
     boost::json::array missing;
     for (const std::string& name : report.m_missing) {
@@ -196,7 +207,7 @@
         return;
     }
     if (collector.m_reported_version < version) {
-        // The own announcement may have been lost; a repeat costs one packet.
+        // This node's announcement may have been lost; repeating it costs one packet.
         announce_in_force(state);
         send_summaries(state, version);
     }
--- a/src/node/join.cpp
+++ b/src/node/join.cpp
@@ -307,7 +307,7 @@
                    {"peer_version", version}});
         perform(state, membership_merge(state.m_members, joined->m_members, state.now()));
         learn_facts(state, joined->m_suspensions, joined->m_records, false);
-        perform(state, decide_joined(state, through, version, joined->m_predecessor_version));
+        perform(state, decide_join_reply(state, through, version, joined->m_predecessor_version));
         if (joined->m_config) {
             receive_text(state, through, *joined->m_config);
         }
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -1,7 +1,7 @@
-// Reads the operators' configuration and orders straight from the store, where the store itself
-// accepts only what is valid. All items below one prefix make one text, whose version is the
-// revision of its latest change. A few members of each data centre watch the store, so that its
-// calls don't grow with the fleet; the others get each text from members.
+// Reads the operators' configuration and orders directly from the store, for platforms whose store
+// accepts only valid items. All items below one prefix form one text, whose version is the revision
+// of its latest change. A few members of each data centre watch the store, so that the number of
+// store calls doesn't grow with the fleet; the others fetch each text from members.
 
 #include <algorithm>
 
@@ -15,25 +15,27 @@
 namespace caraway {
 namespace {
 
-// How long a watch waits at the store. A dead connection is noticed earlier, by keep-alive probes.
+// How long the store may hold a watch open. Keep-alive probes detect a dead connection earlier.
 constexpr milliseconds watch_timeout{10'000};
-// Pause after the first failed call, doubled up to the longest one, with as much again at random,
-// so that a fleet doesn't call in step.
+// Base of the pause after failed calls. Each consecutive failure doubles the pause up to
+// `max_retry_pause`; a random time below the pause is added, so that the nodes of a fleet don't
+// call in step.
 constexpr milliseconds retry_pause{100};
 constexpr milliseconds max_retry_pause{800};
-// How often the watchers are worked out anew.
+// How often a node determines again whether it watches the store.
 constexpr milliseconds candidate_interval{500};
-// The same until a configuration is in force: after a loss of all power nobody has one, and every
-// caller waits for the first watchers.
+// The same until a configuration is in force: after a power loss of the whole fleet no node has
+// one, and every caller waits for the first watchers.
 constexpr milliseconds first_candidate_interval{100};
-// Failed calls after which a watcher tells the others, so that the next ones watch.
+// Consecutive failed calls after which a watcher announces that it can't reach the store, so that
+// the next candidates start to watch.
 constexpr std::uint32_t failures_before_lost = 2;
-// A node that no longer tries the store forgets after this time that it couldn't reach it.
+// A node that no longer calls the store withdraws the announcement of its loss after this time.
 constexpr milliseconds lost_retention{5'000};
-// The whole prefix is read this often, in case a watch missed a change.
+// How often all items are read again, in case a watch missed a change.
 constexpr milliseconds relist_interval{30'000};
 
-// Tells the members whether this node reaches the store.
+// Announces to the members whether this node has lost the store.
 void announce_store_access(control& state, bool store_lost) {
     if (state.m_members.m_self.m_store_lost != store_lost) {
         state.m_members.m_self.m_store_lost = store_lost;
@@ -43,6 +45,8 @@
     }
 }
 
+// Determines from the reply to a call whether the store is reachable, and logs a change. Announces
+// a loss only after `failures_before_lost` consecutive failures.
 void update_store_access(control& state, const store_reply& reply) {
     operator_watch& watch = state.m_operator;
     const bool store_reached =
@@ -58,6 +62,7 @@
     }
 }
 
+// Schedules the next store call after a failed one.
 void schedule_retry(control& state) {
     const std::uint32_t doublings = std::min(state.m_operator.m_failures, 8U);
     const milliseconds pause = std::min(retry_pause * (1U << doublings), max_retry_pause);
@@ -66,7 +71,8 @@
         milliseconds(state.m_random.below(static_cast<std::uint64_t>(pause.count())));
 }
 
-// Takes over the items as the text of the revision, unless they are those of the text held.
+// Passes the items to the distribution as one text, whose version is the revision of their latest
+// change. If they are those of the text held, the text keeps its version.
 void apply_items(control& state) {
     operator_watch& watch = state.m_operator;
     std::vector<store_entry> items;
@@ -85,13 +91,15 @@
         version = std::max(version, item.m_revision);
     }
     if (!texts.empty() && texts.rbegin()->first >= version) {
-        // A list doesn't tell when an item was deleted; other content needs a version of its own.
+        // A list doesn't show the revision at which an item was deleted. Different content needs a
+        // version of its own, so it gets the latest revision seen.
         const bool unchanged = texts.rbegin()->second.m_hash == hash;
         version = unchanged ? texts.rbegin()->first : watch.m_after;
     }
     perform(state, decide_store_read(state, config_text{version, hash, std::move(text)}));
 }
 
+// Reads all items and applies them.
 void list_items(control& state) {
     operator_watch& watch = state.m_operator;
     watch.m_busy = true;
@@ -114,6 +122,7 @@
     });
 }
 
+// Waits for changes of the items and applies them.
 void watch_items(control& state) {
     operator_watch& watch = state.m_operator;
     watch.m_busy = true;
@@ -122,7 +131,8 @@
         current_watch.m_busy = false;
         update_store_access(state, reply);
         if (reply.m_kind != error_kind::none) {
-            // Without its history the store can't tell what changed meanwhile.
+            // If the store no longer has the history since `m_after`, it can't report what changed,
+            // so all items are read again.
             current_watch.m_listed = reply.m_kind != error_kind::store_not_found;
             schedule_retry(state);
             return;
@@ -143,7 +153,8 @@
     state.m_store->watch(state.m_adapter.m_operator_prefix, watch.m_after, watch_timeout, on_reply);
 }
 
-// Reads the moves' records once, so that a node that starts after a move's end knows how it ended.
+// Reads the records of all moves once, so that a node that starts after the end of a move knows the
+// outcome.
 void read_records(control& state) {
     operator_watch& watch = state.m_operator;
     watch.m_records_busy = true;
@@ -167,17 +178,22 @@
     });
 }
 
-// A node that has just started waits this long for others that start with it, and for what they
-// know, before it takes part itself: a fleet that starts together would else call all at once.
+// Upper limit of the random time that a node waits after its start before it calls the store. The
+// delay spreads out the calls of a fleet that starts together, and gives time to find members that
+// started too and to receive what they know.
 constexpr milliseconds max_start_delay{600};
 
-// A starting node that doesn't watch asks the store for the configuration after this time, sooner
-// where there are few others to read it: in a small mesh a read each costs the store little.
+// A starting node that is not a watcher reads the configuration from the store if it has received
+// none from members within this time. The time is shorter if the store lists few entry points: in a
+// small mesh, one read for each node costs the store little.
 constexpr milliseconds max_member_wait{700};
 constexpr milliseconds member_wait_per_entry{15};
-// The same where the store names nobody yet: all others start, too, and few of them need to read.
+// The same if the store listed hardly any entry points at the first read: all other nodes are
+// starting too, and few of them need to read.
 constexpr milliseconds first_start_member_wait{1'500};
 
+// Returns how long a starting node waits for members to supply the configuration before it reads
+// the store itself.
 milliseconds member_wait(const control& state) {
     const auto entry_point_count = static_cast<std::int64_t>(state.m_join.m_entry_points.size());
     const bool store_listed = state.m_join.m_listed_at != time_point{};
@@ -188,14 +204,15 @@
                         : max_member_wait;
 }
 
-// A node that gets a text from no member for this long reads it from the store.
+// A node that knows of a newer text but has received it from no member for this long reads it from
+// the store.
 constexpr milliseconds max_behind_time{400};
 
-// A node that finds no member in this time after its start watches the store itself.
+// A node that finds no member within this time after its start watches the store itself.
 constexpr milliseconds max_alone_time{1'500};
 
-// Works out whether this node watches: it is among the first of its data centre, or among the first
-// of those that reach the store.
+// Determines whether this node watches the store: it is among the first candidates of its data
+// centre, or among the first of those that reach the store.
 void refresh_watcher(control& state, time_point now) {
     operator_watch& watch = state.m_operator;
     if (now < watch.m_next_check) {
@@ -211,7 +228,7 @@
     const auto reaches_store = [&same_data_centre](const member& m) {
         return same_data_centre(m) && !m.m_store_lost;
     };
-    // A node that knows nobody yet would take itself for the first of its data centre.
+    // A node that knows no other member yet would rank itself first in its data centre.
     const bool membership_known = state.m_join.m_done || now >= watch.m_begin_at + max_alone_time;
     const std::size_t watchers = watchers_in_each(state.m_members.m_groups.size());
     const bool candidate =
@@ -227,8 +244,8 @@
     }
 }
 
-// True when a member has held a newer text for some time and it could not be fetched, as from
-// members that died or were cut off just now.
+// Returns whether a member has held a newer text for longer than `max_behind_time` and it could not
+// be fetched, for example because the members that hold it died or were just cut off.
 bool is_behind(control& state, time_point now) {
     operator_watch& watch = state.m_operator;
     if (state.m_distribution.m_highest <= held_version(state.m_distribution)) {
@@ -273,8 +290,8 @@
     return items;
 }
 
-// Without a lease: an entry that outlives its node costs a joining one an attempt, a lease would
-// cost a call every few seconds.
+// Writes the entry without a lease: an entry that outlives its node costs a joining node one
+// attempt, whereas a lease would cost a call every few seconds.
 void write_entry(control& state, const std::string& slot, const ip_endpoint& address) {
     const std::string key = std::string(entry_prefix) + state.m_settings.m_data_centre + "/" + slot;
     state.m_store->put(key, format_endpoint(address), std::nullopt, {},
@@ -298,11 +315,12 @@
     if (now < watch.m_begin_at) {
         return;
     }
-    // A node that got no configuration from members reads it from the store, whoever watches.
+    // A node that received no configuration from members reads it from the store even if it is not
+    // a watcher.
     const bool starting =
         !state.m_distribution.m_ready && now >= watch.m_begin_at + member_wait(state);
     if (!watch.m_candidate && is_behind(state, now)) {
-        watch.m_behind_since = now; // the next list, if this one brings nothing new
+        watch.m_behind_since = now; // delays the next list if this one finds nothing new
         watch.m_listed = false;
     } else if (!watch.m_candidate && !starting) {
         return;
--- a/src/node/recorded.cpp
+++ b/src/node/recorded.cpp
@@ -9,30 +9,33 @@
 namespace caraway {
 namespace {
 
+// Names of the decision components in the recorded lines.
 constexpr std::string_view lease_component = "lease";
 constexpr std::string_view config_component = "distribution";
 constexpr std::string_view move_component = "version_move";
 constexpr std::string_view facts_component = "facts";
 
-// What a tick of a lease may change. Keys and periods are fixed, and the random numbers move only
-// with a reply.
+// Returns the fields that a tick of a lease may change. Keys and periods are fixed, and the random
+// generator advances only with a reply.
 auto tick_fields(const lease_keeper& keeper) {
     return std::tuple(keeper.m_phase, keeper.m_wanted, keeper.m_held, keeper.m_under_way,
                       keeper.m_release_due, keeper.m_read_first, keeper.m_claim_unknown,
                       keeper.m_lease.empty(), keeper.m_next_attempt);
 }
 
-// True when an event may find something to fetch or to apply.
+// Returns whether an event may find a version to fetch or to apply.
 bool has_pending_work(const distribution_state& state) {
     return state.m_fetch_from || state.m_highest > held_version(state) ||
            !state.m_candidates.empty();
 }
 
+// Returns the latest version that a peer announced, or 0 if it announced none.
 std::uint64_t announced_version(const distribution_state& state, std::string_view instance) {
     const auto found = state.m_peer_versions.find(instance);
     return found == state.m_peer_versions.end() ? 0 : found->second;
 }
 
+// Returns whether the text is present and matches its hash.
 bool is_intact(const config_text& text) {
     return text.m_text != nullptr && hash_bytes(*text.m_text) == text.m_hash;
 }
@@ -44,11 +47,13 @@
     }
 }
 
+// Returns the number of live members other than this node.
 std::uint64_t live_member_count(const control& state) {
     return state.m_members.m_live;
 }
 
-// One line for each route, since a service with many routes would exceed the length of a line.
+// Records one line for each route, since a single line for a service with many routes would exceed
+// the maximum line length.
 void record_reports(time_point now, std::span<const evidence_report> reports) {
     for (const evidence_report& report : reports) {
         bool first = true;
@@ -65,6 +70,8 @@
     }
 }
 
+// Returns the share of the own service's calls that the new version gets, in permille, by the facts
+// known to this node.
 std::uint64_t local_move_weight(const control& state) {
     return move_weight(state.m_facts, state.m_settings.m_service, state.m_move.m_move_id);
 }
@@ -206,9 +213,9 @@
     return actions;
 }
 
-std::vector<distribution_action> decide_joined(control& state, std::string_view instance,
-                                               std::uint64_t version,
-                                               std::uint64_t predecessor_version) {
+std::vector<distribution_action> decide_join_reply(control& state, std::string_view instance,
+                                                   std::uint64_t version,
+                                                   std::uint64_t predecessor_version) {
     const time_point now = state.now();
     auto actions = distribution_joined(state.m_distribution, instance, version, predecessor_version,
                                        live_member_count(state), now);
@@ -256,7 +263,7 @@
     }
 }
 
-void prune_recorded_facts(control& state, const std::vector<std::string>& keep_move_ids) {
+void prune_and_record_facts(control& state, const std::vector<std::string>& keep_move_ids) {
     prune_facts(state.m_facts, keep_move_ids);
     if (!is_recording()) {
         return;
@@ -318,7 +325,7 @@
 move_record decide_move_start(const control& state, const service_spec& service) {
     const wall_time wall_time_now = state.m_clock.wall_now();
     const std::string& id = state.m_move.m_move_id;
-    // A duration counts from the order, which this node saw some time ago.
+    // A duration counts from the order, which this node first saw at `m_ordered_at`.
     const auto time_since_order =
         std::chrono::duration_cast<milliseconds>(state.now() - state.m_move.m_ordered_at);
     const wall_time deadline = service.m_move->m_order == 0
--- a/src/node/resync.cpp
+++ b/src/node/resync.cpp
@@ -7,16 +7,19 @@
 namespace caraway {
 namespace {
 
-// Traffic threads trust the snapshot for this long after the control thread last ran. Within the
-// 3 s after which a suspended version or a leaving instance must get no more calls; longer than any
-// step of the control thread (parsing a text of 1 MB takes up to 140 ms).
+// Traffic threads use the snapshot for this long after the control thread last ran. The time is
+// less than the 3 s after which a suspended version or a leaving instance must receive no more
+// calls, and longer than any step of the control thread (parsing a text of 1 MB takes up to 140
+// ms).
 constexpr milliseconds snapshot_valid_time{2'000};
-// A resumed node that no member answers, as in a partition, goes on with the view it has.
+// After this time, a resumed node that no member answers, as in a partition, continues with its
+// current view.
 constexpr milliseconds resync_timeout{1'000};
-// Members asked. More than one, since some may have failed during the pause.
+// Number of members asked. More than one, since some may have failed during the pause.
 constexpr std::size_t resync_members = 3;
 
-// Asks members for their facts and for a newer text. Each answer is complete by itself.
+// Requests facts and a newer configuration text from a few random members. Each answer is complete,
+// so the first one is enough.
 void request_updates(control& state) {
     std::vector<const member*> targets = live_members(state.m_members);
     std::shuffle(targets.begin(), targets.end(), state.m_random);
--- a/src/node/store_roles.cpp
+++ b/src/node/store_roles.cpp
@@ -1,3 +1,5 @@
+// Roles that a node holds by a lease in the store: calls of the leases, and the readers, which
+// watch the accepted state and serve as entry points.
 #include "base/hash.hpp"
 #include "node/control.hpp"
 #include "node/recorded.hpp"
@@ -6,27 +8,31 @@
 namespace caraway {
 namespace {
 
-// How often a role's candidates are worked out anew.
+// How often a node determines again whether it is a candidate for a role.
 constexpr milliseconds candidate_interval{1'000};
-// How long a watch waits at the store.
+// How long the store may hold a watch open.
 constexpr milliseconds watch_timeout{20'000};
 
+// Applies the reply to a store call of a lease.
 void finish_lease_call(control& state, lease_role& role, const store_reply& reply) {
     role.m_busy = false;
     apply_lease_reply(role.m_keeper, {reply.m_kind, reply.m_lease, reply.m_revision, reply.m_value},
                       state.now());
 }
 
+// Passes the text of the accepted record to the distribution unless it doesn't match the record's
+// hash.
 void apply_accepted_text(control& state, const accepted_record& record, std::string text) {
     if (hash_bytes(text) != record.m_hash) {
-        return; // the next list tries again
+        return; // the next list reads it again
     }
     perform(state, decide_store_read(
                        state, config_text{record.m_version, record.m_hash,
                                           std::make_shared<const std::string>(std::move(text))}));
 }
 
-// Takes over what a list or watch of the state prefix returned.
+// Applies the accepted record and the records of moves that a list or watch of the state prefix
+// returned.
 void apply_state_entries(control& state, const std::vector<store_entry>& entries) {
     std::vector<move_record> records;
     for (const store_entry& entry : entries) {
@@ -50,8 +56,8 @@
     learn_facts(state, {}, records, true);
 }
 
-// Joins with entry points that are not live members, so that parts of the mesh that lost each
-// other for longer than dead members are remembered find together again.
+// Joins through entry points that are not live members. This merges the two sides of a partition
+// that lasted longer than dead members are remembered.
 void join_unknown_entry_points(control& state) {
     state.m_store->list(entry_prefix, [&state](const store_reply& reply) {
         std::set<ip_endpoint> known_addresses{state.m_settings.m_announce_bulk};
@@ -67,6 +73,8 @@
     });
 }
 
+// Reads all entries of the state prefix. At the regular interval, also looks for unknown entry
+// points.
 void list_state(control& state, reader_role& role, time_point now) {
     role.m_busy = true;
     state.m_store->list(state_prefix, [&state, &role](const store_reply& reply) {
@@ -86,6 +94,7 @@
     }
 }
 
+// Waits for changes below the state prefix until the next list is due, for at most `watch_timeout`.
 void watch_state(control& state, reader_role& role) {
     role.m_busy = true;
     const auto timeout =
@@ -104,6 +113,8 @@
                          });
 }
 
+// Writes this node's address as an entry point under the reader's lease. The reader is active once
+// this succeeds.
 void write_entry_point(control& state, reader_role& role) {
     role.m_busy = true;
     state.m_store->put(
@@ -115,10 +126,10 @@
         });
 }
 
-// Joins again when the reader lease is held by an instance that is not in the member table.
-// Instances that started in a partition and joined only each other stayed apart after it had
-// healed: those of them that try for the lease, as they all do in a small table, learn here of the
-// others.
+// Joins the mesh again when the reader lease is held by an instance that is not in the member
+// table. Instances that started in a partition and joined only each other stayed apart after it had
+// healed. Those of them that try for the lease, in a small table all of them, detect the other side
+// here.
 void rejoin_on_unknown_holder(control& state, lease_keeper& keeper) {
     const std::string_view holder = other_holder(keeper);
     if (holder.empty() || holder == state.m_settings.m_instance ||
@@ -130,14 +141,15 @@
     keeper.m_other_value.clear();
 }
 
+// Drives a reader: its lease, its entry point and its watch of the accepted state.
 void tick_reader(control& state, reader_role& role, time_point now) {
     const std::string& own_data_centre = state.m_settings.m_data_centre;
     const bool candidate =
         refresh_candidate(state, role.m_lease, now, [&own_data_centre](const member& m) {
             return m.m_data_centre == own_data_centre;
         });
-    // One instance holds at most one of the two reader leases of its data centre while others
-    // could take the second.
+    // An instance holds at most one of the two reader leases of its data centre while other
+    // instances could take the second.
     bool holds_other = false;
     for (const auto& other : state.m_readers) {
         holds_other = holds_other || (other.get() != &role &&
--- a/src/node/stored_text.cpp
+++ b/src/node/stored_text.cpp
@@ -6,7 +6,8 @@
 namespace caraway {
 namespace {
 
-// Restores the record's text from its delta and the base, if the base is held here.
+// Restores the record's text from its delta. Returns null if this node doesn't hold the base or if
+// the delta doesn't restore this text.
 std::shared_ptr<const std::string> restore_text(const control& state, const accepted_record& record,
                                                 const packed_text& delta) {
     const auto base = find_text(state, delta.m_base_version);
@@ -18,7 +19,8 @@
     return text ? std::make_shared<const std::string>(std::move(*text)) : nullptr;
 }
 
-// Reads the whole text that the record's text is restored from, and restores it.
+// Reads the text stored whole on which the record's text is based, and restores the record's text
+// from it. `delta` may be empty if the record's text is itself stored whole.
 void read_whole_text(control& state, const accepted_record& record,
                      std::optional<packed_text> delta, text_callback done) {
     const text_name whole_text_name = whole_text_of(record);
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -1,4 +1,4 @@
-// Tests of several requests in flight on one caller's connection.
+// Tests of several requests in flight on one connection of a caller (HTTP pipelining).
 #include "tests/traffic_fixture.hpp"
 
 using namespace caraway;
@@ -6,7 +6,7 @@
 
 namespace {
 
-// One service behind one entry node.
+// One entry node and one backend server behind it.
 class pipeline_fixture : public mesh_fixture {
 public:
     pipeline_fixture() {
@@ -22,8 +22,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(pipeline, pipeline_fixture)
 
-// Guards against a caller that waits for the sum of its requests' times, and against answers in
-// another order than the requests.
+// Guards against running the requests of a connection one after another, so that the caller waits
+// for the sum of their times, and against answers in another order than the requests.
 BOOST_AUTO_TEST_CASE(idempotent_requests_run_side_by_side_and_are_answered_in_order) {
     caller connection(entry());
     const auto start_time = std::chrono::steady_clock::now();
@@ -39,7 +39,8 @@
     BOOST_TEST((elapsed < milliseconds(700)));
 }
 
-// Guards against a request that is read while the first one runs, and not only with it.
+// Guards against a request that waits for the first one to end because it arrived while that one
+// was running, not together with it.
 BOOST_AUTO_TEST_CASE(a_request_sent_later_runs_beside_the_first_one) {
     caller connection(entry());
     connection.send("/again/slow", "first");
@@ -51,8 +52,8 @@
     BOOST_TEST(connection.call("/once/echo", "third").body() == "third");
 }
 
-// Guards against a change of order between a request that may not be repeated and its neighbours: a
-// caller whose connection ends couldn't tell which of them ran.
+// Guards against reordering a request that may not be repeated and its neighbours: a caller whose
+// connection ends couldn't determine which of them ran.
 BOOST_AUTO_TEST_CASE(requests_that_may_not_be_repeated_wait_for_their_turn) {
     caller connection(entry());
     connection.send("/again/slow", "first");
@@ -68,7 +69,7 @@
     BOOST_TEST(m_backend_server.runs() == 3);
 }
 
-// Guards against work that goes on for a caller that has left.
+// Guards against work that continues for a caller that has closed its connection.
 BOOST_AUTO_TEST_CASE(closing_caller_cancels_all_its_requests) {
     {
         caller connection(entry());
@@ -81,8 +82,8 @@
     BOOST_TEST(settled([this] { return entry().m_server->calls_in_progress(); }, 0) == 0U);
 }
 
-// Guards against a request that runs although the answer before it closed the connection, after
-// which its caller takes it as not read and sends it again.
+// Guards against running a request after the previous answer closed the connection: its caller
+// assumes that it was not read and sends it again.
 BOOST_AUTO_TEST_CASE(requests_behind_a_closing_answer_are_not_passed_on) {
     caller connection(entry());
     connection.send("/once/slow", "first", {{"connection", "close"}});
@@ -94,7 +95,8 @@
     BOOST_TEST(m_backend_server.runs() == 1);
 }
 
-// Guards against a planned stop that cuts off requests that were accepted behind another one.
+// Guards against a planned shutdown that cuts off requests accepted behind another one on the same
+// connection.
 BOOST_AUTO_TEST_CASE(draining_answers_what_was_read_before_it_closes) {
     caller connection(entry());
     connection.send("/again/slow", "first");
@@ -109,7 +111,7 @@
     BOOST_TEST(!second.keep_alive());
 }
 
-// Guards against a bad request that takes the answers before it away.
+// Guards against a malformed request that discards the answers to the requests before it.
 BOOST_AUTO_TEST_CASE(bad_request_is_refused_in_its_turn) {
     caller connection(entry());
     connection.send("/again/slow", "first");
@@ -121,7 +123,7 @@
     BOOST_TEST(!refusal.keep_alive());
 }
 
-// Guards against answers lost or mixed up where more requests wait than are read ahead.
+// Guards against lost or mixed-up answers when more requests wait than the node reads ahead.
 BOOST_AUTO_TEST_CASE(many_requests_are_all_answered_in_order) {
     constexpr int request_count = 60;
     caller connection(entry());
