--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -1,5 +1,5 @@
-// The accepter: judges submitted texts and stores the accepted ones. docs/design.md, section 6,
-// says in which order the values are written.
+// The accepter role: validates submitted configuration texts and stores the accepted ones.
+// docs/design.md, section 6, specifies the order in which the values are written.
 #include <algorithm>
 #include <utility>
 
@@ -12,30 +12,34 @@
 namespace caraway {
 namespace {
 
-// Values removed in one pass. A pass a few versions finds some 16; the rest of more waits for the
-// next, so that removals don't use up the store's writes.
+// Maximum number of values removed in one pass. A pass every few versions finds about 16 values.
+// Any above the limit are left for the next pass, so that removals don't use up the write capacity
+// of the store.
 constexpr std::size_t max_removals = 64;
 
-// Forgets what was read, so that the next step reads the store again before it decides.
+// Discards what was read from the store, so that the next step reads the store again before it
+// decides. The role makes no further call before `retry_at`.
 void reset_accepter(accepter_role& role, time_point retry_at) {
     role.m_busy = false;
     role.m_accepted_read = false;
-    role.m_text_revision = 0; // judged again; decide_acceptance skips what has been decided
+    role.m_text_revision = 0; // validated again; decide_acceptance skips decided texts
     role.m_retry_at = retry_at;
 }
 
+// Returns the stored form of a refusal: the revision of the submitted text and its faults.
 std::string encode_refusal(std::uint64_t revision, const std::vector<text_fault>& faults) {
-    boost::json::array list;
+    boost::json::array fault_list;
     for (const text_fault& fault : faults) {
-        list.push_back(boost::json::object{{"line", fault.m_line},
-                                           {"column", fault.m_column},
-                                           {"found", fault.m_found},
-                                           {"expected", fault.m_expected}});
+        fault_list.push_back(boost::json::object{{"line", fault.m_line},
+                                                 {"column", fault.m_column},
+                                                 {"found", fault.m_found},
+                                                 {"expected", fault.m_expected}});
     }
     return boost::json::serialize(
-        boost::json::object{{"source_revision", revision}, {"faults", std::move(list)}});
+        boost::json::object{{"source_revision", revision}, {"faults", std::move(fault_list)}});
 }
 
+// Logs the faults of a submitted text and writes them to the store for the submitter.
 void write_refusal(control& state, std::uint64_t revision, const std::vector<text_fault>& faults) {
     log_event(log_level::warning, "text_refused",
               {{"source_revision", revision},
@@ -53,9 +57,9 @@
                        });
 }
 
-// The commit point: whoever wins this compare-and-swap has decided the version. Whatever the
-// reply, the accepted record is read again before the next decision, so a lost reply needs no
-// case of its own.
+// Commits the accepted record by compare-and-swap: the accepter whose write succeeds decides the
+// version. The record is read again before the next decision whatever the reply is, so a lost reply
+// needs no special handling.
 void commit_accepted(control& state, const accepted_record& record) {
     if (!lease_held(state.m_accepter.m_lease.m_keeper, state.now())) {
         reset_accepter(state.m_accepter, state.now());
@@ -77,9 +81,10 @@
                        });
 }
 
-// Writes the difference from the latest whole text. A text stored whole needs none, so a failure
-// then doesn't stop the acceptance: readers read the whole text. Overwrites what a dead accepter
-// left under the key, which names the content.
+// Writes the delta from the latest text stored whole, then commits the record. If the new text is
+// itself stored whole, a failed write of its delta doesn't stop the acceptance, since readers can
+// read the whole text. Overwrites a value that a dead accepter left under the key, since the key
+// identifies the content.
 void write_delta(control& state, const accepted_record& record, const std::string& delta) {
     if (delta.empty()) {
         commit_accepted(state, record);
@@ -95,12 +100,14 @@
                        });
 }
 
-void write_whole(control& state, const accepted_record& record, std::string_view text,
-                 std::string delta) {
+// Writes the whole text, then its delta (which may be empty) and the record.
+void write_whole_text(control& state, const accepted_record& record, std::string_view text,
+                      std::string delta) {
     state.m_store->put(text_key(record.m_version, record.m_hash),
                        store_whole_text(record.m_version, record.m_hash, text), 0, {},
                        [&state, record, delta = std::move(delta)](const store_reply& reply) {
-                           // The key names the content, so a text found there is this text.
+                           // The key identifies the content, so a text that exists under it is this
+                           // text.
                            if (reply.m_kind != error_kind::none &&
                                reply.m_kind != error_kind::store_conflict) {
                                reset_accepter(state.m_accepter, state.now() + store_retry_pause);
@@ -110,8 +117,8 @@
                        });
 }
 
-// The text's difference from the latest whole text; empty if that isn't held here or if the
-// difference doesn't restore the text.
+// Returns the encoded delta from the latest text stored whole. The result is empty if this node
+// doesn't hold that text or if the delta doesn't restore the new text.
 std::string make_delta(const control& state, const accepted_record& record, const text_id& base,
                        std::string_view text) {
     const auto base_text = find_text(state, base.m_version);
@@ -124,7 +131,7 @@
     return unpack_text(packed, *base_text, reason) ? encode_stored_text(packed) : std::string{};
 }
 
-// Writes the text, whole or as a delta, then the record.
+// Stores the text, whole or as a delta, and then commits its record.
 void write_accepted(control& state, accepted_record record, const std::string& text) {
     accepter_role& role = state.m_accepter;
     text_id base = role.m_accepted ? full_text_of(*role.m_accepted) : text_id{};
@@ -141,10 +148,12 @@
     if (!is_small_delta(delta.size(), text.size())) {
         delta.clear();
     }
-    write_whole(state, record, text, std::move(delta));
+    write_whole_text(state, record, text, std::move(delta));
 }
 
-void judge_text(control& state, const std::string& text, std::uint64_t revision) {
+// Validates the text submitted at a store revision, unless it has been decided, and stores either
+// the accepted text or the faults found.
+void process_submitted_text(control& state, const std::string& text, std::uint64_t revision) {
     accepter_role& role = state.m_accepter;
     const acceptance_decision decision = decide_acceptance(
         text, revision, role.m_accepted, role.m_accepted_mesh.get(), role.m_refused_revision,
@@ -163,117 +172,125 @@
     }
 }
 
-void read_text(control& state) {
+// Reads and processes the whole submitted text.
+void read_submitted_text(control& state) {
     state.m_store->get(text_store_key, [&state](const store_reply& reply) {
         if (reply.m_kind != error_kind::none) {
             reset_accepter(state.m_accepter, state.now() + store_retry_pause);
             return;
         }
-        judge_text(state, reply.m_value, reply.m_revision);
+        process_submitted_text(state, reply.m_value, reply.m_revision);
     });
 }
 
-void learn_submitted(control& state, const submitted_revisions& seen);
+void process_submitted_revisions(control& state, const submitted_revisions& submitted);
 
-// Takes the difference that carawayctl has written after the text. It names the text's revision in
-// place of a version. One that names an older text was written late, after another text.
-void take_text_delta(control& state, const submitted_revisions& seen, const store_reply& reply) {
+// Processes the submitted text as restored from the delta that carawayctl writes after the text, or
+// reads the whole text if that fails. The delta names the revision of that text instead of a
+// version. A delta that names an older text was written late, after another text was submitted, and
+// is ignored.
+void apply_submitted_delta(control& state, const submitted_revisions& submitted,
+                           const store_reply& reply) {
     error reason;
     const auto delta = decode_stored_text(reply.m_value, reason);
-    // A text always has a lower revision than its difference; a higher one named by mistake would
-    // keep all later texts from being judged.
-    if (!delta || delta->m_version < seen.m_text || delta->m_version >= reply.m_revision) {
-        state.m_accepter.m_unusable_delta = seen.m_delta;
-        learn_submitted(state, seen);
+    // A text always has a lower revision than its delta. A delta that named a higher one by mistake
+    // would prevent all later texts from being validated.
+    if (!delta || delta->m_version < submitted.m_text || delta->m_version >= reply.m_revision) {
+        state.m_accepter.m_unusable_delta = submitted.m_delta;
+        process_submitted_revisions(state, submitted);
         return;
     }
     const auto base = delta->m_base_version == 0 ? std::make_shared<const std::string>()
                                                  : find_text(state, delta->m_base_version);
     const auto text = base ? unpack_text(*delta, *base, reason) : std::nullopt;
     if (!text) {
-        read_text(state);
+        read_submitted_text(state);
         return;
     }
-    judge_text(state, *text, delta->m_version);
+    process_submitted_text(state, *text, delta->m_version);
 }
 
-void read_text_delta(control& state, const submitted_revisions& seen) {
-    state.m_store->get(text_delta_store_key, [&state, seen](const store_reply& reply) {
+// Reads the submitted delta and processes the text restored from it.
+void read_submitted_delta(control& state, const submitted_revisions& submitted) {
+    state.m_store->get(text_delta_store_key, [&state, submitted](const store_reply& reply) {
         if (reply.m_kind != error_kind::none) {
             reset_accepter(state.m_accepter, state.now() + store_retry_pause);
             return;
         }
-        take_text_delta(state, seen, reply);
+        apply_submitted_delta(state, submitted, reply);
     });
 }
 
-void check_text_revision(control& state);
+void check_submitted_revisions(control& state);
 
-void wait_for_delta(control& state) {
+// Waits until the submitted keys change or `submitted_delta_wait` has passed since the text was
+// first seen, then checks the revisions again.
+void wait_for_submitted_delta(control& state) {
     const accepter_role& role = state.m_accepter;
-    const auto left = std::chrono::duration_cast<milliseconds>(role.m_seen_at +
-                                                               submitted_delta_wait - state.now());
-    state.m_store->watch_keys(text_store_key, role.m_watch_after, std::max(left, milliseconds{1}),
-                              [&state](const store_reply& reply) {
-                                  if (reply.m_kind != error_kind::none) {
-                                      reset_accepter(state.m_accepter,
-                                                     state.now() + store_retry_pause);
-                                      return;
-                                  }
-                                  check_text_revision(state);
-                              });
+    const auto remaining = std::chrono::duration_cast<milliseconds>(
+        role.m_seen_at + submitted_delta_wait - state.now());
+    state.m_store->watch_keys(
+        text_store_key, role.m_watch_after, std::max(remaining, milliseconds{1}),
+        [&state](const store_reply& reply) {
+            if (reply.m_kind != error_kind::none) {
+                reset_accepter(state.m_accepter, state.now() + store_retry_pause);
+                return;
+            }
+            check_submitted_revisions(state);
+        });
 }
 
-// Goes on with the submitted text, given the revisions that the store holds. Only a new text is
-// read; it may be near a megabyte.
-void learn_submitted(control& state, const submitted_revisions& seen) {
+// Chooses how to obtain the submitted text, given the revisions in the store, and does so. The text
+// is read only if it is new, since it may be almost 1 MB long.
+void process_submitted_revisions(control& state, const submitted_revisions& submitted) {
     accepter_role& role = state.m_accepter;
-    if (seen.m_text != role.m_seen_text) {
-        role.m_seen_text = seen.m_text;
+    if (submitted.m_text != role.m_seen_text) {
+        role.m_seen_text = submitted.m_text;
         role.m_seen_at = state.now();
     }
-    const std::uint64_t decided =
+    const std::uint64_t decided_revision =
         std::max(role.m_refused_revision, role.m_accepted ? role.m_accepted->m_source_revision : 0);
-    switch (choose_text_source(seen, role.m_text_revision, decided, role.m_unusable_delta,
-                               state.now() - role.m_seen_at)) {
+    switch (choose_text_source(submitted, role.m_text_revision, decided_revision,
+                               role.m_unusable_delta, state.now() - role.m_seen_at)) {
     case text_source::nothing:
         role.m_busy = false;
         break;
     case text_source::delta:
-        read_text_delta(state, seen);
+        read_submitted_delta(state, submitted);
         break;
     case text_source::wait:
-        wait_for_delta(state);
+        wait_for_submitted_delta(state);
         break;
     case text_source::whole:
-        read_text(state);
+        read_submitted_text(state);
         break;
     }
 }
 
-void check_text_revision(control& state) {
+// Lists the revisions of the submitted text and its delta, then processes them.
+void check_submitted_revisions(control& state) {
     state.m_store->list_keys(text_store_key, [&state](const store_reply& reply) {
         accepter_role& role = state.m_accepter;
         if (reply.m_kind != error_kind::none) {
             reset_accepter(role, state.now() + store_retry_pause);
             return;
         }
-        submitted_revisions seen;
+        submitted_revisions submitted;
         for (const store_entry& entry : reply.m_entries) {
             if (entry.m_key == text_store_key) {
-                seen.m_text = entry.m_revision;
+                submitted.m_text = entry.m_revision;
             } else if (entry.m_key == text_delta_store_key) {
-                seen.m_delta = entry.m_revision;
+                submitted.m_delta = entry.m_revision;
             }
         }
-        role.m_watch_after = std::max(seen.m_text, seen.m_delta);
-        learn_submitted(state, seen);
+        role.m_watch_after = std::max(submitted.m_text, submitted.m_delta);
+        process_submitted_revisions(state, submitted);
     });
 }
 
-// Removes the values that are no longer needed once a text is committed that is stored whole. Finds
-// them in the store, so that those of dead accepters go too; what stays through a failure goes the
-// next time.
+// Removes the texts and deltas that are no longer needed once a text stored whole is committed.
+// Lists them in the store, so that those of dead accepters are removed too; a value whose removal
+// fails is removed in a later pass.
 void remove_old_texts(control& state, const accepted_record& committed) {
     state.m_store->list_keys(accepted_prefix, [&state, committed](const store_reply& reply) {
         std::size_t removals = 0;
@@ -286,8 +303,8 @@
     });
 }
 
-// Removes the record of a move unless it has been replaced by that of a later move.
-void remove_record(control& state, const std::string& service, const std::string& id) {
+// Removes the record of a move unless the record of a later move has replaced it.
+void remove_move_record(control& state, const std::string& service, const std::string& id) {
     const std::string key = std::string(state.m_adapter.m_move_prefix) + service;
     state.m_store->get(key, [&state, key, id](const store_reply& reply) {
         const auto record = reply.m_kind == error_kind::none
@@ -300,23 +317,25 @@
 }
 
 // Removes the records of moves that the accepted text no longer names; their verdicts stay. Readers
-// read all records every 10 s, so that old ones would cost bytes for ever.
-void remove_ended_moves(control& state, const mesh& before, const mesh& after) {
+// read all records every 10 s, so records of ended moves would use bandwidth forever.
+void remove_ended_move_records(control& state, const mesh& before, const mesh& after) {
     for (const auto& [name, service] : before.m_services) {
-        const auto now = after.m_services.find(name);
-        const bool moving = now != after.m_services.end() && now->second.m_move;
-        if (service.m_move && !moving) {
-            remove_record(state, name, move_id(name, *service.m_move));
+        const auto current = after.m_services.find(name);
+        const bool still_moving = current != after.m_services.end() && current->second.m_move;
+        if (service.m_move && !still_moving) {
+            remove_move_record(state, name, move_id(name, *service.m_move));
         }
     }
 }
 
-void take_accepted_text(control& state, std::shared_ptr<const std::string> text) {
+// Sets the text of the accepted record, against which the next text is validated. Removes the
+// values in the store that it makes obsolete, then checks for a submitted text.
+void set_accepted_text(control& state, std::shared_ptr<const std::string> text) {
     accepter_role& role = state.m_accepter;
     std::vector<text_fault> faults;
     auto parsed = parse_mesh(*text, wall_time{}, nullptr, faults);
     if (parsed && role.m_accepted_mesh) {
-        remove_ended_moves(state, *role.m_accepted_mesh, *parsed);
+        remove_ended_move_records(state, *role.m_accepted_mesh, *parsed);
     }
     role.m_accepted_mesh = parsed ? std::make_shared<const mesh>(std::move(*parsed)) : nullptr;
     role.m_accepted_text = std::move(text);
@@ -327,27 +346,28 @@
             config_text{role.m_accepted->m_version, role.m_accepted->m_hash, role.m_accepted_text};
         remove_old_texts(state, *role.m_accepted);
     }
-    check_text_revision(state);
+    check_submitted_revisions(state);
 }
 
-// Finds the text of the accepted record, against which the next text is judged: as read or
-// written before, as held for distribution, or in the store.
-void find_accepted_text(control& state) {
+// Obtains the text of the accepted record, against which the next text is validated: the one read
+// or written earlier, the one held for distribution, or the one in the store.
+void load_accepted_text(control& state) {
     accepter_role& role = state.m_accepter;
     const accepted_record& record = *role.m_accepted;
     if (role.m_accepted_text && role.m_accepted_text_version == record.m_version &&
         hash_bytes(*role.m_accepted_text) == record.m_hash) {
         role.m_accepted_read = true;
-        check_text_revision(state);
+        check_submitted_revisions(state);
         return;
     }
     if (role.m_written_text && hash_bytes(*role.m_written_text) == record.m_hash) {
-        take_accepted_text(state, std::move(role.m_written_text));
+        set_accepted_text(state, std::move(role.m_written_text));
         return;
     }
-    const auto held = state.m_distribution.m_texts.find(record.m_version);
-    if (held != state.m_distribution.m_texts.end() && held->second.m_hash == record.m_hash) {
-        take_accepted_text(state, held->second.m_text);
+    const auto held_text = state.m_distribution.m_texts.find(record.m_version);
+    if (held_text != state.m_distribution.m_texts.end() &&
+        held_text->second.m_hash == record.m_hash) {
+        set_accepted_text(state, held_text->second.m_text);
         return;
     }
     read_stored_text(state, record,
@@ -356,11 +376,12 @@
                              reset_accepter(state.m_accepter, state.now() + store_retry_pause);
                              return;
                          }
-                         take_accepted_text(state, std::move(text));
+                         set_accepted_text(state, std::move(text));
                      });
 }
 
-void read_accepted(control& state) {
+// Reads the accepted record and then its text. The store has no record before the first acceptance.
+void read_accepted_record(control& state) {
     state.m_store->get(accepted_key, [&state](const store_reply& reply) {
         accepter_role& role = state.m_accepter;
         error reason;
@@ -370,7 +391,7 @@
             role.m_accepted_text.reset();
             role.m_accepted_revision = 0;
             role.m_accepted_read = true;
-            check_text_revision(state);
+            check_submitted_revisions(state);
             return;
         }
         role.m_accepted = reply.m_kind == error_kind::none ? decode_accepted(reply.m_value, reason)
@@ -380,11 +401,12 @@
             return;
         }
         role.m_accepted_revision = reply.m_revision;
-        find_accepted_text(state);
+        load_accepted_text(state);
     });
 }
 
-void watch_text(control& state) {
+// Waits for a change of the submitted text or its delta for at most `list_interval`.
+void watch_submitted_text(control& state) {
     accepter_role& role = state.m_accepter;
     state.m_store->watch_keys(text_store_key, role.m_watch_after, list_interval,
                               [&state](const store_reply& reply) {
@@ -394,7 +416,8 @@
                                       reset_accepter(accepter, state.now() + store_retry_pause);
                                       return;
                                   }
-                                  // Read again after every watch, since a watch can miss events.
+                                  // Reads the accepted record again after every watch, since a
+                                  // watch can miss events.
                                   accepter.m_accepted_read = false;
                               });
 }
@@ -417,9 +440,9 @@
     }
     role.m_busy = true;
     if (!role.m_accepted_read) {
-        read_accepted(state);
+        read_accepted_record(state);
     } else {
-        watch_text(state);
+        watch_submitted_text(state);
     }
 }
 
--- a/src/node/config_sync.cpp
+++ b/src/node/config_sync.cpp
@@ -1,3 +1,4 @@
+// Carries out the decisions of the configuration distribution: fetches, parses and applies texts.
 #include <algorithm>
 
 #include "base/hash.hpp"
@@ -8,29 +9,32 @@
 namespace caraway {
 namespace {
 
-void report_parse_failure(std::uint64_t version, const std::vector<text_fault>& faults) {
+// Logs the first fault of a text that was rejected here.
+void log_parse_failure(std::uint64_t version, const std::vector<text_fault>& faults) {
     const std::string first = faults.empty() ? "unknown" : format_fault("text", faults.front());
     log_event(log_level::error, "config_rejected", {{"version", version}, {"fault", first}});
 }
 
-// The accepter has checked that deadlines lay ahead at acceptance; here an accepted text is valid
-// however late it arrives, so the time of the check is the beginning of the epoch.
-std::optional<mesh> parse_own_text(const control& state, std::uint64_t version,
-                                   std::string_view text) {
+// Parses an accepted text in the submitted format. The accepter checked at acceptance that
+// deadlines were in the future; here an accepted text is valid however late it arrives, so the time
+// of the check is the epoch.
+std::optional<mesh> parse_submitted_text(const control& state, std::uint64_t version,
+                                         std::string_view text) {
     std::vector<text_fault> faults;
     auto parsed = parse_mesh(text, wall_time{}, state.m_mesh.get(), faults);
     if (!parsed) {
-        report_parse_failure(version, faults);
+        log_parse_failure(version, faults);
     }
     return parsed;
 }
 
-std::optional<mesh> parse_items_text(const control& state, std::uint64_t version,
-                                     std::string_view text) {
+// Parses a text that lists the operators' items, using the platform adapter.
+std::optional<mesh> parse_operator_items(const control& state, std::uint64_t version,
+                                         std::string_view text) {
     const auto items = decode_items(text);
     error reason;
     if (!items) {
-        fail(reason, error_kind::invalid_text, "no list of items");
+        fail(reason, error_kind::invalid_text, "text is not a list of items");
     }
     auto parsed = items ? state.m_adapter.m_parse_items(*items, reason) : std::nullopt;
     if (!parsed) {
@@ -40,36 +44,39 @@
     return parsed;
 }
 
-void parse_text(control& state, std::uint64_t version) {
-    const auto held = state.m_distribution.m_texts.find(version);
-    if (held == state.m_distribution.m_texts.end()) {
+// Parses the held text of a version and reports the result to the distribution.
+void parse_version(control& state, std::uint64_t version) {
+    const auto held_text = state.m_distribution.m_texts.find(version);
+    if (held_text == state.m_distribution.m_texts.end()) {
         return;
     }
     auto parsed = state.reads_operator_items()
-                      ? parse_items_text(state, version, *held->second.m_text)
-                      : parse_own_text(state, version, *held->second.m_text);
+                      ? parse_operator_items(state, version, *held_text->second.m_text)
+                      : parse_submitted_text(state, version, *held_text->second.m_text);
     const bool valid = parsed.has_value();
     if (valid) {
         state.m_parsed[version] = std::make_shared<const mesh>(std::move(*parsed));
     }
-    perform(state, decide_parsed(state, version, valid));
+    perform(state, decide_text_parsed(state, version, valid));
 }
 
-// Logs data centres that the new text takes out or brings back, for the auditor.
+// Logs data centres that the new version takes out of service or brings back; the audit evaluates
+// these lines.
 void log_data_centre_changes(const mesh* before, const mesh& after, std::uint64_t version) {
     for (const auto& [name, spec] : after.m_data_centres) {
-        bool was_out = false;
+        bool was_taken_out = false;
         if (before != nullptr) {
-            const auto old = before->m_data_centres.find(name);
-            was_out = old != before->m_data_centres.end() && old->second.m_out;
+            const auto old_spec = before->m_data_centres.find(name);
+            was_taken_out = old_spec != before->m_data_centres.end() && old_spec->second.m_out;
         }
-        if (spec.m_out != was_out) {
+        if (spec.m_out != was_taken_out) {
             log_event(log_level::info, spec.m_out ? "data_centre_out" : "data_centre_in",
                       {{"of", name}, {"version", version}});
         }
     }
 }
 
+// Returns the ids of all moves in a configuration.
 std::vector<std::string> move_ids(const mesh& config) {
     std::vector<std::string> ids;
     for (const auto& [name, service] : config.m_services) {
@@ -80,6 +87,8 @@
     return ids;
 }
 
+// Puts a parsed version in force: replaces the mesh, drops facts of moves that it no longer names,
+// rebuilds the snapshot and announces the version to the collector. Drops older parsed versions.
 void apply_version(control& state, std::uint64_t version) {
     const auto parsed = state.m_parsed.find(version);
     if (parsed == state.m_parsed.end()) {
@@ -88,13 +97,14 @@
     const std::shared_ptr<const mesh> before = state.m_mesh;
     state.m_mesh = parsed->second;
     state.m_parsed.erase(state.m_parsed.begin(), std::next(parsed));
-    std::uint64_t previous = state.m_members.m_self.m_config_version;
+    std::uint64_t previous_version = state.m_members.m_self.m_config_version;
     state.m_members.m_self.m_config_version = version;
     log_config_version(version);
-    log_event(log_level::info, "config_applied", {{"version", version}, {"previous", previous}});
+    log_event(log_level::info, "config_applied",
+              {{"version", version}, {"previous", previous_version}});
     log_data_centre_changes(before.get(), *state.m_mesh, version);
     state.m_metrics->set_config_version(version);
-    prune_recorded_facts(state, move_ids(*state.m_mesh));
+    prune_and_record_facts(state, move_ids(*state.m_mesh));
     state.m_members.m_facts_digest = facts_digest(state.m_facts);
     state.m_snapshot_dirty = true;
     refresh_snapshot(state);
@@ -103,14 +113,16 @@
     }
 }
 
-void fetch_version(control& state, const std::string& instance, std::uint64_t have) {
-    const auto found = state.m_members.m_members.find(instance);
-    if (found == state.m_members.m_members.end()) {
+// Requests a text newer than `current_version` from an instance.
+void fetch_version(control& state, const std::string& instance, std::uint64_t current_version) {
+    const auto holder = state.m_members.m_members.find(instance);
+    if (holder == state.m_members.m_members.end()) {
         perform(state, decide_fetch_failed(state));
         return;
     }
-    const fetch_config_request request{state.m_settings.m_instance, have, have + 1};
-    send_bulk(state, found->second.m_member.m_bulk, request,
+    const fetch_config_request request{state.m_settings.m_instance, current_version,
+                                       current_version + 1};
+    send_bulk(state, holder->second.m_member.m_bulk, request,
               [&state, instance](const std::optional<bulk_reply>& reply) {
                   const auto* fetched = reply ? std::get_if<fetch_config_reply>(&*reply) : nullptr;
                   if (fetched == nullptr || !fetched->m_config) {
@@ -130,14 +142,14 @@
             fetch_version(state, action.m_instance, action.m_version);
             break;
         case distribution_action::kind::parse:
-            parse_text(state, action.m_version);
+            parse_version(state, action.m_version);
             break;
         case distribution_action::kind::apply:
             apply_version(state, action.m_version);
             break;
         case distribution_action::kind::announce:
-            // Every packet names the version held here; an urgent one to the fanout makes others
-            // fetch it.
+            // Every packet carries the version held here. An urgent update to the gossip fanout
+            // makes other members fetch that version.
             state.m_members.m_held_version = held_version(state.m_distribution);
             perform(state, membership_update_self(state.m_members, true, state.now()));
             break;
@@ -152,7 +164,7 @@
 }
 
 void hear_version(control& state, std::string_view instance, std::uint64_t version) {
-    perform(state, decide_heard(state, instance, version));
+    perform(state, decide_version_announced(state, instance, version));
 }
 
 std::optional<packed_text> pack_for(control& state, std::uint64_t have_version,
@@ -186,12 +198,12 @@
 void receive_text(control& state, std::string_view instance, const packed_text& packed) {
     std::string_view base;
     if (packed.m_base_version != 0) {
-        const auto held = state.m_distribution.m_texts.find(packed.m_base_version);
-        if (held == state.m_distribution.m_texts.end()) {
+        const auto held_text = state.m_distribution.m_texts.find(packed.m_base_version);
+        if (held_text == state.m_distribution.m_texts.end()) {
             perform(state, decide_fetch_failed(state));
             return;
         }
-        base = *held->second.m_text;
+        base = *held_text->second.m_text;
     }
     error reason;
     auto text = unpack_text(packed, base, reason);
@@ -201,9 +213,9 @@
         perform(state, decide_fetch_failed(state));
         return;
     }
-    const config_text received{packed.m_version, packed.m_hash,
-                               std::make_shared<const std::string>(std::move(*text))};
-    perform(state, decide_received(state, instance, received));
+    const config_text received_text{packed.m_version, packed.m_hash,
+                                    std::make_shared<const std::string>(std::move(*text))};
+    perform(state, decide_text_received(state, instance, received_text));
 }
 
 void tick_config(control& state, time_point now) {
--- a/src/node/in_force.cpp
+++ b/src/node/in_force.cpp
@@ -1,6 +1,7 @@
-// How the in-force verdict is gathered: every member tells the collector of its shard (one of 16
-// in its data centre) when it has applied a version; shard collectors send summaries to one global
-// collector, which writes the verdict. No node hears from more than a few hundred others.
+// Gathers the in-force verdict: how many members have applied a version. Every member notifies the
+// collector of its shard (one of 16 in its data centre) when it has applied a version. Shard
+// collectors send summaries to one global collector, which writes the verdict. No node receives
+// notifications from more than a few hundred others.
 
 #include <boost/json.hpp>
 
@@ -13,73 +14,85 @@
 namespace caraway {
 namespace {
 
-// Shards of a data centre: 1,750 members give some 110 packets to each collector for a change.
+// Number of shards of a data centre. With 1,750 members, each collector receives about 110 packets
+// for a change.
 constexpr std::uint32_t shard_count = 16;
+// Interval at which a node repeats its announcement, sends its summaries and evaluates received
+// ones, while there are any outstanding.
 constexpr milliseconds report_interval{500};
-// Verdicts kept in the store.
+// Number of latest versions whose verdicts are kept in the store.
 constexpr std::uint64_t kept_verdicts = 100;
 
+// Returns the shard of an instance within its data centre.
 std::uint32_t shard_of(std::string_view instance) {
     return static_cast<std::uint32_t>(hash_bytes(instance) % shard_count);
 }
 
+// Returns the role name by which the collector of a shard is selected.
 std::string shard_role(std::string_view data_centre, std::uint32_t shard) {
     return fmt::format("collector/{}/{}", data_centre, shard);
 }
 
-// The live member, self included, with the highest rendezvous weight for a role.
-const member& first_member(const control& state, std::string_view role,
-                           const std::function<bool(const member&)>& filter) {
-    const member* first = &state.m_members.m_self;
-    std::uint64_t best = filter(*first) ? rendezvous_weight(role, first->m_instance) : 0;
-    for (const member* each : live_members(state.m_members)) {
-        if (!filter(*each)) {
+// Returns the live member, including this node, with the highest rendezvous weight for a role among
+// those that satisfy the filter. Returns this node if there is none.
+const member& select_member(const control& state, std::string_view role,
+                            const std::function<bool(const member&)>& filter) {
+    const member* selected = &state.m_members.m_self;
+    std::uint64_t highest_weight =
+        filter(*selected) ? rendezvous_weight(role, selected->m_instance) : 0;
+    for (const member* candidate : live_members(state.m_members)) {
+        if (!filter(*candidate)) {
             continue;
         }
-        const std::uint64_t weight = rendezvous_weight(role, each->m_instance);
-        if (weight > best) {
-            best = weight;
-            first = each;
+        const std::uint64_t weight = rendezvous_weight(role, candidate->m_instance);
+        if (weight > highest_weight) {
+            highest_weight = weight;
+            selected = candidate;
         }
     }
-    return *first;
+    return *selected;
 }
 
-bool is_own(const control& state, const member& of) {
-    return of.m_instance == state.m_settings.m_instance;
+bool is_self(const control& state, const member& other) {
+    return other.m_instance == state.m_settings.m_instance;
 }
 
+// Returns the collector of a shard of this node's data centre.
 const member& shard_collector(const control& state, std::uint32_t shard) {
-    const std::string& own = state.m_settings.m_data_centre;
-    return first_member(state, shard_role(own, shard),
-                        [&own](const member& m) { return m.m_data_centre == own; });
+    const std::string& own_data_centre = state.m_settings.m_data_centre;
+    return select_member(
+        state, shard_role(own_data_centre, shard),
+        [&own_data_centre](const member& m) { return m.m_data_centre == own_data_centre; });
 }
 
-// Members of the own data centre in the shard with the versions they have announced.
-in_force_report report_shard(const control& state, std::uint32_t shard, std::uint64_t version) {
+// Reports which members of a shard of this node's data centre have announced the version.
+in_force_report make_shard_report(const control& state, std::uint32_t shard,
+                                  std::uint64_t version) {
     std::vector<member_version> members;
-    const auto add = [&](const member& of, std::uint64_t has) {
-        if (of.m_data_centre == state.m_settings.m_data_centre &&
-            shard_of(of.m_instance) == shard) {
-            members.push_back({of.m_instance, has});
+    const auto add_member = [&](const member& other, std::uint64_t applied_version) {
+        if (other.m_data_centre == state.m_settings.m_data_centre &&
+            shard_of(other.m_instance) == shard) {
+            members.push_back({other.m_instance, applied_version});
         }
     };
-    add(state.m_members.m_self, state.m_distribution.m_applied);
-    for (const member* each : live_members(state.m_members)) {
-        add(*each, each->m_config_version);
+    add_member(state.m_members.m_self, state.m_distribution.m_applied);
+    for (const member* live_member : live_members(state.m_members)) {
+        add_member(*live_member, live_member->m_config_version);
     }
     return report_in_force(version, members, duration{});
 }
 
+// Sends the global collector a summary of each shard that this node collects. Marks the version as
+// reported once all these shards are complete.
 void send_summaries(control& state, std::uint64_t version) {
     bool complete = true;
-    const member& global =
-        first_member(state, "collector/global", [](const member&) { return true; });
+    const member& global_collector =
+        select_member(state, "collector/global", [](const member&) { return true; });
     for (std::uint32_t shard = 0; shard < shard_count; ++shard) {
-        if (!is_own(state, shard_collector(state, shard))) {
+        if (!is_self(state, shard_collector(state, shard))) {
             continue;
         }
-        const in_force_report report = report_shard(state, shard, version);
+        const in_force_report report = make_shard_report(state, shard, version);
         complete = complete && report.m_in_force == report.m_members;
         const in_force_request summary{state.m_settings.m_data_centre,
                                        shard,
@@ -87,10 +100,11 @@
                                        static_cast<std::uint32_t>(report.m_in_force),
                                        static_cast<std::uint32_t>(report.m_members),
                                        report.m_missing};
-        if (is_own(state, global)) {
+        if (is_self(state, global_collector)) {
             receive_in_force(state, summary);
         } else {
-            send_bulk(state, global.m_bulk, summary, [](const std::optional<bulk_reply>&) {});
+            send_bulk(state, global_collector.m_bulk, summary,
+                      [](const std::optional<bulk_reply>&) {});
         }
     }
     if (complete) {
@@ -98,28 +112,29 @@
     }
 }
 
-// Adds up the summaries. Final when every data centre with live members has reported all shards
-// complete, or the time limit has passed.
-in_force_report total_report(const control& state, duration elapsed) {
+// Adds up the summaries. The result is final when they show the version in force at every live
+// member, or when the time limit has passed.
+in_force_report combine_summaries(const control& state, duration elapsed) {
     const collector_state& collector = state.m_collector;
-    in_force_report total;
-    total.m_version = collector.m_gathering;
+    in_force_report combined;
+    combined.m_version = collector.m_gathering;
     for (const auto& [key, summary] : collector.m_summaries) {
-        total.m_in_force += summary.m_in_force;
-        total.m_members += summary.m_members;
+        combined.m_in_force += summary.m_in_force;
+        combined.m_members += summary.m_members;
         for (const std::string& name : summary.m_missing) {
-            if (total.m_missing.size() < max_missing_names) {
-                total.m_missing.push_back(name);
+            if (combined.m_missing.size() < max_missing_names) {
+                combined.m_missing.push_back(name);
             }
         }
     }
-    const std::size_t expected = state.m_members.m_live + 1;
-    total.m_members = std::max(total.m_members, expected);
-    total.m_final = total.m_in_force >= total.m_members || elapsed >= in_force_limit;
-    return total;
+    const std::size_t expected_members = state.m_members.m_live + 1;
+    combined.m_members = std::max(combined.m_members, expected_members);
+    combined.m_final = combined.m_in_force >= combined.m_members || elapsed >= in_force_limit;
+    return combined;
 }
 
-void write_in_force(control& state, const in_force_report& report) {
+// Writes a verdict to the store and removes the one that is `kept_verdicts` versions older.
+void write_in_force_verdict(control& state, const in_force_report& report) {
     boost::json::array missing;
     for (const std::string& name : report.m_missing) {
         missing.emplace_back(name);
@@ -155,17 +170,17 @@
 
 void announce_in_force(control& state) {
     const member& collector = shard_collector(state, shard_of(state.m_settings.m_instance));
-    if (is_own(state, collector)) {
+    if (is_self(state, collector)) {
         return;
     }
-    packet notice;
-    notice.m_kind = packet_kind::rumour;
-    notice.m_sender = state.m_settings.m_instance;
-    notice.m_incarnation = state.m_members.m_self.m_incarnation;
-    notice.m_config_version = state.m_distribution.m_applied;
-    notice.m_held_version = held_version(state.m_distribution);
-    notice.m_facts_digest = state.m_members.m_facts_digest;
-    state.m_udp->send(collector.m_udp, encode_packet(notice));
+    packet announcement;
+    announcement.m_kind = packet_kind::rumour;
+    announcement.m_sender = state.m_settings.m_instance;
+    announcement.m_incarnation = state.m_members.m_self.m_incarnation;
+    announcement.m_config_version = state.m_distribution.m_applied;
+    announcement.m_held_version = held_version(state.m_distribution);
+    announcement.m_facts_digest = state.m_members.m_facts_digest;
+    state.m_udp->send(collector.m_udp, encode_packet(announcement));
 }
 
 void receive_in_force(control& state, const in_force_request& summary) {
@@ -192,14 +207,15 @@
         return;
     }
     if (collector.m_reported_version < version) {
-        // The own announcement may have been lost; a repeat costs one packet.
+        // This node's announcement may have been lost; repeating it costs one packet.
         announce_in_force(state);
         send_summaries(state, version);
     }
     if (collector.m_gathering > collector.m_verdict_version) {
-        const in_force_report total = total_report(state, now - collector.m_gathering_since);
-        if (total.m_final) {
-            write_in_force(state, total);
+        const in_force_report combined =
+            combine_summaries(state, now - collector.m_gathering_since);
+        if (combined.m_final) {
+            write_in_force_verdict(state, combined);
             collector.m_verdict_version = collector.m_gathering;
         }
     }
