--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -18,7 +18,7 @@
 
 // Forgets what was read, so that the next step reads the store again before it decides.
 void reset_accepter(accepter_role& role, time_point retry_at) {
-    role.m_busy = false;
+    role.m_call_pending = false;
     role.m_accepted_read = false;
     role.m_text_revision = 0; // judged again; decide_acceptance skips what has been decided
     role.m_retry_at = retry_at;
@@ -48,7 +48,7 @@
                                reset_accepter(role, state.now() + store_retry_pause);
                                return;
                            }
-                           role.m_busy = false;
+                           role.m_call_pending = false;
                            role.m_refused_revision = revision;
                        });
 }
@@ -72,7 +72,7 @@
                                reset_accepter(role, state.now() + store_retry_pause);
                                return;
                            }
-                           role.m_busy = false;
+                           role.m_call_pending = false;
                            role.m_accepted_read = false;
                        });
 }
@@ -152,7 +152,7 @@
     role.m_text_revision = revision;
     switch (decision.m_kind) {
     case acceptance_decision::kind::nothing:
-        role.m_busy = false;
+        role.m_call_pending = false;
         break;
     case acceptance_decision::kind::accept:
         write_accepted(state, *decision.m_record, text);
@@ -183,7 +183,7 @@
     // A text always has a lower revision than its difference; a higher one named by mistake would
     // keep all later texts from being judged.
     if (!delta || delta->m_version < seen.m_text || delta->m_version >= reply.m_revision) {
-        state.m_accepter.m_unusable_delta = seen.m_delta;
+        state.m_accepter.m_unusable_delta_revision = seen.m_delta;
         learn_submitted(state, seen);
         return;
     }
@@ -211,10 +211,10 @@
 
 void wait_for_delta(control& state) {
     const accepter_role& role = state.m_accepter;
-    const auto left = std::chrono::duration_cast<milliseconds>(role.m_seen_at +
+    const auto left = std::chrono::duration_cast<milliseconds>(role.m_latest_text_seen_at +
                                                                submitted_delta_wait - state.now());
-    state.m_store->watch_keys(text_store_key, role.m_watch_after, std::max(left, milliseconds{1}),
-                              [&state](const store_reply& reply) {
+    state.m_store->watch_keys(text_store_key, role.m_listed_revision,
+                              std::max(left, milliseconds{1}), [&state](const store_reply& reply) {
                                   if (reply.m_kind != error_kind::none) {
                                       reset_accepter(state.m_accepter,
                                                      state.now() + store_retry_pause);
@@ -228,16 +228,16 @@
 // read; it may be near a megabyte.
 void learn_submitted(control& state, const submitted_revisions& seen) {
     accepter_role& role = state.m_accepter;
-    if (seen.m_text != role.m_seen_text) {
-        role.m_seen_text = seen.m_text;
-        role.m_seen_at = state.now();
+    if (seen.m_text != role.m_latest_text_revision) {
+        role.m_latest_text_revision = seen.m_text;
+        role.m_latest_text_seen_at = state.now();
     }
     const std::uint64_t decided =
         std::max(role.m_refused_revision, role.m_accepted ? role.m_accepted->m_source_revision : 0);
-    switch (choose_source(seen, role.m_text_revision, decided, role.m_unusable_delta,
-                          state.now() - role.m_seen_at)) {
+    switch (choose_source(seen, role.m_text_revision, decided, role.m_unusable_delta_revision,
+                          state.now() - role.m_latest_text_seen_at)) {
     case text_source::nothing:
-        role.m_busy = false;
+        role.m_call_pending = false;
         break;
     case text_source::delta:
         read_text_delta(state, seen);
@@ -266,7 +266,7 @@
                 seen.m_delta = entry.m_revision;
             }
         }
-        role.m_watch_after = std::max(seen.m_text, seen.m_delta);
+        role.m_listed_revision = std::max(seen.m_text, seen.m_delta);
         learn_submitted(state, seen);
     });
 }
@@ -386,10 +386,10 @@
 
 void watch_text(control& state) {
     accepter_role& role = state.m_accepter;
-    state.m_store->watch_keys(text_store_key, role.m_watch_after, list_interval,
+    state.m_store->watch_keys(text_store_key, role.m_listed_revision, list_interval,
                               [&state](const store_reply& reply) {
                                   accepter_role& accepter = state.m_accepter;
-                                  accepter.m_busy = false;
+                                  accepter.m_call_pending = false;
                                   if (reply.m_kind != error_kind::none) {
                                       reset_accepter(accepter, state.now() + store_retry_pause);
                                       return;
@@ -407,15 +407,15 @@
         refresh_candidate(state, role.m_lease, now, [](const member&) { return true; });
     run_lease(state, role.m_lease, !state.m_leaving && (role.m_lease.m_keeper.m_held || candidate));
     if (!lease_held(role.m_lease.m_keeper, now)) {
-        if (!role.m_busy) {
+        if (!role.m_call_pending) {
             reset_accepter(role, now);
         }
         return;
     }
-    if (role.m_busy || now < role.m_retry_at) {
+    if (role.m_call_pending || now < role.m_retry_at) {
         return;
     }
-    role.m_busy = true;
+    role.m_call_pending = true;
     if (!role.m_accepted_read) {
         read_accepted(state);
     } else {
--- a/src/node/admin_pages.cpp
+++ b/src/node/admin_pages.cpp
@@ -67,7 +67,7 @@
 
 } // namespace
 
-admin_answer answer_admin(const control& state, std::string_view path) {
+admin_answer answer_admin_request(const control& state, std::string_view path) {
     if (path == "/metrics") {
         return {200, "text/plain; version=0.0.4", state.m_metrics->render()};
     }
--- a/src/node/config_sync.cpp
+++ b/src/node/config_sync.cpp
@@ -50,7 +50,7 @@
                       : parse_own_text(state, version, *held->second.m_text);
     const bool valid = parsed.has_value();
     if (valid) {
-        state.m_parsed[version] = std::make_shared<const mesh>(std::move(*parsed));
+        state.m_parsed_configs[version] = std::make_shared<const mesh>(std::move(*parsed));
     }
     perform(state, decide_parsed(state, version, valid));
 }
@@ -81,13 +81,13 @@
 }
 
 void apply_version(control& state, std::uint64_t version) {
-    const auto parsed = state.m_parsed.find(version);
-    if (parsed == state.m_parsed.end()) {
+    const auto parsed = state.m_parsed_configs.find(version);
+    if (parsed == state.m_parsed_configs.end()) {
         return;
     }
     const std::shared_ptr<const mesh> before = state.m_mesh;
     state.m_mesh = parsed->second;
-    state.m_parsed.erase(state.m_parsed.begin(), std::next(parsed));
+    state.m_parsed_configs.erase(state.m_parsed_configs.begin(), std::next(parsed));
     std::uint64_t previous = state.m_members.m_self.m_config_version;
     state.m_members.m_self.m_config_version = version;
     log_config_version(version);
@@ -151,12 +151,12 @@
     }
 }
 
-void hear_version(control& state, std::string_view instance, std::uint64_t version) {
+void handle_peer_version(control& state, std::string_view instance, std::uint64_t version) {
     perform(state, decide_heard(state, instance, version));
 }
 
-std::optional<packed_text> pack_for(control& state, std::uint64_t have_version,
-                                    std::uint64_t want_version) {
+std::optional<packed_text> pack_text_for(control& state, std::uint64_t have_version,
+                                         std::uint64_t want_version) {
     const auto& texts = state.m_distribution.m_texts;
     if (texts.empty()) {
         return std::nullopt;
@@ -167,15 +167,15 @@
     }
     if (state.m_packed_version != latest.m_version) {
         state.m_packed_version = latest.m_version;
-        state.m_packed.clear();
+        state.m_packed_texts.clear();
     }
     const auto base = texts.find(have_version);
     const std::uint64_t base_version = base == texts.end() ? 0 : have_version;
-    auto packed = state.m_packed.find(base_version);
-    if (packed == state.m_packed.end()) {
+    auto packed = state.m_packed_texts.find(base_version);
+    if (packed == state.m_packed_texts.end()) {
         const std::string_view base_text =
             base == texts.end() ? std::string_view{} : std::string_view(*base->second.m_text);
-        packed = state.m_packed
+        packed = state.m_packed_texts
                      .emplace(base_version, pack_text(latest.m_version, latest.m_hash,
                                                       *latest.m_text, base_version, base_text))
                      .first;
--- a/src/node/control.hpp
+++ b/src/node/control.hpp
@@ -44,7 +44,7 @@
 constexpr std::string_view state_prefix = "caraway/state/";
 constexpr std::string_view accepted_key = "caraway/state/accepted";
 constexpr std::string_view refused_key = "caraway/state/refused";
-constexpr std::string_view entry_prefix = "caraway/entry/";
+constexpr std::string_view entry_point_prefix = "caraway/entry/";
 
 // Readers read the whole prefix this often, since a watch can miss events; the accepter likewise.
 constexpr milliseconds list_interval{10'000};
@@ -58,7 +58,7 @@
 // A lease that this node may hold, with its call under way.
 struct lease_role {
     lease_keeper m_keeper;
-    bool m_busy = false;
+    bool m_call_pending = false;
     bool m_was_held = false;
     bool m_candidate = false;
     time_point m_next_check;
@@ -68,49 +68,50 @@
 struct reader_role {
     lease_role m_lease;
     std::string m_entry_key;
-    bool m_active = false; // the entry is written and the watch loop runs
-    bool m_busy = false;   // a store call of the loop is under way
-    bool m_listed = false; // the whole prefix was read since the lease was won
-    std::uint64_t m_after = 0;
+    bool m_active = false;       // the entry is written and the watch loop runs
+    bool m_call_pending = false; // a store call of the loop is under way
+    bool m_listed = false;       // the whole prefix was read since the lease was won
+    std::uint64_t m_watch_revision = 0;
     time_point m_next_list; // the prefix is read again now and then, since watches miss events
     time_point m_retry_at;
 };
 
 // Reads of the operators' items where no accepter stands between.
 struct operator_watch {
-    bool m_reached = false;   // the store answered the last call
-    bool m_candidate = false; // one of those that watch
+    bool m_store_reachable = false; // the store answered the last call
+    bool m_candidate = false;       // one of those that watch
     time_point m_next_check;
-    time_point m_lost_since;
+    time_point m_store_lost_since;
     std::uint32_t m_failures = 0; // since the last answer
-    bool m_busy = false;
-    bool m_listed = false; // all items were read, and m_after is known
-    std::uint64_t m_after = 0;
-    std::uint64_t m_deleted_at = 0;             // revision of the latest deletion seen
-    std::map<std::string, store_entry> m_items; // by key
-    time_point m_begin_at;
+    bool m_call_pending = false;
+    bool m_listed = false; // all items were read, and m_watch_revision is known
+    std::uint64_t m_watch_revision = 0;
+    std::uint64_t m_latest_deletion_revision = 0; // revision of the latest deletion seen
+    std::map<std::string, store_entry> m_items;   // by key
+    time_point m_start_at;
     time_point m_behind_since; // a newer text than the one held is known since then
     time_point m_retry_at;
     time_point m_next_list;
-    bool m_entry_written = false;               // the slot in the store names somebody
-    std::optional<time_point> m_entry_check_at; // the free slot is looked at again then
-    std::vector<std::string> m_unknown_slots; // that the last discovery found to name nobody known
+    bool m_entry_written = false;              // the slot in the store names somebody
+    std::optional<time_point> m_slot_check_at; // the free slot is looked at again then
+    std::vector<std::string> m_unknown_slots;  // that the last discovery found to name nobody known
     bool m_records_read = false;
-    bool m_records_busy = false;
+    bool m_records_call_pending = false;
     time_point m_records_retry_at;
 };
 
 // The accepter: judges submitted texts.
 struct accepter_role {
     lease_role m_lease;
-    bool m_busy = false;
+    bool m_call_pending = false;
     bool m_active = false;
     std::uint64_t m_text_revision = 0; // of the text judged last, whatever became of it
     std::uint64_t m_refused_revision = 0;
-    std::uint64_t m_seen_text = 0; // highest revision of the text seen, and when it was first seen
-    time_point m_seen_at;
-    std::uint64_t m_unusable_delta = 0; // revision of a submitted delta of an older text
-    std::uint64_t m_watch_after = 0;    // highest revision of the submitted keys when last listed
+    std::uint64_t m_latest_text_revision =
+        0; // highest revision of the text seen, and when it was first seen
+    time_point m_latest_text_seen_at;
+    std::uint64_t m_unusable_delta_revision = 0; // revision of a submitted delta of an older text
+    std::uint64_t m_listed_revision = 0; // highest revision of the submitted keys when last listed
     std::optional<accepted_record> m_accepted;
     std::uint64_t m_accepted_revision = 0;
     std::shared_ptr<const mesh> m_accepted_mesh;
@@ -125,18 +126,18 @@
 struct move_role {
     std::optional<lease_role> m_lease; // while the mesh has a move of the own service
     std::string m_move_id;
-    time_point m_ordered_at; // when the move was first seen in the text
-    bool m_busy = false;
-    bool m_own = false;   // the record names this node
-    bool m_fresh = false; // the record was read since the lease was won
+    time_point m_first_seen_at; // when the move was first seen in the text
+    bool m_call_pending = false;
+    bool m_holds_record = false;   // the record names this node
+    bool m_record_current = false; // the record was read since the lease was won
     std::optional<move_record> m_record;
     move_evidence m_evidence;               // holder: evidence of all instances
-    move_evidence m_local;                  // backend side: own server only
+    move_evidence m_local_evidence;         // backend side: own server only
     std::vector<evidence_report> m_reports; // received since the last step
     // Sum of the old version's reports of the last interval: as holder, and as told by the holder.
-    evidence_report m_old_sum;
-    evidence_report m_told_old_sum;
-    std::uint32_t m_local_stage = 0;    // stage that m_local belongs to
+    evidence_report m_old_version_sum;
+    evidence_report m_received_old_version_sum;
+    std::uint32_t m_local_stage = 0;    // stage that m_local_evidence belongs to
     std::uint32_t m_evidence_stage = 0; // stage that m_evidence belongs to
     std::set<std::string> m_verdicts_written;
     time_point m_next_step;
@@ -147,8 +148,8 @@
 struct collector_state {
     std::uint64_t m_reported_version = 0; // complete report sent for this node's shards
     // Global collector: summaries of the version being gathered, by data centre and shard.
-    std::uint64_t m_gathering = 0;
-    time_point m_gathering_since;
+    std::uint64_t m_collecting_version = 0;
+    time_point m_collecting_since;
     std::map<std::pair<std::string, std::uint32_t>, in_force_request> m_summaries;
     std::uint64_t m_verdict_version = 0; // verdict written
     time_point m_next_report;
@@ -156,28 +157,28 @@
 
 // Progress of joining the mesh after start.
 struct join_state {
-    bool m_store_busy = false;
-    bool m_nobody_found = false;             // the store named no member to ask, and none was known
+    bool m_store_call_pending = false;
+    bool m_no_member_found = false;          // the store named no member to ask, and none was known
     std::vector<entry_point> m_entry_points; // that the store named last
-    time_point m_listed_at;                  // when it did
-    bool m_first_start = false;              // it named hardly anybody at first
+    time_point m_entry_points_listed_at;     // when it did
+    bool m_mesh_first_start = false;         // it named hardly anybody at first
     time_point m_next_discovery;             // when a watcher looks for members unknown here
     std::set<std::string> m_pending;         // formatted addresses asked and not answered
     time_point m_first_attempt;
     time_point m_next_attempt;
     std::uint32_t m_failures = 0;
-    bool m_done = false; // a member answered, and no sign of members unknown here since
+    bool m_complete = false; // a member answered, and no sign of members unknown here since
 };
 
 // A process that was paused routes by an old view until it has heard from others.
 struct resync_state {
     time_point m_last_tick;
-    std::optional<time_point> m_until; // set while traffic is refused; gives up then
-    bool m_answered = false;           // a member's facts and text were received
+    std::optional<time_point> m_refuse_until; // set while traffic is refused; gives up then
+    bool m_peer_synced = false;               // a member's facts and text were received
 };
 
 struct control {
-    control(boost::asio::io_context& context, node_settings settings, adapter surroundings,
+    control(boost::asio::io_context& context, node_settings settings, adapter platform_adapter,
             const clock_source& clock, std::uint64_t seed);
 
     boost::asio::io_context& m_context;
@@ -191,11 +192,11 @@
     membership_table m_members;
     distribution_state m_distribution;
     fact_table m_facts;
-    std::shared_ptr<const mesh> m_mesh;                            // in force here
-    std::map<std::uint64_t, std::shared_ptr<const mesh>> m_parsed; // held, not yet in force
+    std::shared_ptr<const mesh> m_mesh;                                    // in force here
+    std::map<std::uint64_t, std::shared_ptr<const mesh>> m_parsed_configs; // held, not yet in force
     // The latest text as packed for others, by the version that they hold; 0: whole. Most members
     // fetch a new text from the few that had it first, and hold the same version.
-    std::map<std::uint64_t, packed_text> m_packed;
+    std::map<std::uint64_t, packed_text> m_packed_texts;
     std::uint64_t m_packed_version = 0;
     counter_map m_counters;
     snapshot_cell m_snapshot;
@@ -221,7 +222,7 @@
     time_point m_join_second;
     time_point m_next_evidence;
     time_point m_next_gauges;
-    time_point m_next_byte_line;
+    time_point m_next_byte_log;
 
     std::unique_ptr<datagram_socket> m_udp;
     std::unique_ptr<bulk_transport> m_bulk;
@@ -247,11 +248,11 @@
 // Drives the membership.
 void tick_gossip(control& state, time_point now);
 // All facts known here.
-facts_message all_facts(const control& state);
+facts_message collect_facts(const control& state);
 // Exchanges facts with a member, after which both sides have the same; done is called on success.
 void exchange_facts(control& state, const std::string& instance, std::function<void()> done);
 // Adds facts, spreads what is new, and marks the snapshot for rebuilding.
-void learn_facts(control& state, std::span<const suspension> suspensions,
+void merge_facts(control& state, std::span<const suspension> suspensions,
                  std::span<const move_record> records, bool spread);
 // True if this node is among the first candidates of a role by rendezvous hash of its name, among
 // the live members that satisfy the filter.
@@ -277,10 +278,10 @@
 
 void perform(control& state, std::span<const distribution_action> actions);
 // Heard that an instance holds a version.
-void hear_version(control& state, std::string_view instance, std::uint64_t version);
+void handle_peer_version(control& state, std::string_view instance, std::uint64_t version);
 // The texts to answer a fetch with.
-std::optional<packed_text> pack_for(control& state, std::uint64_t have_version,
-                                    std::uint64_t want_version);
+std::optional<packed_text> pack_text_for(control& state, std::uint64_t have_version,
+                                         std::uint64_t want_version);
 // Takes a text received from a peer.
 void receive_text(control& state, std::string_view instance, const packed_text& packed);
 void tick_config(control& state, time_point now);
@@ -290,7 +291,7 @@
 // operator_watch.cpp: the operators' items.
 
 // Names a member in a slot of the own data centre, for those that join.
-void write_entry(control& state, const std::string& slot, const ip_endpoint& address);
+void write_entry_point(control& state, const std::string& slot, const ip_endpoint& address);
 // Keeps the items read and watched, and names this node to those that join.
 void tick_operator_watch(control& state, time_point now);
 // The text that holds all items, and the items of such a text; nothing when it is malformed.
@@ -300,24 +301,24 @@
 // server_reports.cpp: the backend server beside this node.
 
 // What the traffic side has to know of the own server now.
-own_server_view view_own_server(const control& state);
+own_server_view make_own_server_view(const control& state);
 // Brings the snapshot and the members up to date with the own server's state.
 void refresh_own_server(control& state);
 // Connections to the own server failed: no calls for it until it reports again.
-void note_unreachable_server(control& state, const std::string& server);
+void mark_server_unreachable(control& state, const std::string& server);
 // Answers a report of the own server.
-admin_answer answer_server(control& state, const admin_request& request);
+admin_answer answer_server_request(control& state, const admin_request& request);
 
 // admin_pages.cpp: what the admin address answers.
 
 // Metrics, health (the process runs), readiness (takes new work) and status as JSON; 404 for any
 // other path.
-admin_answer answer_admin(const control& state, std::string_view path);
+admin_answer answer_admin_request(const control& state, std::string_view path);
 
 // store_roles.cpp: leases and readers.
 
 // Takes over the accepted record: reads its text unless the version is known already.
-void learn_accepted(control& state, const accepted_record& record);
+void adopt_accepted_record(control& state, const accepted_record& record);
 // Makes the next store call of a lease, if one is due.
 void run_lease(control& state, lease_role& role, bool wanted);
 // Whether this node is a candidate for a role's lease among the members that satisfy the filter;
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -23,20 +23,20 @@
 }
 
 // Computes the reply to each kind of request.
-struct bulk_server {
+struct bulk_request_handler {
     control& m_state;
 
     bulk_reply operator()(const join_request& request) const {
         return serve_join(m_state, request);
     }
     bulk_reply operator()(const fetch_config_request& request) const {
-        hear_version(m_state, request.m_instance, request.m_have_version);
+        handle_peer_version(m_state, request.m_instance, request.m_have_version);
         return fetch_config_reply{
-            pack_for(m_state, request.m_have_version, request.m_want_version)};
+            pack_text_for(m_state, request.m_have_version, request.m_want_version)};
     }
     bulk_reply operator()(const facts_message& request) const {
-        facts_message reply = all_facts(m_state);
-        learn_facts(m_state, request.m_suspensions, request.m_records, true);
+        facts_message reply = collect_facts(m_state);
+        merge_facts(m_state, request.m_suspensions, request.m_records, true);
         return reply;
     }
     bulk_reply operator()(const members_digest_request& request) const {
@@ -48,7 +48,7 @@
     }
     bulk_reply operator()(const evidence_report& request) const {
         receive_evidence(m_state, request);
-        return m_state.m_move.m_old_sum;
+        return m_state.m_move.m_old_version_sum;
     }
     bulk_reply operator()(const in_force_request& request) const {
         receive_in_force(m_state, request);
@@ -82,14 +82,14 @@
 }
 
 // Logs the change; a member that is gone holds no texts any more.
-void note_member_change(control& state, const std::string& instance) {
+void handle_member_change(control& state, const std::string& instance) {
     const auto found = state.m_members.m_members.find(instance);
     if (found == state.m_members.m_members.end()) {
         return;
     }
     const member& changed = found->second.m_member;
-    const bool left = changed.m_state == member_state::left;
-    if (left || changed.m_state == member_state::dead) {
+    const bool has_left = changed.m_state == member_state::left;
+    if (has_left || changed.m_state == member_state::dead) {
         forget_holder(state, instance);
         state.m_address_is_local.erase(changed.m_udp);
         state.m_address_is_local.erase(changed.m_bulk);
@@ -98,7 +98,7 @@
         state.m_address_is_local[changed.m_udp] = local;
         state.m_address_is_local[changed.m_bulk] = local;
     }
-    log_event(log_level::info, left ? "member_left" : "member_changed",
+    log_event(log_level::info, has_left ? "member_left" : "member_changed",
               {{"member", changed.m_instance},
                {"state", member_state_name(changed.m_state)},
                {"incarnation", changed.m_incarnation},
@@ -109,11 +109,11 @@
 
 // Compares member tables with a member and merges what differs, both ways.
 void compare_tables(control& state, const std::string& instance) {
-    const tracked_member* with = find_member(state.m_members, instance);
-    if (with == nullptr) {
+    const tracked_member* peer = find_member(state.m_members, instance);
+    if (peer == nullptr) {
         return;
     }
-    const ip_endpoint to = with->m_member.m_bulk;
+    const ip_endpoint to = peer->m_member.m_bulk;
     const members_digest_request request{state.m_settings.m_instance,
                                          member_bucket_hashes(state.m_members)};
     send_bulk(state, to, request, [&state, to](const std::optional<bulk_reply>& reply) {
@@ -137,16 +137,16 @@
             break;
         case membership_action::kind::member_changed:
             state.m_snapshot_dirty = true;
-            note_member_change(state, action.m_instance);
+            handle_member_change(state, action.m_instance);
             break;
         case membership_action::kind::version_heard:
-            hear_version(state, action.m_instance, action.m_config_version);
+            handle_peer_version(state, action.m_instance, action.m_config_version);
             break;
         case membership_action::kind::facts_differ:
             exchange_facts(state, action.m_instance, [] {});
             break;
         case membership_action::kind::suspension_heard:
-            learn_facts(state, action.m_packet.m_suspensions, action.m_packet.m_records, true);
+            merge_facts(state, action.m_packet.m_suspensions, action.m_packet.m_records, true);
             break;
         case membership_action::kind::compare_tables:
             compare_tables(state, action.m_instance);
@@ -172,7 +172,7 @@
         log_event(log_level::warning, "request_dropped", {{"reason", reason.m_text}});
         return encode_reply(reason.m_kind);
     }
-    std::string reply = encode_reply(std::visit(bulk_server{state}, *decoded));
+    std::string reply = encode_reply(std::visit(bulk_request_handler{state}, *decoded));
     state.m_metrics->bytes().add(std::visit(purpose_of{}, *decoded), byte_scope::served,
                                  request.size() + reply.size());
     return reply;
@@ -197,7 +197,7 @@
     perform(state, membership_tick(state.m_members, now));
 }
 
-facts_message all_facts(const control& state) {
+facts_message collect_facts(const control& state) {
     facts_message out;
     for (const auto& [id, value] : state.m_facts.m_suspensions) {
         out.m_suspensions.push_back(value);
@@ -214,19 +214,19 @@
         !state.m_facts_fetching.insert(instance).second) {
         return;
     }
-    const facts_message own = all_facts(state);
+    const facts_message own = collect_facts(state);
     send_bulk(state, found->second.m_member.m_bulk, own,
               [&state, instance, done = std::move(done)](const std::optional<bulk_reply>& reply) {
                   state.m_facts_fetching.erase(instance);
                   const auto* facts = reply ? std::get_if<facts_message>(&*reply) : nullptr;
                   if (facts != nullptr) {
-                      learn_facts(state, facts->m_suspensions, facts->m_records, true);
+                      merge_facts(state, facts->m_suspensions, facts->m_records, true);
                       done();
                   }
               });
 }
 
-void learn_facts(control& state, std::span<const suspension> suspensions,
+void merge_facts(control& state, std::span<const suspension> suspensions,
                  std::span<const move_record> records, bool spread) {
     std::vector<suspension> new_suspensions;
     std::vector<move_record> new_records;
@@ -268,13 +268,13 @@
 bool is_candidate(const control& state, std::string_view role, std::size_t candidates,
                   const std::function<bool(const member&)>& filter) {
     const std::uint64_t own = rendezvous_weight(role, state.m_settings.m_instance);
-    std::size_t ahead = 0;
+    std::size_t higher_ranked = 0;
     for (const member* other : live_members(state.m_members)) {
         if (filter(*other) && rendezvous_weight(role, other->m_instance) > own) {
-            ++ahead;
+            ++higher_ranked;
         }
     }
-    return ahead < candidates;
+    return higher_ranked < candidates;
 }
 
 } // namespace caraway
--- a/src/node/in_force.cpp
+++ b/src/node/in_force.cpp
@@ -103,7 +103,7 @@
 in_force_report total_report(const control& state, duration elapsed) {
     const collector_state& collector = state.m_collector;
     in_force_report total;
-    total.m_version = collector.m_gathering;
+    total.m_version = collector.m_collecting_version;
     for (const auto& [key, summary] : collector.m_summaries) {
         total.m_in_force += summary.m_in_force;
         total.m_members += summary.m_members;
@@ -170,12 +170,12 @@
 
 void receive_in_force(control& state, const in_force_request& summary) {
     collector_state& collector = state.m_collector;
-    if (summary.m_version < collector.m_gathering) {
+    if (summary.m_version < collector.m_collecting_version) {
         return;
     }
-    if (summary.m_version > collector.m_gathering) {
-        collector.m_gathering = summary.m_version;
-        collector.m_gathering_since = state.now();
+    if (summary.m_version > collector.m_collecting_version) {
+        collector.m_collecting_version = summary.m_version;
+        collector.m_collecting_since = state.now();
         collector.m_summaries.clear();
     }
     collector.m_summaries[{summary.m_data_centre, summary.m_shard}] = summary;
@@ -196,11 +196,11 @@
         announce_in_force(state);
         send_summaries(state, version);
     }
-    if (collector.m_gathering > collector.m_verdict_version) {
-        const in_force_report total = total_report(state, now - collector.m_gathering_since);
+    if (collector.m_collecting_version > collector.m_verdict_version) {
+        const in_force_report total = total_report(state, now - collector.m_collecting_since);
         if (total.m_final) {
             write_in_force(state, total);
-            collector.m_verdict_version = collector.m_gathering;
+            collector.m_verdict_version = collector.m_collecting_version;
         }
     }
 }
--- a/src/node/join.cpp
+++ b/src/node/join.cpp
@@ -12,7 +12,7 @@
 // down.
 constexpr std::size_t join_targets = 3;
 // Attempts with the entry points of the own data centre alone, where it has many.
-constexpr std::uint32_t near_attempts = 2;
+constexpr std::uint32_t local_attempts = 2;
 // First pause after a failed attempt to join; doubled up to the setting.
 constexpr milliseconds first_join_backoff{100};
 // Entry points that the store named are asked for this long before it is read again: when all nodes
@@ -22,8 +22,8 @@
 constexpr milliseconds first_entries_time{500};
 // A node asks entry points of members unknown to it at this interval until this long after its
 // start: when many start together, those that answer first know only a few of the others.
-constexpr milliseconds complete_interval{500};
-constexpr milliseconds complete_time{6'000};
+constexpr milliseconds completion_interval{500};
+constexpr milliseconds completion_time{6'000};
 // Members that watch the store look there for entry points of members unknown here, first this long
 // after their start and then at the interval. Nodes that start together and join only each other
 // would else stay apart from the rest for good.
@@ -78,7 +78,7 @@
 }
 
 // Joins through a few of the addresses, chosen at random.
-void join_through_some(control& state, std::vector<ip_endpoint> targets) {
+void join_through_random(control& state, std::vector<ip_endpoint> targets) {
     std::shuffle(targets.begin(), targets.end(), state.m_random);
     targets.resize(std::min(targets.size(), join_targets));
     for (const ip_endpoint& target : targets) {
@@ -89,16 +89,16 @@
 // Asks some of the members learnt so far. False if there are none left to ask.
 bool ask_known_members(control& state) {
     std::vector<ip_endpoint> known = known_targets(state);
-    join_through_some(state, known);
+    join_through_random(state, known);
     return !known.empty();
 }
 
 // A store that names fewer belongs to a mesh that starts for the first time.
-constexpr std::size_t few_entry_points = 2;
+constexpr std::size_t min_established_entry_points = 2;
 
 // Nodes that start together look at a free slot for entry points again within this time, each at
 // another moment, so that the first one fills it and the others find it filled.
-constexpr milliseconds slot_spread{500};
+constexpr milliseconds slot_check_spread{500};
 
 // Nodes that start together begin to read the store within this time for each entry point: the
 // first ones soon, and not so many of them that those of a large fleet don't wait for what these
@@ -108,7 +108,7 @@
 // Reads an entry point from its key, PREFIX DATA_CENTRE/SLOT, and value.
 std::optional<entry_point> read_entry_point(const store_entry& entry) {
     std::string_view key = entry.m_key;
-    key.remove_prefix(std::min(entry_prefix.size(), key.size()));
+    key.remove_prefix(std::min(entry_point_prefix.size(), key.size()));
     const std::size_t slash = key.find('/');
     const auto address = parse_endpoint(entry.m_value);
     if (!address || slash == std::string_view::npos) {
@@ -119,32 +119,34 @@
 }
 
 // Takes over the entry points that the store named, the own one left out.
-void take_entry_points(control& state, std::span<const store_entry> entries) {
+void update_entry_points(control& state, std::span<const store_entry> entries) {
     join_state& join = state.m_join;
     operator_watch& watch = state.m_operator;
-    const bool first_list = join.m_listed_at == time_point{};
+    const bool is_first_list = join.m_entry_points_listed_at == time_point{};
     const std::string own_slot = entry_slot(state.m_settings.m_instance);
-    join.m_listed_at = state.now();
+    join.m_entry_points_listed_at = state.now();
     join.m_entry_points.clear();
-    const auto spread = static_cast<std::uint64_t>(start_spread_per_entry.count()) * entries.size();
-    watch.m_begin_at =
-        std::min(watch.m_begin_at, state.now() + milliseconds(state.m_random.below(spread + 1)));
+    const auto start_spread =
+        static_cast<std::uint64_t>(start_spread_per_entry.count()) * entries.size();
+    watch.m_start_at = std::min(watch.m_start_at,
+                                state.now() + milliseconds(state.m_random.below(start_spread + 1)));
     for (const store_entry& entry : entries) {
-        auto named = read_entry_point(entry);
-        if (!named) {
+        auto parsed = read_entry_point(entry);
+        if (!parsed) {
             continue;
         }
         watch.m_entry_written |=
-            named->m_data_centre == state.m_settings.m_data_centre && named->m_slot == own_slot;
-        if (named->m_address != state.m_settings.m_announce_bulk) {
-            join.m_entry_points.push_back(std::move(*named));
+            parsed->m_data_centre == state.m_settings.m_data_centre && parsed->m_slot == own_slot;
+        if (parsed->m_address != state.m_settings.m_announce_bulk) {
+            join.m_entry_points.push_back(std::move(*parsed));
         }
     }
-    join.m_first_start |= first_list && join.m_entry_points.size() < few_entry_points;
-    if (state.reads_operator_items() && first_list && !watch.m_entry_written) {
-        watch.m_entry_check_at =
-            state.now() +
-            milliseconds(state.m_random.below(static_cast<std::uint64_t>(slot_spread.count())));
+    join.m_mesh_first_start |=
+        is_first_list && join.m_entry_points.size() < min_established_entry_points;
+    if (state.reads_operator_items() && is_first_list && !watch.m_entry_written) {
+        watch.m_slot_check_at =
+            state.now() + milliseconds(state.m_random.below(
+                              static_cast<std::uint64_t>(slot_check_spread.count())));
     }
 }
 
@@ -152,27 +154,30 @@
 void ask_entry_points(control& state) {
     std::vector<ip_endpoint> targets = known_targets(state);
     const join_state& join = state.m_join;
-    const bool near_ones_failed = join.m_failures > near_attempts;
-    const std::string_view near = near_ones_failed ? "" : state.m_settings.m_data_centre;
-    const std::vector<ip_endpoint> named = near_entry_points(join.m_entry_points, near);
-    targets.insert(targets.end(), named.begin(), named.end());
-    join_through_some(state, std::move(targets));
+    const bool local_attempts_failed = join.m_failures > local_attempts;
+    const std::string_view preferred_data_centre =
+        local_attempts_failed ? "" : state.m_settings.m_data_centre;
+    const std::vector<ip_endpoint> addresses =
+        near_entry_points(join.m_entry_points, preferred_data_centre);
+    targets.insert(targets.end(), addresses.begin(), addresses.end());
+    join_through_random(state, std::move(targets));
 }
 
 // Asks some of the entry points that are no known members' addresses.
 void ask_unknown_entry_points(control& state) {
-    join_through_some(state, unknown_entry_points(state.m_members, state.m_join.m_entry_points));
+    join_through_random(state, unknown_entry_points(state.m_members, state.m_join.m_entry_points));
 }
 
 // Names a live member in each slot that has named nobody known at two discoveries in a row, as
 // after the loss of an instance.
 void replace_unknown_entries(control& state) {
     operator_watch& watch = state.m_operator;
-    const std::vector<std::string> before = std::move(watch.m_unknown_slots);
+    const std::vector<std::string> previous_unknown = std::move(watch.m_unknown_slots);
     watch.m_unknown_slots = unknown_slots(state.m_members, state.m_join.m_entry_points);
     for (const std::string& slot : watch.m_unknown_slots) {
-        if (std::find(before.begin(), before.end(), slot) != before.end()) {
-            write_entry(state, slot, entry_for_slot(state.m_members, slot).m_bulk);
+        if (std::find(previous_unknown.begin(), previous_unknown.end(), slot) !=
+            previous_unknown.end()) {
+            write_entry_point(state, slot, entry_for_slot(state.m_members, slot).m_bulk);
         }
     }
 }
@@ -183,15 +188,15 @@
     if (join.m_next_discovery == time_point{}) {
         join.m_next_discovery = join.m_first_attempt + first_discovery;
     }
-    if (!state.m_operator.m_candidate || join.m_store_busy || now < join.m_next_discovery) {
+    if (!state.m_operator.m_candidate || join.m_store_call_pending || now < join.m_next_discovery) {
         return;
     }
     join.m_next_discovery = now + discovery_interval;
-    join.m_store_busy = true;
-    state.m_store->list_stale(entry_prefix, [&state](const store_reply& reply) {
-        state.m_join.m_store_busy = false;
+    join.m_store_call_pending = true;
+    state.m_store->list_stale(entry_point_prefix, [&state](const store_reply& reply) {
+        state.m_join.m_store_call_pending = false;
         if (reply.m_kind == error_kind::none) {
-            take_entry_points(state, reply.m_entries);
+            update_entry_points(state, reply.m_entries);
             ask_unknown_entry_points(state);
             replace_unknown_entries(state);
         }
@@ -200,18 +205,18 @@
 
 // Looks at the own slot again, and fills it if it is still free.
 void check_entry_slot(control& state) {
-    state.m_operator.m_entry_check_at.reset();
-    state.m_join.m_store_busy = true;
-    state.m_store->list(entry_prefix, [&state](const store_reply& reply) {
-        state.m_join.m_store_busy = false;
+    state.m_operator.m_slot_check_at.reset();
+    state.m_join.m_store_call_pending = true;
+    state.m_store->list(entry_point_prefix, [&state](const store_reply& reply) {
+        state.m_join.m_store_call_pending = false;
         if (reply.m_kind != error_kind::none) {
-            state.m_operator.m_entry_check_at = state.now() + store_retry_pause;
+            state.m_operator.m_slot_check_at = state.now() + store_retry_pause;
             return;
         }
-        take_entry_points(state, reply.m_entries);
+        update_entry_points(state, reply.m_entries);
         if (!state.m_operator.m_entry_written) {
-            write_entry(state, entry_slot(state.m_settings.m_instance),
-                        state.m_settings.m_announce_bulk);
+            write_entry_point(state, entry_slot(state.m_settings.m_instance),
+                              state.m_settings.m_announce_bulk);
         }
         ask_entry_points(state);
     });
@@ -226,33 +231,35 @@
     if (state.reads_operator_items() && ask_known_members(state)) {
         return;
     }
-    if (!join.m_entry_points.empty() && state.now() - join.m_listed_at < entry_points_lifetime) {
+    if (!join.m_entry_points.empty() &&
+        state.now() - join.m_entry_points_listed_at < entry_points_lifetime) {
         ask_entry_points(state);
         return;
     }
-    if (state.m_operator.m_entry_check_at) {
+    if (state.m_operator.m_slot_check_at) {
         return; // lists the entry points as well
     }
-    join.m_store_busy = true;
-    const auto listed_entries = [&state](const store_reply& reply) {
-        join_state& listed = state.m_join;
-        listed.m_store_busy = false;
+    join.m_store_call_pending = true;
+    const auto on_entries_listed = [&state](const store_reply& reply) {
+        join_state& current_join = state.m_join;
+        current_join.m_store_call_pending = false;
         if (reply.m_kind == error_kind::none) {
-            take_entry_points(state, reply.m_entries);
+            update_entry_points(state, reply.m_entries);
         }
-        listed.m_nobody_found = listed.m_entry_points.empty() && reply.m_kind == error_kind::none &&
-                                known_targets(state).empty();
-        if (listed.m_nobody_found && state.reads_operator_items()) {
-            listed.m_next_attempt =
-                std::max(listed.m_next_attempt, state.now() + first_entries_time);
+        current_join.m_no_member_found = current_join.m_entry_points.empty() &&
+                                         reply.m_kind == error_kind::none &&
+                                         known_targets(state).empty();
+        if (current_join.m_no_member_found && state.reads_operator_items()) {
+            current_join.m_next_attempt =
+                std::max(current_join.m_next_attempt, state.now() + first_entries_time);
         }
         ask_entry_points(state);
     };
     // The entry points hardly change, so the first list may be some seconds old.
-    if (state.reads_operator_items() && join.m_listed_at == time_point{}) {
-        state.m_store->list_stale(entry_prefix, listed_entries);
+    if (state.reads_operator_items() && join.m_entry_points_listed_at == time_point{}) {
+        state.m_store->list_stale(entry_point_prefix, on_entries_listed);
     } else {
-        state.m_store->list(entry_prefix, listed_entries);
+        state.m_store->list(entry_point_prefix, on_entries_listed);
     }
 }
 
@@ -278,8 +285,8 @@
         const join_state& join = state.m_join;
         const bool first_round_over =
             state.now() - join.m_first_attempt >= state.m_settings.m_fetch_timeout;
-        if (join.m_nobody_found || first_round_over) {
-            learn_accepted(state, *record);
+        if (join.m_no_member_found || first_round_over) {
+            adopt_accepted_record(state, *record);
         }
     });
 }
@@ -298,7 +305,7 @@
         if (joined == nullptr || joined->m_members.empty()) {
             return;
         }
-        state.m_join.m_done = true;
+        state.m_join.m_complete = true;
         const std::string& through = joined->m_members.front().m_instance;
         const std::uint64_t version = joined->m_members.front().m_config_version;
         log_event(log_level::info, "joined",
@@ -306,7 +313,7 @@
                    {"members", static_cast<std::uint64_t>(joined->m_members.size())},
                    {"peer_version", version}});
         perform(state, membership_merge(state.m_members, joined->m_members, state.now()));
-        learn_facts(state, joined->m_suspensions, joined->m_records, false);
+        merge_facts(state, joined->m_suspensions, joined->m_records, false);
         perform(state, decide_joined(state, through, version, joined->m_predecessor_version));
         if (joined->m_config) {
             receive_text(state, through, *joined->m_config);
@@ -330,8 +337,8 @@
             reply.m_members.push_back(tracked.m_member);
         }
     }
-    reply.m_config = pack_for(state, request.m_self.m_config_version, 0);
-    facts_message facts = all_facts(state);
+    reply.m_config = pack_text_for(state, request.m_self.m_config_version, 0);
+    facts_message facts = collect_facts(state);
     reply.m_suspensions = std::move(facts.m_suspensions);
     reply.m_records = std::move(facts.m_records);
     const std::vector<member> joined{request.m_self};
@@ -343,10 +350,10 @@
 void tick_join(control& state, time_point now) {
     join_state& join = state.m_join;
     const bool alone = state.m_members.m_live == 0;
-    const bool joined = join.m_done && !alone && state.m_distribution.m_ready;
-    const auto& check_at = state.m_operator.m_entry_check_at;
-    if (state.reads_operator_items() && !state.m_leaving && !join.m_store_busy && check_at &&
-        now >= *check_at) {
+    const bool joined = join.m_complete && !alone && state.m_distribution.m_ready;
+    const auto& check_at = state.m_operator.m_slot_check_at;
+    if (state.reads_operator_items() && !state.m_leaving && !join.m_store_call_pending &&
+        check_at && now >= *check_at) {
         check_entry_slot(state);
     }
     if (state.m_leaving || now < join.m_next_attempt) {
@@ -356,14 +363,14 @@
         if (state.reads_operator_items()) {
             discover_members(state, now);
         }
-        if (now - join.m_first_attempt < complete_time && state.reads_operator_items()) {
-            join.m_next_attempt = now + complete_interval;
+        if (now - join.m_first_attempt < completion_time && state.reads_operator_items()) {
+            join.m_next_attempt = now + completion_interval;
             ask_unknown_entry_points(state);
         }
         return;
     }
     // The store may hang; members that have been heard of meanwhile are asked all the same.
-    if (join.m_store_busy) {
+    if (join.m_store_call_pending) {
         if (ask_known_members(state)) {
             schedule_join_retry(state, now);
         }
--- a/src/node/move_control.cpp
+++ b/src/node/move_control.cpp
@@ -27,7 +27,7 @@
 }
 
 // The own service with its move, or null when no move of it is in the text.
-const service_spec* own_move(const control& state) {
+const service_spec* find_own_moving_service(const control& state) {
     if (!state.m_mesh) {
         return nullptr;
     }
@@ -37,14 +37,14 @@
 }
 
 // True once this node knows that the move has ended.
-bool is_final(const control& state, const std::string& id) {
+bool is_move_finished(const control& state, const std::string& id) {
     const auto found = state.m_facts.m_records.find(state.m_own_view.m_service);
     return found != state.m_facts.m_records.end() && found->second.m_move_id == id &&
            found->second.m_state != move_state::running;
 }
 
 // Starts afresh when the text names another move.
-void follow_text(control& state, const service_spec* service) {
+void reset_on_new_move(control& state, const service_spec* service) {
     move_role& role = state.m_move;
     const std::string id =
         service != nullptr ? move_id(service->m_name, *service->m_move) : std::string{};
@@ -52,15 +52,15 @@
         return;
     }
     role.m_move_id = id;
-    role.m_ordered_at = state.now();
-    role.m_own = false;
-    role.m_fresh = false;
+    role.m_first_seen_at = state.now();
+    role.m_holds_record = false;
+    role.m_record_current = false;
     role.m_record.reset();
     role.m_evidence = {};
-    role.m_local = {};
+    role.m_local_evidence = {};
     role.m_reports.clear();
-    role.m_old_sum = {};
-    role.m_told_old_sum = {};
+    role.m_old_version_sum = {};
+    role.m_received_old_version_sum = {};
     role.m_local_stage = 0;
     role.m_evidence_stage = 0;
     record_move_change(state);
@@ -71,11 +71,11 @@
     }
 }
 
-void suspend(control& state, const service_spec& service, const std::string& reason) {
+void suspend_version(control& state, const service_spec& service, const std::string& reason) {
     const suspension value{
         state.m_move.m_move_id,      service.m_name, service.m_move->m_to,
         state.m_settings.m_instance, reason,         unix_ms(state.m_clock.wall_now())};
-    learn_facts(state, std::span(&value, 1), {}, true);
+    merge_facts(state, std::span(&value, 1), {}, true);
     refresh_snapshot(state);
 }
 
@@ -103,21 +103,21 @@
 void adopt_record(control& state, const move_record& record) {
     move_role& role = state.m_move;
     role.m_record = record;
-    role.m_fresh = true;
-    role.m_own = record.m_holder == state.m_settings.m_instance;
-    learn_facts(state, {}, std::span(&record, 1), true);
+    role.m_record_current = true;
+    role.m_holds_record = record.m_holder == state.m_settings.m_instance;
+    merge_facts(state, {}, std::span(&record, 1), true);
     refresh_snapshot(state);
 }
 
 void read_record(control& state, const std::string& service) {
-    state.m_move.m_busy = true;
+    state.m_move.m_call_pending = true;
     state.m_store->get(record_key(state, service), [&state](const store_reply& reply) {
         move_role& role = state.m_move;
-        role.m_busy = false;
+        role.m_call_pending = false;
         role.m_retry_at = state.now() + store_retry_pause;
         if (reply.m_kind == error_kind::store_not_found) {
-            role.m_fresh = true;
-            role.m_own = false;
+            role.m_record_current = true;
+            role.m_holds_record = false;
             role.m_record.reset();
             return;
         }
@@ -138,18 +138,18 @@
 // it is success, the record is read again before the next decision.
 void write_record(control& state, move_record record, std::uint64_t if_revision) {
     move_role& role = state.m_move;
-    role.m_busy = true;
+    role.m_call_pending = true;
     state.m_store->put(record_key(state, record.m_service), state.m_adapter.m_encode_move(record),
                        if_revision, {}, [&state, record](const store_reply& reply) {
-                           move_role& writer = state.m_move;
-                           writer.m_busy = false;
-                           if (record.m_move_id != writer.m_move_id) {
+                           move_role& current_role = state.m_move;
+                           current_role.m_call_pending = false;
+                           if (record.m_move_id != current_role.m_move_id) {
                                return; // the text names another move by now
                            }
                            if (reply.m_kind != error_kind::none) {
-                               writer.m_fresh = false;
-                               writer.m_own = false;
-                               writer.m_retry_at = state.now() + store_retry_pause;
+                               current_role.m_record_current = false;
+                               current_role.m_holds_record = false;
+                               current_role.m_retry_at = state.now() + store_retry_pause;
                                return;
                            }
                            move_record written = record;
@@ -162,8 +162,8 @@
                                       {"stage", written.m_stage},
                                       {"revision", written.m_revision},
                                       {"reason", written.m_reason}});
-                           if (writer.m_evidence_stage != written.m_stage) {
-                               writer.m_evidence_stage = written.m_stage;
+                           if (current_role.m_evidence_stage != written.m_stage) {
+                               current_role.m_evidence_stage = written.m_stage;
                                begin_evidence_stage(state);
                            }
                            adopt_record(state, written);
@@ -192,9 +192,9 @@
 }
 
 // The reports of the last interval, the own one included, go into the evidence.
-evidence_result weigh_reports(control& state, const service_spec& service) {
+evidence_result evaluate_reports(control& state, const service_spec& service) {
     move_role& role = state.m_move;
-    role.m_old_sum = sum_reports(role.m_reports, service.m_version);
+    role.m_old_version_sum = sum_reports(role.m_reports, service.m_version);
     const std::vector<evidence_report> reports = std::exchange(role.m_reports, {});
     return decide_evidence(state, reports, service);
 }
@@ -202,7 +202,7 @@
 // One step of the holder: create or take over the record, then advance it.
 void step_holder(control& state, const service_spec& service) {
     move_role& role = state.m_move;
-    if (!role.m_fresh) {
+    if (!role.m_record_current) {
         read_record(state, service.m_name);
         return;
     }
@@ -215,7 +215,7 @@
         write_verdict(state, *role.m_record);
         return;
     }
-    if (!role.m_own) {
+    if (!role.m_holds_record) {
         write_record(state, decide_takeover(state, *role.m_record), role.m_record->m_revision);
         return;
     }
@@ -231,18 +231,18 @@
 std::vector<const member*> evidence_targets(const control& state, const service_spec& service) {
     const std::string role = "caraway/lease/move/" + service.m_name;
     std::vector<const member*> targets{&state.m_members.m_self};
-    for (const member* each : live_members(state.m_members)) {
-        if (each->m_service == service.m_name) {
-            targets.push_back(each);
+    for (const member* live_member : live_members(state.m_members)) {
+        if (live_member->m_service == service.m_name) {
+            targets.push_back(live_member);
         }
     }
-    const std::size_t kept = std::min(targets.size(), lease_candidates);
-    std::partial_sort(targets.begin(), targets.begin() + static_cast<std::ptrdiff_t>(kept),
+    const std::size_t target_count = std::min(targets.size(), lease_candidates);
+    std::partial_sort(targets.begin(), targets.begin() + static_cast<std::ptrdiff_t>(target_count),
                       targets.end(), [&role](const member* a, const member* b) {
                           return rendezvous_weight(role, a->m_instance) >
                                  rendezvous_weight(role, b->m_instance);
                       });
-    targets.resize(kept);
+    targets.resize(target_count);
     return targets;
 }
 
@@ -251,32 +251,32 @@
     send_bulk(state, to, own, [&state](const std::optional<bulk_reply>& reply) {
         const auto* sum = reply ? std::get_if<evidence_report>(&*reply) : nullptr;
         if (sum != nullptr && !sum->m_routes.empty()) {
-            state.m_move.m_told_old_sum = *sum;
+            state.m_move.m_received_old_version_sum = *sum;
         }
     });
 }
 
 // Tests the own server's calls of the interval against the old version's, as the holder told them.
-void test_locally(control& state, const service_spec& service, const evidence_report& own,
-                  std::uint32_t stage) {
+void evaluate_local_evidence(control& state, const service_spec& service,
+                             const evidence_report& own, std::uint32_t stage) {
     move_role& role = state.m_move;
     if (stage != role.m_local_stage) {
         role.m_local_stage = stage;
         begin_local_stage(state);
     }
     std::uint32_t instances = 1;
-    for (const member* each : live_members(state.m_members)) {
-        const bool counts =
-            each->m_service == service.m_name && each->m_version == state.m_own_view.m_version;
-        instances += counts ? 1 : 0;
+    for (const member* live_member : live_members(state.m_members)) {
+        const bool same_version = live_member->m_service == service.m_name &&
+                                  live_member->m_version == state.m_own_view.m_version;
+        instances += same_version ? 1 : 0;
     }
-    role.m_local.m_instances = instances;
-    const std::array reports{own, role.m_told_old_sum};
-    role.m_told_old_sum = {};
+    role.m_local_evidence.m_instances = instances;
+    const std::array reports{own, role.m_received_old_version_sum};
+    role.m_received_old_version_sum = {};
     std::string reason;
-    const bool bad = decide_locally(state, reports, service, reason);
-    if (bad && !is_suspended(state.m_facts, role.m_move_id)) {
-        suspend(state, service, reason);
+    const bool is_bad = decide_locally(state, reports, service, reason);
+    if (is_bad && !is_suspended(state.m_facts, role.m_move_id)) {
+        suspend_version(state, service, reason);
     }
 }
 
@@ -289,7 +289,7 @@
     own.m_version = is_old_version(service, state.m_own_view.m_version)
                         ? service.m_version
                         : state.m_own_view.m_version;
-    if (is_final(state, state.m_move.m_move_id)) {
+    if (is_move_finished(state, state.m_move.m_move_id)) {
         return;
     }
     const auto record = state.m_facts.m_records.find(service.m_name);
@@ -300,10 +300,10 @@
         begin_evidence_stage(state);
     }
     if (own.m_version == service.m_move->m_to) {
-        if (state.m_move.m_told_old_sum.m_routes.empty()) {
-            state.m_move.m_told_old_sum = state.m_move.m_old_sum;
+        if (state.m_move.m_received_old_version_sum.m_routes.empty()) {
+            state.m_move.m_received_old_version_sum = state.m_move.m_old_version_sum;
         }
-        test_locally(state, service, own, stage);
+        evaluate_local_evidence(state, service, own, stage);
     }
     if (own.m_routes.empty()) {
         return;
@@ -325,9 +325,10 @@
         state.m_move.m_verdicts_written.contains(state.m_move.m_move_id)) {
         return false;
     }
-    const bool candidate = refresh_candidate(state, lease, now, [service](const member& m) {
-        return m.m_service == service->m_name && !m.m_store_lost;
-    });
+    const bool candidate =
+        refresh_candidate(state, lease, now, [service](const member& candidate_member) {
+            return candidate_member.m_service == service->m_name && !candidate_member.m_store_lost;
+        });
     return lease.m_keeper.m_held || candidate;
 }
 
@@ -341,8 +342,8 @@
 }
 
 void tick_move(control& state, time_point now) {
-    const service_spec* service = own_move(state);
-    follow_text(state, service);
+    const service_spec* service = find_own_moving_service(state);
+    reset_on_new_move(state, service);
     move_role& role = state.m_move;
     if (role.m_lease) {
         run_lease(state, *role.m_lease, wants_lease(state, service, now));
@@ -358,29 +359,30 @@
         state.m_next_evidence = now + evidence_interval;
         report_evidence(state, *service);
         // Stopping needs no lease: bad evidence suspends the version also while the store is down.
-        const evidence_result result = weigh_reports(state, *service);
+        const evidence_result result = evaluate_reports(state, *service);
         if (result.m_verdict == evidence_verdict::bad &&
-            !is_suspended(state.m_facts, role.m_move_id) && !is_final(state, role.m_move_id)) {
-            suspend(state, *service, result.m_reason);
+            !is_suspended(state.m_facts, role.m_move_id) &&
+            !is_move_finished(state, role.m_move_id)) {
+            suspend_version(state, *service, result.m_reason);
         }
     }
     const bool held = role.m_lease && lease_held(role.m_lease->m_keeper, now);
     if (!held) {
-        role.m_fresh = false; // the record is read again after the lease is won
-        role.m_own = false;
+        role.m_record_current = false; // the record is read again after the lease is won
+        role.m_holds_record = false;
         return;
     }
-    const bool stop_now = role.m_own && role.m_record &&
-                          role.m_record->m_state == move_state::running &&
-                          is_suspended(state.m_facts, role.m_move_id);
-    if (role.m_busy || now < role.m_retry_at || (now < role.m_next_step && !stop_now)) {
+    const bool must_stop = role.m_holds_record && role.m_record &&
+                           role.m_record->m_state == move_state::running &&
+                           is_suspended(state.m_facts, role.m_move_id);
+    if (role.m_call_pending || now < role.m_retry_at || (now < role.m_next_step && !must_stop)) {
         return;
     }
     // The next step follows a finished store call at once: with a pause after the read and after
     // the takeover, a move with a near deadline would lose two seconds after an outage of the
     // store.
     step_holder(state, *service);
-    if (!role.m_busy) {
+    if (!role.m_call_pending) {
         role.m_next_step = now + step_interval;
     }
 }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -18,15 +18,15 @@
 
 // Pace of the control loop. Probe timeouts are 300 ms, so 20 ms adds little to any reaction.
 constexpr milliseconds tick_interval{20};
-// A leaving node stays up at least this long, and also for refusing_time after it began to refuse
+// A leaving node stays up at least this long, and also for refusal_time after it began to refuse
 // new work, so that its leave spreads and calls that were sent before it was heard are answered.
-constexpr milliseconds least_drain{1'000};
-constexpr milliseconds refusing_time{300};
+constexpr milliseconds min_drain_time{1'000};
+constexpr milliseconds refusal_time{300};
 // A second reader goes on watching while the lease of a dead one runs out.
 constexpr int readers_per_data_centre = 2;
 constexpr milliseconds gauge_interval{1'000};
 // Pause between the log lines of the bytes moved: a process that is killed has told most of them.
-constexpr milliseconds byte_line_interval{10'000};
+constexpr milliseconds byte_log_interval{10'000};
 
 // Nodes on a platform that start together join through any few of the others, so that their tables
 // have to be completed first.
@@ -40,7 +40,7 @@
     return (static_cast<std::uint64_t>(device()) << 32U) | device();
 }
 
-member make_self(const node_settings& settings, const clock_source& clock) {
+member make_own_member(const node_settings& settings, const clock_source& clock) {
     member self;
     self.m_instance = settings.m_instance;
     self.m_incarnation = static_cast<std::uint64_t>(unix_ms(clock.wall_now()));
@@ -56,18 +56,19 @@
 
 std::unique_ptr<reader_role> make_reader(const node_settings& settings, int index,
                                          std::uint64_t seed, time_point now) {
-    const std::string place = settings.m_data_centre + "/" + std::to_string(index);
+    const std::string reader_slot = settings.m_data_centre + "/" + std::to_string(index);
     auto reader = std::make_unique<reader_role>();
-    reader->m_entry_key = std::string(entry_prefix) + place;
-    reader->m_lease.m_keeper = begin_lease("caraway/lease/reader/" + place, settings, seed, now);
+    reader->m_entry_key = std::string(entry_point_prefix) + reader_slot;
+    reader->m_lease.m_keeper =
+        begin_lease("caraway/lease/reader/" + reader_slot, settings, seed, now);
     return reader;
 }
 
 } // namespace
 
-control::control(boost::asio::io_context& context, node_settings settings, adapter surroundings,
+control::control(boost::asio::io_context& context, node_settings settings, adapter platform_adapter,
                  const clock_source& clock, std::uint64_t seed)
-    : m_context(context), m_settings(std::move(settings)), m_adapter(std::move(surroundings)),
+    : m_context(context), m_settings(std::move(settings)), m_adapter(std::move(platform_adapter)),
       m_clock(clock), m_random(seed) {
     m_metrics = node_metrics::create(m_settings.m_instance, m_settings.m_data_centre);
     membership_options options;
@@ -76,14 +77,15 @@
     if (reads_operator_items()) {
         options.m_complete_time = member_complete_time;
     }
-    m_members = make_membership(make_self(m_settings, clock), options, m_random(), clock.now());
+    m_members =
+        make_membership(make_own_member(m_settings, clock), options, m_random(), clock.now());
     m_distribution = begin_distribution(m_settings, m_random(), clock.now());
     for (int i = 0; i < readers_per_data_centre; ++i) {
         m_readers.push_back(make_reader(m_settings, i, m_random(), clock.now()));
     }
     m_accepter.m_lease.m_keeper =
         begin_lease("caraway/lease/accepter", m_settings, m_random(), clock.now());
-    m_own_view = view_own_server(*this);
+    m_own_view = make_own_server_view(*this);
     if (reads_operator_items()) {
         // The store loses nothing that it has acknowledged, so no text waits for replicas.
         m_distribution.m_replicas = 0;
@@ -92,10 +94,10 @@
 
 class node::impl {
 public:
-    impl(boost::asio::io_context& context, const node_settings& settings, adapter surroundings,
+    impl(boost::asio::io_context& context, const node_settings& settings, adapter platform_adapter,
          const clock_source& clock)
         : m_context(context),
-          m_state(context, settings, std::move(surroundings), clock, choose_seed(settings)),
+          m_state(context, settings, std::move(platform_adapter), clock, choose_seed(settings)),
           m_timer(context) {}
 
     bool open(error& reason) {
@@ -126,8 +128,8 @@
         tick_resync(m_state, now);
         refresh_gauges(now);
         flush_recording();
-        flush_lines(now);
-        if (m_stop_at && continue_shut_down(now)) {
+        flush_log_lines(now);
+        if (m_drain_deadline && continue_shut_down(now)) {
             return;
         }
         m_timer.expires_after(tick_interval);
@@ -139,13 +141,14 @@
     }
 
     void shut_down() {
-        if (m_stop_at) {
+        if (m_drain_deadline) {
             return;
         }
         const time_point now = m_state.now();
-        m_stop_at = now + m_state.m_settings.m_drain_timeout * 9 / 10; // the rest is for the exit
+        m_drain_deadline =
+            now + m_state.m_settings.m_drain_timeout * 9 / 10; // the rest is for the exit
         m_refuse_at = now + m_state.m_settings.m_announce_time;
-        m_stop_least = std::max(now + least_drain, m_refuse_at + refusing_time);
+        m_earliest_stop = std::max(now + min_drain_time, m_refuse_at + refusal_time);
         m_state.m_leaving = true;
         log_event(log_level::info, "leaving", {});
         perform(m_state, membership_leave(m_state.m_members, now));
@@ -154,15 +157,15 @@
 
     void reload(const node_settings& settings) {
         node_settings& current = m_state.m_settings;
-        node_settings kept = settings;
-        kept.m_report_interval = current.m_report_interval;
-        kept.m_drain_timeout = current.m_drain_timeout;
-        kept.m_announce_time = current.m_announce_time;
-        kept.m_fetch_timeout = current.m_fetch_timeout;
-        kept.m_join_backoff_max = current.m_join_backoff_max;
-        kept.m_joins_per_second = current.m_joins_per_second;
-        kept.m_seeds = current.m_seeds;
-        log_event(log_level::info, "settings_reloaded", {{"needs_restart", kept != current}});
+        node_settings unchanged = settings;
+        unchanged.m_report_interval = current.m_report_interval;
+        unchanged.m_drain_timeout = current.m_drain_timeout;
+        unchanged.m_announce_time = current.m_announce_time;
+        unchanged.m_fetch_timeout = current.m_fetch_timeout;
+        unchanged.m_join_backoff_max = current.m_join_backoff_max;
+        unchanged.m_joins_per_second = current.m_joins_per_second;
+        unchanged.m_seeds = current.m_seeds;
+        log_event(log_level::info, "settings_reloaded", {{"needs_restart", unchanged != current}});
         current.m_report_interval = settings.m_report_interval;
         current.m_drain_timeout = settings.m_drain_timeout;
         current.m_announce_time = settings.m_announce_time;
@@ -175,22 +178,24 @@
 private:
     // The operation with what it is about, for the log line of the calls made.
     std::string store_call_label(const store_command& command) const {
-        const auto about = [this, &command]() -> std::string_view {
-            const adapter& surroundings = m_state.m_adapter;
-            if (command.m_key.starts_with(entry_prefix)) {
+        const auto category = [this, &command]() -> std::string_view {
+            const adapter& platform_adapter = m_state.m_adapter;
+            if (command.m_key.starts_with(entry_point_prefix)) {
                 return "entry_points";
             }
-            if (!surroundings.m_operator_prefix.empty() &&
-                command.m_key.starts_with(surroundings.m_operator_prefix)) {
+            if (!platform_adapter.m_operator_prefix.empty() &&
+                command.m_key.starts_with(platform_adapter.m_operator_prefix)) {
                 return "operator_items";
             }
-            if (!surroundings.m_move_prefix.empty() &&
-                command.m_key.starts_with(surroundings.m_move_prefix)) {
+            if (!platform_adapter.m_move_prefix.empty() &&
+                command.m_key.starts_with(platform_adapter.m_move_prefix)) {
                 return "moves";
             }
             return "other";
         };
-        return std::string(store_operation_name(command.m_operation)).append(".").append(about());
+        return std::string(store_operation_name(command.m_operation))
+            .append(".")
+            .append(category());
     }
 
     void log_store_calls() const {
@@ -243,12 +248,13 @@
         refresh_snapshot(m_state);
         traffic_hooks hooks;
         hooks.m_version_heard = [this](const std::string& instance, std::uint64_t version) {
-            boost::asio::post(
-                m_context, [this, instance, version] { hear_version(m_state, instance, version); });
+            boost::asio::post(m_context, [this, instance, version] {
+                handle_peer_version(m_state, instance, version);
+            });
         };
         hooks.m_server_unreachable = [this](const std::string& server) {
             boost::asio::post(m_context,
-                              [this, server] { note_unreachable_server(m_state, server); });
+                              [this, server] { mark_server_unreachable(m_state, server); });
         };
         m_state.m_traffic =
             traffic_server::start(m_state.m_settings, m_state.m_clock, m_state.m_snapshot,
@@ -260,7 +266,9 @@
         const control& state = m_state;
         m_admin = admin_server::start(
             m_context, m_state.m_settings.m_admin,
-            [&state](const admin_request& request) { return answer_admin(state, request.m_path); },
+            [&state](const admin_request& request) {
+                return answer_admin_request(state, request.m_path);
+            },
             reason);
         return m_admin != nullptr;
     }
@@ -272,7 +280,9 @@
         control& state = m_state;
         m_reports = admin_server::start(
             m_context, m_state.m_settings.m_reports,
-            [&state](const admin_request& request) { return answer_server(state, request); },
+            [&state](const admin_request& request) {
+                return answer_server_request(state, request);
+            },
             reason, admin_server::methods::get_and_post);
         return m_reports != nullptr;
     }
@@ -282,8 +292,8 @@
             return;
         }
         m_state.m_next_gauges = now + gauge_interval;
-        if (now >= m_state.m_next_byte_line) {
-            m_state.m_next_byte_line = now + byte_line_interval;
+        if (now >= m_state.m_next_byte_log) {
+            m_state.m_next_byte_log = now + byte_log_interval;
             log_bytes(m_state.m_metrics->bytes());
             log_store_calls();
         }
@@ -291,13 +301,13 @@
         for (const auto& [name, tracked] : m_state.m_members.m_members) {
             ++counts[tracked.m_member.m_state];
         }
-        for (const member_state each :
+        for (const member_state counted_state :
              {member_state::alive, member_state::suspect, member_state::dead, member_state::left}) {
-            m_state.m_metrics->set_members(member_state_name(each), counts[each]);
+            m_state.m_metrics->set_members(member_state_name(counted_state), counts[counted_state]);
         }
     }
 
-    void flush_lines(time_point now) {
+    void flush_log_lines(time_point now) {
         if (now >= m_next_flush) {
             m_next_flush = now + m_state.m_settings.m_flush_interval;
             flush_log();
@@ -313,15 +323,16 @@
             m_state.m_traffic->drain();
             refresh_snapshot(m_state);
         }
-        const std::size_t left = m_state.m_traffic->calls_in_progress();
-        const bool drained = left == 0 && now >= m_stop_least;
-        if (!drained && now < *m_stop_at) {
+        const std::size_t calls_left = m_state.m_traffic->calls_in_progress();
+        const bool drained = calls_left == 0 && now >= m_earliest_stop;
+        if (!drained && now < *m_drain_deadline) {
             release_leases(m_state);
             return false;
         }
         log_bytes(m_state.m_metrics->bytes());
         log_store_calls();
-        log_event(log_level::info, "drained", {{"calls_cut", static_cast<std::uint64_t>(left)}});
+        log_event(log_level::info, "drained",
+                  {{"calls_cut", static_cast<std::uint64_t>(calls_left)}});
         flush_recording();
         batch_log(false);
         flush_log();
@@ -336,17 +347,19 @@
     boost::asio::steady_timer m_timer;
     time_point m_next_flush;
     std::map<std::string, std::uint64_t> m_store_calls; // by operation and what it is about
-    std::optional<time_point> m_stop_at;                // set by shut_down: the drain timeout
-    time_point m_stop_least;                            // the process stays up until then
+    std::optional<time_point> m_drain_deadline;         // set by shut_down: the drain timeout
+    time_point m_earliest_stop;                         // the process stays up until then
     time_point m_refuse_at;                             // new work is refused from then on
 };
 
 std::unique_ptr<node> node::start(boost::asio::io_context& context, const node_settings& settings,
-                                  adapter surroundings, const clock_source& clock, error& reason) {
+                                  adapter platform_adapter, const clock_source& clock,
+                                  error& reason) {
     log_identity(settings.m_instance, settings.m_data_centre, log_level::info);
     batch_log(settings.m_flush_interval.count() > 0);
     begin_recording(settings, clock.now());
-    auto implementation = std::make_unique<impl>(context, settings, std::move(surroundings), clock);
+    auto implementation =
+        std::make_unique<impl>(context, settings, std::move(platform_adapter), clock);
     if (!implementation->open(reason)) {
         return nullptr;
     }
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -19,7 +19,7 @@
     // Binds all addresses and starts the traffic threads and timers on the context, which the
     // caller runs. Fails with invalid_settings when an address can't be bound.
     static std::unique_ptr<node> start(boost::asio::io_context& context,
-                                       const node_settings& settings, adapter surroundings,
+                                       const node_settings& settings, adapter platform_adapter,
                                        const clock_source& clock, error& reason);
     node(const node&) = delete;
     node& operator=(const node&) = delete;
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -37,7 +37,7 @@
 void announce_store(control& state, bool lost) {
     if (state.m_members.m_self.m_store_lost != lost) {
         state.m_members.m_self.m_store_lost = lost;
-        state.m_operator.m_lost_since = state.now();
+        state.m_operator.m_store_lost_since = state.now();
         state.m_operator.m_next_check = state.now();
         perform(state, membership_update_self(state.m_members, true, state.now()));
     }
@@ -51,8 +51,8 @@
     if (reached || watch.m_failures >= failures_before_lost) {
         announce_store(state, !reached);
     }
-    if (reached != watch.m_reached) {
-        watch.m_reached = reached;
+    if (reached != watch.m_store_reachable) {
+        watch.m_store_reachable = reached;
         log_event(log_level::info, reached ? "store_regained" : "store_lost",
                   {{"reason", answer_for(reply.m_kind).m_name}, {"text", reply.m_text}});
     }
@@ -80,31 +80,31 @@
     auto text = std::make_shared<const std::string>(encode_items(items));
     const std::uint64_t hash = hash_bytes(*text);
     const auto& texts = state.m_distribution.m_texts;
-    std::uint64_t version = watch.m_deleted_at;
+    std::uint64_t version = watch.m_latest_deletion_revision;
     for (const store_entry& item : items) {
         version = std::max(version, item.m_revision);
     }
     if (!texts.empty() && texts.rbegin()->first >= version) {
         // A list doesn't tell when an item was deleted; other content needs a version of its own.
         const bool known = texts.rbegin()->second.m_hash == hash;
-        version = known ? texts.rbegin()->first : watch.m_after;
+        version = known ? texts.rbegin()->first : watch.m_watch_revision;
     }
     perform(state, decide_store_read(state, config_text{version, hash, std::move(text)}));
 }
 
 void list_items(control& state) {
     operator_watch& watch = state.m_operator;
-    watch.m_busy = true;
+    watch.m_call_pending = true;
     state.m_store->list(state.m_adapter.m_operator_prefix, [&state](const store_reply& reply) {
         operator_watch& listed = state.m_operator;
-        listed.m_busy = false;
+        listed.m_call_pending = false;
         note_store(state, reply);
         if (reply.m_kind != error_kind::none) {
             pause_watch(state);
             return;
         }
         listed.m_listed = true;
-        listed.m_after = reply.m_revision;
+        listed.m_watch_revision = reply.m_revision;
         listed.m_next_list = state.now() + relist_interval;
         listed.m_items.clear();
         for (const store_entry& entry : reply.m_entries) {
@@ -116,10 +116,10 @@
 
 void watch_items(control& state) {
     operator_watch& watch = state.m_operator;
-    watch.m_busy = true;
+    watch.m_call_pending = true;
     const auto done = [&state](const store_reply& reply) {
         operator_watch& watched = state.m_operator;
-        watched.m_busy = false;
+        watched.m_call_pending = false;
         note_store(state, reply);
         if (reply.m_kind != error_kind::none) {
             // Without its history the store can't tell what changed meanwhile.
@@ -127,10 +127,11 @@
             pause_watch(state);
             return;
         }
-        watched.m_after = std::max(watched.m_after, reply.m_revision);
+        watched.m_watch_revision = std::max(watched.m_watch_revision, reply.m_revision);
         for (const store_entry& entry : reply.m_entries) {
             if (entry.m_deleted) {
-                watched.m_deleted_at = std::max(watched.m_deleted_at, entry.m_revision);
+                watched.m_latest_deletion_revision =
+                    std::max(watched.m_latest_deletion_revision, entry.m_revision);
                 watched.m_items.erase(entry.m_key);
             } else {
                 watched.m_items.insert_or_assign(entry.m_key, entry);
@@ -140,16 +141,17 @@
             take_items(state);
         }
     };
-    state.m_store->watch(state.m_adapter.m_operator_prefix, watch.m_after, watch_wait, done);
+    state.m_store->watch(state.m_adapter.m_operator_prefix, watch.m_watch_revision, watch_wait,
+                         done);
 }
 
 // Reads the moves' records once, so that a node that starts after a move's end knows how it ended.
 void read_records(control& state) {
     operator_watch& watch = state.m_operator;
-    watch.m_records_busy = true;
+    watch.m_records_call_pending = true;
     state.m_store->list(state.m_adapter.m_move_prefix, [&state](const store_reply& reply) {
         operator_watch& read = state.m_operator;
-        read.m_records_busy = false;
+        read.m_records_call_pending = false;
         read.m_records_retry_at = state.now() + store_retry_pause;
         if (reply.m_kind != error_kind::none) {
             return;
@@ -163,7 +165,7 @@
                 log_event(log_level::error, "move_record_malformed", {{"key", entry.m_key}});
             }
         }
-        learn_facts(state, {}, records, false);
+        merge_facts(state, {}, records, false);
     });
 }
 
@@ -180,8 +182,8 @@
 
 milliseconds members_first(const control& state) {
     const auto others = static_cast<std::int64_t>(state.m_join.m_entry_points.size());
-    const bool listed = state.m_join.m_listed_at != time_point{};
-    if (listed && state.m_join.m_first_start) {
+    const bool listed = state.m_join.m_entry_points_listed_at != time_point{};
+    if (listed && state.m_join.m_mesh_first_start) {
         return first_start_time;
     }
     return listed ? std::min(members_first_time, others * members_first_time_per_entry)
@@ -208,7 +210,7 @@
     const auto beside = [&self](const member& m) { return m.m_data_centre == self.m_data_centre; };
     const auto reaching = [&beside](const member& m) { return beside(m) && !m.m_store_lost; };
     // A node that knows nobody yet would take itself for the first of its data centre.
-    const bool settled = state.m_join.m_done || now >= watch.m_begin_at + alone_time;
+    const bool settled = state.m_join.m_complete || now >= watch.m_start_at + alone_time;
     const std::size_t watchers = watchers_in_each(state.m_members.m_groups.size());
     const bool candidate =
         settled && (is_candidate(state, role, watchers, beside) ||
@@ -217,7 +219,7 @@
         watch.m_candidate = candidate;
         log_event(log_level::info, candidate ? "store_watch_begun" : "store_watch_ended", {});
     }
-    if (!candidate && self.m_store_lost && now - watch.m_lost_since > lost_retention) {
+    if (!candidate && self.m_store_lost && now - watch.m_store_lost_since > lost_retention) {
         announce_store(state, false);
     }
 }
@@ -270,8 +272,9 @@
 
 // Without a lease: an entry that outlives its node costs a joining one an attempt, a lease would
 // cost a call every few seconds.
-void write_entry(control& state, const std::string& slot, const ip_endpoint& address) {
-    const std::string key = std::string(entry_prefix) + state.m_settings.m_data_centre + "/" + slot;
+void write_entry_point(control& state, const std::string& slot, const ip_endpoint& address) {
+    const std::string key =
+        std::string(entry_point_prefix) + state.m_settings.m_data_centre + "/" + slot;
     state.m_store->put(key, format_endpoint(address), std::nullopt, {},
                        [&state, slot](const store_reply& reply) {
                            const bool written = reply.m_kind == error_kind::none;
@@ -279,34 +282,34 @@
                                      {{"slot", slot}, {"written", written}});
                            state.m_operator.m_entry_written |= written;
                            if (!state.m_operator.m_entry_written) {
-                               state.m_operator.m_entry_check_at = state.now() + store_retry_pause;
+                               state.m_operator.m_slot_check_at = state.now() + store_retry_pause;
                            }
                        });
 }
 
 void tick_operator_watch(control& state, time_point now) {
     operator_watch& watch = state.m_operator;
-    if (watch.m_begin_at == time_point{}) {
-        watch.m_begin_at = now + milliseconds(state.m_random.below(start_spread.count()));
+    if (watch.m_start_at == time_point{}) {
+        watch.m_start_at = now + milliseconds(state.m_random.below(start_spread.count()));
     }
     refresh_watcher(state, now);
-    if (now < watch.m_begin_at) {
+    if (now < watch.m_start_at) {
         return;
     }
     // A node that got no configuration from members reads it from the store, whoever watches.
     const bool starting =
-        !state.m_distribution.m_ready && now >= watch.m_begin_at + members_first(state);
+        !state.m_distribution.m_ready && now >= watch.m_start_at + members_first(state);
     if (!watch.m_candidate && is_behind(state, now)) {
         watch.m_behind_since = now; // the next list, if this one brings nothing new
         watch.m_listed = false;
     } else if (!watch.m_candidate && !starting) {
         return;
     }
-    if (!watch.m_records_read && watch.m_candidate && !watch.m_records_busy &&
+    if (!watch.m_records_read && watch.m_candidate && !watch.m_records_call_pending &&
         now >= watch.m_records_retry_at) {
         read_records(state);
     }
-    if (watch.m_busy || now < watch.m_retry_at) {
+    if (watch.m_call_pending || now < watch.m_retry_at) {
         return;
     }
     if (!watch.m_listed || now >= watch.m_next_list) {
--- a/src/node/recorded.cpp
+++ b/src/node/recorded.cpp
@@ -278,7 +278,7 @@
 
 bool decide_locally(control& state, std::span<const evidence_report> reports,
                     const service_spec& service, std::string& reason) {
-    move_evidence& evidence = state.m_move.m_local;
+    move_evidence& evidence = state.m_move.m_local_evidence;
     add_evidence(evidence, reports, service.m_version, service.m_move->m_to);
     const bool bad = is_locally_bad(evidence, reason);
     if (is_recording()) {
@@ -301,7 +301,7 @@
 }
 
 void begin_local_stage(control& state) {
-    begin_stage(state.m_move.m_local);
+    begin_stage(state.m_move.m_local_evidence);
     if (is_recording()) {
         record_input(move_part, "local_stage", state.now(), {}, {});
     }
@@ -312,7 +312,7 @@
     const std::string& id = state.m_move.m_move_id;
     // A duration counts from the order, which this node saw some time ago.
     const auto since =
-        std::chrono::duration_cast<milliseconds>(state.now() - state.m_move.m_ordered_at);
+        std::chrono::duration_cast<milliseconds>(state.now() - state.m_move.m_first_seen_at);
     const wall_time deadline = service.m_move->m_order == 0
                                    ? service.m_move->m_deadline
                                    : wall + service.m_move->m_duration - since;
--- a/src/node/resync.cpp
+++ b/src/node/resync.cpp
@@ -37,7 +37,7 @@
                           if (fetched->m_config) {
                               receive_text(state, instance, *fetched->m_config);
                           }
-                          state.m_resync.m_answered = true;
+                          state.m_resync.m_peer_synced = true;
                       });
         });
     }
@@ -48,19 +48,20 @@
 void tick_resync(control& state, time_point now) {
     resync_state& resync = state.m_resync;
     const duration gap = now - std::exchange(resync.m_last_tick, now);
-    if (gap > snapshot_trust && !resync.m_until) {
+    if (gap > snapshot_trust && !resync.m_refuse_until) {
         log_event(log_level::warning, "resumed_after_pause",
                   {{"ms", std::chrono::duration_cast<milliseconds>(gap).count()}});
-        resync.m_until = now + resync_timeout;
-        resync.m_answered = false;
+        resync.m_refuse_until = now + resync_timeout;
+        resync.m_peer_synced = false;
         ask_members(state);
     }
     const bool current = state.m_distribution.m_applied >= state.m_distribution.m_highest;
-    const bool done = !resync.m_until || (resync.m_answered && current) || now >= *resync.m_until;
+    const bool done = !resync.m_refuse_until || (resync.m_peer_synced && current) ||
+                      now >= *resync.m_refuse_until;
     if (!done) {
         return;
     }
-    resync.m_until.reset();
+    resync.m_refuse_until.reset();
     refresh_snapshot(state);
     state.m_traffic->trust_snapshot_until(now + snapshot_trust);
 }
--- a/src/node/server_reports.cpp
+++ b/src/node/server_reports.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 // A server that missed this many reports is taken for dead. Reports may come seconds late.
-constexpr int missed_reports = 4;
+constexpr int max_missed_reports = 4;
 
 // Tells the other nodes of a change in what they route by.
-void announce_server(control& state) {
+void announce_own_server(control& state) {
     perform(state, membership_update_self(state.m_members, true, state.now()));
 }
 
@@ -28,13 +28,17 @@
 }
 
 // True when the report says more than that the server still runs as before.
-bool is_news(const std::optional<server_report>& before, const server_report& after) {
-    return !before || before->m_server != after.m_server || before->m_state != after.m_state ||
-           before->m_started_ms != after.m_started_ms || before->m_slots != after.m_slots ||
-           (before->m_warmup_left.count() == 0) != (after.m_warmup_left.count() == 0);
+bool is_changed_report(const std::optional<server_report>& previous_report,
+                       const server_report& current_report) {
+    return !previous_report || previous_report->m_server != current_report.m_server ||
+           previous_report->m_state != current_report.m_state ||
+           previous_report->m_started_ms != current_report.m_started_ms ||
+           previous_report->m_slots != current_report.m_slots ||
+           (previous_report->m_warmup_left.count() == 0) !=
+               (current_report.m_warmup_left.count() == 0);
 }
 
-admin_answer take_report(control& state, std::string_view server, std::string_view body) {
+admin_answer handle_report(control& state, std::string_view server, std::string_view body) {
     error reason;
     const auto report = state.m_adapter.m_reports.m_decode_report(server, body, reason);
     if (!report) {
@@ -42,17 +46,17 @@
                   {{"server", server}, {"reason", reason.m_text}});
         return {400, "application/json", "{}"};
     }
-    const std::optional<server_report> before = state.m_own_server.m_report;
+    const std::optional<server_report> previous_report = state.m_own_server.m_report;
     const report_verdict verdict =
         receive_report(state.m_own_server, *report, state.m_settings.m_backend_server, state.now());
-    if (verdict != report_verdict::taken || is_news(before, *report)) {
+    if (verdict != report_verdict::taken || is_changed_report(previous_report, *report)) {
         log_report(*report, verdict);
     }
     refresh_own_server(state);
     return {200, "application/json", "{}"};
 }
 
-admin_answer take_leave(control& state, std::string_view server, std::string_view body) {
+admin_answer handle_leave(control& state, std::string_view server, std::string_view body) {
     error reason;
     const auto leave = state.m_adapter.m_reports.m_decode_leave(server, body, reason);
     if (!leave) {
@@ -69,7 +73,7 @@
 
 } // namespace
 
-own_server_view view_own_server(const control& state) {
+own_server_view make_own_server_view(const control& state) {
     own_server_view view;
     if (state.m_settings.m_reports.m_port == 0) {
         view.m_service = state.m_settings.m_service;
@@ -78,8 +82,8 @@
     }
     view.m_service = state.m_settings.m_service;
     const own_server& server = state.m_own_server;
-    view.m_refusal =
-        server_refusal(server, state.now(), missed_reports * state.m_settings.m_report_interval);
+    view.m_refusal = server_refusal(server, state.now(),
+                                    max_missed_reports * state.m_settings.m_report_interval);
     if (server.m_report) {
         view.m_server = server.m_report->m_server;
         view.m_service = server.m_report->m_service;
@@ -91,7 +95,7 @@
 }
 
 void refresh_own_server(control& state) {
-    const own_server_view view = view_own_server(state);
+    const own_server_view view = make_own_server_view(state);
     if (view == state.m_own_view) {
         return;
     }
@@ -112,11 +116,11 @@
                    {"version", view.m_version},
                    {"takes_work", takes_work},
                    {"refusal", answer_for(view.m_refusal).m_name}});
-        announce_server(state);
+        announce_own_server(state);
     }
 }
 
-void note_unreachable_server(control& state, const std::string& server) {
+void mark_server_unreachable(control& state, const std::string& server) {
     own_server& own = state.m_own_server;
     if (own.m_report && own.m_report->m_server == server && !own.m_unreachable) {
         own.m_unreachable = true;
@@ -124,15 +128,15 @@
     }
 }
 
-admin_answer answer_server(control& state, const admin_request& request) {
+admin_answer answer_server_request(control& state, const admin_request& request) {
     const server_report_interface& reports = state.m_adapter.m_reports;
     if (!request.m_get && request.m_path.starts_with(reports.m_report_path)) {
-        return take_report(state, request.m_path.substr(reports.m_report_path.size()),
-                           request.m_body);
+        return handle_report(state, request.m_path.substr(reports.m_report_path.size()),
+                             request.m_body);
     }
     if (!request.m_get && request.m_path.starts_with(reports.m_leave_path)) {
-        return take_leave(state, request.m_path.substr(reports.m_leave_path.size()),
-                          request.m_body);
+        return handle_leave(state, request.m_path.substr(reports.m_leave_path.size()),
+                            request.m_body);
     }
     return {404, "application/json", "{}"};
 }
--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -4,13 +4,14 @@
 namespace {
 
 // True if the data centre takes new work: it is in the text and not out.
-bool takes_work(const mesh& config, std::string_view data_centre) {
+bool accepts_work(const mesh& config, std::string_view data_centre) {
     const auto found = config.m_data_centres.find(data_centre);
     return found == config.m_data_centres.end() ? !config.m_lists_data_centres
                                                 : !found->second.m_out;
 }
 
-std::shared_ptr<backend_counters> counters_of(counter_map& counters, const std::string& instance) {
+std::shared_ptr<backend_counters> find_or_add_counters(counter_map& counters,
+                                                       const std::string& instance) {
     auto& entry = counters[instance];
     if (!entry) {
         entry = std::make_shared<backend_counters>();
@@ -18,15 +19,15 @@
     return entry;
 }
 
-backend_view make_backend(const member& of, const member& self, counter_map& counters) {
+backend_view make_backend(const member& added, const member& self, counter_map& counters) {
     backend_view view;
-    view.m_instance = of.m_instance;
-    view.m_version = of.m_version;
-    view.m_data_centre = of.m_data_centre;
-    view.m_traffic = of.m_traffic;
-    view.m_own = of.m_instance == self.m_instance;
-    view.m_own_data_centre = of.m_data_centre == self.m_data_centre;
-    view.m_counters = counters_of(counters, of.m_instance);
+    view.m_instance = added.m_instance;
+    view.m_version = added.m_version;
+    view.m_data_centre = added.m_data_centre;
+    view.m_traffic = added.m_traffic;
+    view.m_own = added.m_instance == self.m_instance;
+    view.m_own_data_centre = added.m_data_centre == self.m_data_centre;
+    view.m_counters = find_or_add_counters(counters, added.m_instance);
     return view;
 }
 
@@ -44,54 +45,58 @@
 
 // Adds one member to its service's view: as a registrar while it has not left, as a backend server
 // while it is reachable, ready and in a data centre that takes work.
-void add_member(routing_snapshot& snapshot, const member& of, const member& self,
+void add_member(routing_snapshot& snapshot, const member& added, const member& self,
                 counter_map& counters) {
-    const bool reachable = of.m_state == member_state::alive || of.m_state == member_state::suspect;
+    const bool reachable =
+        added.m_state == member_state::alive || added.m_state == member_state::suspect;
     if (reachable) {
-        snapshot.m_member_traffic[of.m_instance] = of.m_traffic;
+        snapshot.m_member_traffic[added.m_instance] = added.m_traffic;
     }
-    const auto service = snapshot.m_services.find(of.m_service);
-    if (service == snapshot.m_services.end() || of.m_state == member_state::left) {
+    const auto service = snapshot.m_services.find(added.m_service);
+    if (service == snapshot.m_services.end() || added.m_state == member_state::left) {
         return;
     }
-    service->second.m_members.push_back({of.m_instance, of.m_first_incarnation});
-    if (reachable && of.m_ready && takes_work(*snapshot.m_mesh, of.m_data_centre)) {
-        service->second.m_backends.push_back(make_backend(of, self, counters));
+    service->second.m_members.push_back({added.m_instance, added.m_first_incarnation});
+    if (reachable && added.m_ready && accepts_work(*snapshot.m_mesh, added.m_data_centre)) {
+        service->second.m_backends.push_back(make_backend(added, self, counters));
     }
 }
 
 // Adds a member that left by itself, with the wall-clock time at which this node learnt of it.
-void add_departure(routing_snapshot& snapshot, const tracked_member& of,
+void add_departure(routing_snapshot& snapshot, const tracked_member& tracked,
                    const snapshot_input& input) {
-    const auto service = snapshot.m_services.find(of.m_member.m_service);
-    if (service == snapshot.m_services.end() || of.m_member.m_state != member_state::left ||
-        !of.m_gone_since) {
+    const auto service = snapshot.m_services.find(tracked.m_member.m_service);
+    if (service == snapshot.m_services.end() || tracked.m_member.m_state != member_state::left ||
+        !tracked.m_gone_since) {
         return;
     }
-    const auto ago =
-        std::chrono::duration_cast<wall_time::duration>(input.m_now - *of.m_gone_since);
+    const auto elapsed =
+        std::chrono::duration_cast<wall_time::duration>(input.m_now - *tracked.m_gone_since);
     service->second.m_departures.push_back(
-        {{of.m_member.m_instance, of.m_member.m_first_incarnation}, input.m_wall_now - ago});
+        {{tracked.m_member.m_instance, tracked.m_member.m_first_incarnation},
+         input.m_wall_now - elapsed});
 }
 
 // Adds the times in which a member was lost, those that ended within the retention time.
-void add_losses(routing_snapshot& snapshot, const tracked_member& of, const snapshot_input& input) {
-    const auto service = snapshot.m_services.find(of.m_member.m_service);
+void add_losses(routing_snapshot& snapshot, const tracked_member& tracked,
+                const snapshot_input& input) {
+    const auto service = snapshot.m_services.find(tracked.m_member.m_service);
     if (service == snapshot.m_services.end()) {
         return;
     }
-    const std::int64_t oldest =
+    const std::int64_t oldest_ms =
         unix_ms(input.m_wall_now) - input.m_members->m_options.m_dead_retention.count();
-    for (const loss_episode& each : of.m_losses) {
-        const auto until = static_cast<std::int64_t>(each.m_until_ms);
-        if (until == 0 || until > oldest) {
-            service->second.m_losses.push_back({static_cast<std::int64_t>(each.m_from_ms),
-                                                until == 0 ? std::nullopt : std::optional(until)});
+    for (const loss_episode& episode : tracked.m_losses) {
+        const auto until_ms = static_cast<std::int64_t>(episode.m_until_ms);
+        if (until_ms == 0 || until_ms > oldest_ms) {
+            service->second.m_losses.push_back(
+                {static_cast<std::int64_t>(episode.m_from_ms),
+                 until_ms == 0 ? std::nullopt : std::optional(until_ms)});
         }
     }
 }
 
-void drop_forgotten(counter_map& counters, const membership_table& members) {
+void drop_forgotten_counters(counter_map& counters, const membership_table& members) {
     std::erase_if(counters, [&members](const auto& entry) {
         return entry.first != members.m_self.m_instance && !members.m_members.contains(entry.first);
     });
@@ -104,7 +109,7 @@
     if (draining) {
         return error_kind::draining;
     }
-    if (!takes_work(config, self.m_data_centre)) {
+    if (!accepts_work(config, self.m_data_centre)) {
         return error_kind::data_centre_out;
     }
     const auto found = config.m_services.find(self.m_service);
@@ -139,7 +144,7 @@
     for (const auto& [name, spec] : input.m_mesh->m_services) {
         snapshot->m_services.emplace(name, make_service(spec, *input.m_facts));
     }
-    drop_forgotten(counters, members);
+    drop_forgotten_counters(counters, members);
     member self = members.m_self;
     self.m_ready = input.m_ready && input.m_own.m_refusal == error_kind::none;
     self.m_state = input.m_draining ? member_state::left : member_state::alive;
@@ -151,7 +156,7 @@
             add_losses(*snapshot, tracked, input);
         }
     }
-    snapshot->m_own_data_centre_out = !takes_work(*input.m_mesh, self.m_data_centre);
+    snapshot->m_own_data_centre_out = !accepts_work(*input.m_mesh, self.m_data_centre);
     snapshot->m_own_refusal =
         own_refusal(*input.m_mesh, members.m_self, *input.m_facts, input.m_draining);
     if (input.m_own.m_refusal != error_kind::none) {
--- a/src/node/store_roles.cpp
+++ b/src/node/store_roles.cpp
@@ -12,7 +12,7 @@
 constexpr milliseconds watch_wait{20'000};
 
 void finish_lease_call(control& state, lease_role& role, const store_reply& reply) {
-    role.m_busy = false;
+    role.m_call_pending = false;
     settle_lease(role.m_keeper, {reply.m_kind, reply.m_lease, reply.m_revision, reply.m_value},
                  state.now());
 }
@@ -36,7 +36,7 @@
         if (entry.m_key == accepted_key) {
             error reason;
             if (const auto record = decode_accepted(entry.m_value, reason)) {
-                learn_accepted(state, *record);
+                adopt_accepted_record(state, *record);
             } else {
                 log_event(log_level::error, "accepted_record_malformed",
                           {{"reason", reason.m_text}});
@@ -47,13 +47,13 @@
             }
         }
     }
-    learn_facts(state, {}, records, true);
+    merge_facts(state, {}, records, true);
 }
 
 // Joins with entry points that are not live members, so that parts of the mesh that lost each
 // other for longer than dead members are remembered find together again.
 void reunite(control& state) {
-    state.m_store->list(entry_prefix, [&state](const store_reply& reply) {
+    state.m_store->list(entry_point_prefix, [&state](const store_reply& reply) {
         std::set<ip_endpoint> known{state.m_settings.m_announce_bulk};
         for (const member* each : live_members(state.m_members)) {
             known.insert(each->m_bulk);
@@ -68,16 +68,16 @@
 }
 
 void list_state(control& state, reader_role& role, time_point now) {
-    role.m_busy = true;
+    role.m_call_pending = true;
     state.m_store->list(state_prefix, [&state, &role](const store_reply& reply) {
-        role.m_busy = false;
+        role.m_call_pending = false;
         const time_point at = state.now();
         if (reply.m_kind != error_kind::none) {
             role.m_retry_at = at + store_retry_pause;
             return;
         }
         role.m_listed = true;
-        role.m_after = reply.m_revision;
+        role.m_watch_revision = reply.m_revision;
         role.m_next_list = at + list_interval;
         learn_entries(state, reply.m_entries);
     });
@@ -87,29 +87,29 @@
 }
 
 void watch_state(control& state, reader_role& role) {
-    role.m_busy = true;
+    role.m_call_pending = true;
     const auto wait =
         std::clamp(std::chrono::duration_cast<milliseconds>(role.m_next_list - state.now()),
                    milliseconds{100}, watch_wait);
-    state.m_store->watch(state_prefix, role.m_after, wait,
-                         [&state, &role](const store_reply& reply) {
-                             role.m_busy = false;
-                             if (reply.m_kind != error_kind::none) {
-                                 role.m_retry_at = state.now() + store_retry_pause;
-                                 role.m_listed = false;
-                                 return;
-                             }
-                             role.m_after = std::max(role.m_after, reply.m_revision);
-                             learn_entries(state, reply.m_entries);
-                         });
+    state.m_store->watch(
+        state_prefix, role.m_watch_revision, wait, [&state, &role](const store_reply& reply) {
+            role.m_call_pending = false;
+            if (reply.m_kind != error_kind::none) {
+                role.m_retry_at = state.now() + store_retry_pause;
+                role.m_listed = false;
+                return;
+            }
+            role.m_watch_revision = std::max(role.m_watch_revision, reply.m_revision);
+            learn_entries(state, reply.m_entries);
+        });
 }
 
-void write_entry(control& state, reader_role& role) {
-    role.m_busy = true;
+void write_entry_point(control& state, reader_role& role) {
+    role.m_call_pending = true;
     state.m_store->put(
         role.m_entry_key, format_endpoint(state.m_settings.m_announce_bulk), std::nullopt,
         role.m_lease.m_keeper.m_lease, [&state, &role](const store_reply& reply) {
-            role.m_busy = false;
+            role.m_call_pending = false;
             role.m_active = reply.m_kind == error_kind::none;
             role.m_retry_at = state.now() + (role.m_active ? milliseconds{0} : store_retry_pause);
         });
@@ -126,7 +126,7 @@
         return;
     }
     log_event(log_level::info, "unknown_holder", {{"lease", keeper.m_key}, {"holder", holder}});
-    state.m_join.m_done = false;
+    state.m_join.m_complete = false;
     keeper.m_other_value.clear();
 }
 
@@ -150,11 +150,11 @@
         role.m_listed = false;
         return;
     }
-    if (role.m_busy || now < role.m_retry_at) {
+    if (role.m_call_pending || now < role.m_retry_at) {
         return;
     }
     if (!role.m_active) {
-        write_entry(state, role);
+        write_entry_point(state, role);
     } else if (!role.m_listed || now >= role.m_next_list) {
         list_state(state, role, now);
     } else {
@@ -173,7 +173,7 @@
     return role.m_candidate;
 }
 
-void learn_accepted(control& state, const accepted_record& record) {
+void adopt_accepted_record(control& state, const accepted_record& record) {
     const auto& texts = state.m_distribution.m_texts;
     if (state.m_distribution.m_store_read && record.m_version <= state.m_distribution.m_applied) {
         return;
@@ -199,7 +199,7 @@
         log_event(log_level::info, held ? "lease_won" : "lease_ended",
                   {{"lease", role.m_keeper.m_key}});
     }
-    if (role.m_busy) {
+    if (role.m_call_pending) {
         return;
     }
     lease_keeper& keeper = role.m_keeper;
@@ -207,7 +207,7 @@
         finish_lease_call(state, role, reply);
     };
     const lease_request request = decide_lease(keeper, wanted, now);
-    role.m_busy = request != lease_request::none;
+    role.m_call_pending = request != lease_request::none;
     switch (request) {
     case lease_request::none:
         break;
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -186,7 +186,7 @@
                                             *state.m_metrics, {}, reason);
     BOOST_REQUIRE_MESSAGE(state.m_traffic, reason.m_text);
     const auto status_of = [&state](std::string_view path) {
-        return answer_admin(state, path).m_status;
+        return answer_admin_request(state, path).m_status;
     };
     BOOST_TEST(status_of("/readyz") == 503);
     state.m_distribution.m_ready = true;
@@ -197,7 +197,7 @@
     BOOST_TEST(status_of("/") == 404);
 
     state.m_metrics->set_config_version(7);
-    const admin_answer metrics = answer_admin(state, "/metrics");
+    const admin_answer metrics = answer_admin_request(state, "/metrics");
     BOOST_TEST(metrics.m_content_type == "text/plain; version=0.0.4");
     BOOST_TEST(contains(metrics.m_body, "caraway_config_version{"));
 
@@ -211,7 +211,7 @@
     record.m_weight_permille = 40;
     state.m_facts.m_records["pour"] = record;
     state.m_facts.m_suspensions["m1"].m_move_id = "m1";
-    const auto status = boost::json::parse(answer_admin(state, "/status").m_body);
+    const auto status = boost::json::parse(answer_admin_request(state, "/status").m_body);
     BOOST_TEST(status.at("instance").as_string() == "n1");
     BOOST_TEST(status.at("config_version").to_number<int>() == 7);
     BOOST_TEST(status.at("draining").as_bool());
