--- a/src/node/admin_pages.cpp
+++ b/src/node/admin_pages.cpp
@@ -10,6 +10,7 @@
 
 namespace json = boost::json;
 
+// Returns the keys of this node's leases and whether each is held.
 json::object lease_list(const control& state) {
     json::object leases;
     const auto add = [&](const lease_role& role) {
@@ -25,6 +26,7 @@
     return leases;
 }
 
+// Returns the known members by instance.
 json::object member_list(const control& state) {
     json::object members;
     for (const auto& [name, tracked] : state.m_members.m_members) {
@@ -39,6 +41,7 @@
     return members;
 }
 
+// Returns the known version moves by service.
 json::object move_list(const control& state) {
     json::object moves;
     for (const auto& [service, record] : state.m_facts.m_records) {
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -10,6 +10,8 @@
 namespace caraway {
 namespace {
 
+// Compares a member's bucket hashes with the own ones; the reply holds the members of the buckets
+// that differ.
 bulk_reply serve_digest(control& state, const members_digest_request& request) {
     members_digest_reply reply;
     const std::vector<std::uint64_t> own = member_bucket_hashes(state.m_members);
@@ -22,7 +24,7 @@
     return reply;
 }
 
-// Computes the reply to each kind of request.
+// Handles each kind of bulk request and returns its reply.
 struct bulk_request_handler {
     control& m_state;
 
@@ -56,7 +58,7 @@
     }
 };
 
-// What a request to another node is for.
+// Maps a request to the purpose under which its bytes are counted.
 struct purpose_of {
     byte_purpose operator()(const join_request&) const { return byte_purpose::join; }
     byte_purpose operator()(const fetch_config_request&) const { return byte_purpose::text; }
@@ -67,6 +69,8 @@
     byte_purpose operator()(const in_force_request&) const { return byte_purpose::other; }
 };
 
+// Returns the scope under which bytes exchanged with an address are counted. An unknown address
+// counts as another data centre's.
 byte_scope scope_of(const control& state, const ip_endpoint& address) {
     const auto found = state.m_address_is_local.find(address);
     const bool local = found != state.m_address_is_local.end() && found->second;
@@ -81,7 +85,8 @@
     state.m_udp->send(action.m_to, bytes);
 }
 
-// Logs the change; a member that is gone holds no texts any more.
+// Logs a member's change and updates the address table. A member that left or died is no longer
+// counted as a holder of texts.
 void handle_member_change(control& state, const std::string& instance) {
     const auto found = state.m_members.m_members.find(instance);
     if (found == state.m_members.m_members.end()) {
@@ -107,7 +112,7 @@
                {"ready", changed.m_ready}});
 }
 
-// Compares member tables with a member and merges what differs, both ways.
+// Compares the member tables with another member and merges the differences in both directions.
 void compare_tables(control& state, const std::string& instance) {
     const tracked_member* peer = find_member(state.m_members, instance);
     if (peer == nullptr) {
--- a/src/node/join.cpp
+++ b/src/node/join.cpp
@@ -8,30 +8,32 @@
 namespace caraway {
 namespace {
 
-// Members asked when joining. Three answers are what the restart rule wants while the store is
-// down.
+// Number of members asked per join attempt. While the store is down, the restart rule requires
+// three answers.
 constexpr std::size_t join_targets = 3;
-// Attempts with the entry points of the own data centre alone, where it has many.
+// Number of attempts that use only the entry points of the own data centre, if it has many.
 constexpr std::uint32_t local_attempts = 2;
-// First pause after a failed attempt to join; doubled up to the setting.
+// First pause after a failed attempt to join. It doubles up to the join_backoff_max setting.
 constexpr milliseconds first_join_backoff{100};
-// Entry points that the store named are asked for this long before it is read again: when all nodes
-// start together, most of them are up soon, and a list each attempt cost the store 3 reads a node.
+// Entry points from the store are used for this long before the store is listed again. When all
+// nodes start together, most of them are up soon; a list per attempt cost the store 3 reads a node.
 constexpr milliseconds entry_points_lifetime{2'000};
-// When a whole deployment starts for the first time, the others' entries are there after this time.
+// When a whole deployment starts for the first time, the other nodes have written their entry
+// points after this time.
 constexpr milliseconds first_entries_time{500};
-// A node asks entry points of members unknown to it at this interval until this long after its
-// start: when many start together, those that answer first know only a few of the others.
+// For completion_time after its start, a node sends join requests at this interval to entry points
+// that are not known members. When many nodes start together, those that answer first know only a
+// few of the others.
 constexpr milliseconds completion_interval{500};
 constexpr milliseconds completion_time{6'000};
-// Members that watch the store look there for entry points of members unknown here, first this long
-// after their start and then at the interval. Nodes that start together and join only each other
-// would else stay apart from the rest for good.
+// Members that watch the store check it for entry points of unknown members, first after
+// first_discovery and then at discovery_interval. Without this, nodes that start together and join
+// only each other would stay separated from the rest permanently.
 constexpr milliseconds first_discovery{2'000};
 constexpr milliseconds discovery_interval{30'000};
 
-// Admits at most the configured number of joins in a second, so that a restarting data centre
-// can't take the control thread away from the members that are up.
+// Admits at most the configured number of joins per second, so that a restarting data centre can't
+// monopolise the control threads of the running members.
 bool admit_join(control& state) {
     const time_point now = state.now();
     if (now - state.m_join_second >= std::chrono::seconds{1}) {
@@ -41,6 +43,7 @@
     return state.m_joins_in_second++ < state.m_settings.m_joins_per_second;
 }
 
+// Schedules the next attempt after an exponential backoff with random jitter.
 void schedule_join_retry(control& state, time_point now) {
     join_state& join = state.m_join;
     const milliseconds ceiling =
@@ -52,9 +55,10 @@
         milliseconds{state.m_random.below(static_cast<std::uint64_t>(ceiling.count()))};
 }
 
-// Whom to ask besides the entry points: members learnt from earlier answers that have not answered
-// a join yet, else the seeds. A node that asked only its seeds could not establish its floor while
-// the store is down and most of the seeds are unreachable, although enough other members are alive.
+// Returns the addresses to ask besides the entry points: live members known from earlier replies
+// that haven't answered a join request yet, or the seeds if there are none. A node that asked only
+// its seeds could not establish its version floor while the store was down and most of the seeds
+// were unreachable, although enough other members were alive.
 std::vector<ip_endpoint> known_targets(const control& state) {
     std::vector<ip_endpoint> targets;
     for (const auto& [name, tracked] : state.m_members.m_members) {
@@ -77,7 +81,7 @@
     return targets;
 }
 
-// Joins through a few of the addresses, chosen at random.
+// Sends join requests to at most join_targets of the addresses, chosen at random.
 void join_through_random(control& state, std::vector<ip_endpoint> targets) {
     std::shuffle(targets.begin(), targets.end(), state.m_random);
     targets.resize(std::min(targets.size(), join_targets));
@@ -86,26 +90,27 @@
     }
 }
 
-// Asks some of the members learnt so far. False if there are none left to ask.
+// Sends join requests to some of the known members or seeds. Returns false if there are none left.
 bool ask_known_members(control& state) {
     std::vector<ip_endpoint> known = known_targets(state);
     join_through_random(state, known);
     return !known.empty();
 }
 
-// A store that names fewer belongs to a mesh that starts for the first time.
+// With fewer entry points in the store, the mesh is assumed to start for the first time.
 constexpr std::size_t min_established_entry_points = 2;
 
-// Nodes that start together look at a free slot for entry points again within this time, each at
-// another moment, so that the first one fills it and the others find it filled.
+// Nodes that start together check a free entry point slot again at random times within this span,
+// so that the first one fills it and the others find it filled.
 constexpr milliseconds slot_check_spread{500};
 
-// Nodes that start together begin to read the store within this time for each entry point: the
-// first ones soon, and not so many of them that those of a large fleet don't wait for what these
-// have read.
+// Nodes that start together begin to read the store at random times within this span per entry
+// point. The first ones read soon, but are few enough that the rest of a large fleet can receive
+// from them what they have read.
 constexpr milliseconds start_spread_per_entry{6};
 
-// Reads an entry point from its key, PREFIX DATA_CENTRE/SLOT, and value.
+// Parses an entry point from its key, PREFIX followed by DATA_CENTRE/SLOT, and its value, an
+// address. Returns nullopt if either is malformed.
 std::optional<entry_point> read_entry_point(const store_entry& entry) {
     std::string_view key = entry.m_key;
     key.remove_prefix(std::min(entry_point_prefix.size(), key.size()));
@@ -118,7 +123,8 @@
                        *address};
 }
 
-// Takes over the entry points that the store named, the own one left out.
+// Replaces the known entry points by those listed in the store, without the own one. Also spreads
+// this node's first use of the store, and schedules a check of its slot if that is free.
 void update_entry_points(control& state, std::span<const store_entry> entries) {
     join_state& join = state.m_join;
     operator_watch& watch = state.m_operator;
@@ -150,7 +156,8 @@
     }
 }
 
-// Asks some of the known members and entry points.
+// Sends join requests to some of the known members and entry points. The first attempts use only
+// entry points of the own data centre, if it has many.
 void ask_entry_points(control& state) {
     std::vector<ip_endpoint> targets = known_targets(state);
     const join_state& join = state.m_join;
@@ -163,13 +170,13 @@
     join_through_random(state, std::move(targets));
 }
 
-// Asks some of the entry points that are no known members' addresses.
+// Sends join requests to some of the entry points that aren't the addresses of known members.
 void ask_unknown_entry_points(control& state) {
     join_through_random(state, unknown_entry_points(state.m_members, state.m_join.m_entry_points));
 }
 
-// Names a live member in each slot that has named nobody known at two discoveries in a row, as
-// after the loss of an instance.
+// Writes a live member to each slot whose entry point was not a known member's address at two
+// discoveries in a row, as happens after the loss of an instance.
 void replace_unknown_entries(control& state) {
     operator_watch& watch = state.m_operator;
     const std::vector<std::string> previous_unknown = std::move(watch.m_unknown_slots);
@@ -182,7 +189,8 @@
     }
 }
 
-// Looks in the store for members that this node doesn't know.
+// Checks the store for members that this node doesn't know, if it watches the store and the check
+// is due.
 void discover_members(control& state, time_point now) {
     join_state& join = state.m_join;
     if (join.m_next_discovery == time_point{}) {
@@ -203,7 +211,7 @@
     });
 }
 
-// Looks at the own slot again, and fills it if it is still free.
+// Checks the own entry point slot again and fills it if it is still free.
 void check_entry_slot(control& state) {
     state.m_operator.m_slot_check_at.reset();
     state.m_join.m_store_call_pending = true;
@@ -222,10 +230,10 @@
     });
 }
 
-// Asks some of the known members and the entry points, as soon as the store has named these. With a
-// pause in between, as after a failed attempt, a restarted node missed 18 s while most members were
-// cut off. Without the store the known members alone are asked; where no lease keeps the entry
-// points current, known members come first, which spares the store a call.
+// Sends join requests to some of the known members and entry points as soon as the store has listed
+// the latter. With a pause in between, as after a failed attempt, a restarted node lost 18 s while
+// most members were cut off. Without the store only known members are asked. Where no lease keeps
+// the entry points up to date, known members are asked first, which saves a store call.
 void ask_members(control& state) {
     join_state& join = state.m_join;
     if (state.reads_operator_items() && ask_known_members(state)) {
@@ -237,7 +245,7 @@
         return;
     }
     if (state.m_operator.m_slot_check_at) {
-        return; // lists the entry points as well
+        return; // the check lists the entry points as well
     }
     join.m_store_call_pending = true;
     const auto on_entries_listed = [&state](const store_reply& reply) {
@@ -255,7 +263,7 @@
         }
         ask_entry_points(state);
     };
-    // The entry points hardly change, so the first list may be some seconds old.
+    // Entry points rarely change, so the first list may be a few seconds stale.
     if (state.reads_operator_items() && join.m_entry_points_listed_at == time_point{}) {
         state.m_store->list_stale(entry_point_prefix, on_entries_listed);
     } else {
@@ -263,11 +271,11 @@
     }
 }
 
-// Reads the accepted record, which sets the floor. Its text comes from members; only a node that
-// finds none, or gets no answer from the first it asked, reads the whole text from the store, so
-// that a joining herd costs the store two small reads a node. A node that had not asked the members
-// it could find was ready with an empty table, took one member for all registrars of a key and ran
-// it again.
+// Reads the accepted record, which sets the version floor. The text comes from members. Only a node
+// that finds no member, or gets no answer from the first ones it asked, reads the whole text from
+// the store, so that a mass join costs the store two small reads per node. A node that had not
+// asked the members it could find became ready with an empty table, mistook one member for all
+// registrars of an idempotency key and executed the call again.
 void read_accepted_floor(control& state) {
     state.m_store->get(accepted_key, [&state](const store_reply& reply) {
         if (reply.m_kind == error_kind::store_not_found) {
@@ -346,7 +354,7 @@
     return reply;
 }
 
-// A node that others found by themselves still joins: it knows only some of the members.
+// A node that already knows members through gossip still joins, since it knows only some of them.
 void tick_join(control& state, time_point now) {
     join_state& join = state.m_join;
     const bool alone = state.m_members.m_live == 0;
@@ -369,7 +377,7 @@
         }
         return;
     }
-    // The store may hang; members that have been heard of meanwhile are asked all the same.
+    // The store call may hang. Members that became known in the meantime are asked regardless.
     if (join.m_store_call_pending) {
         if (ask_known_members(state)) {
             schedule_join_retry(state, now);
--- a/src/node/move_control.cpp
+++ b/src/node/move_control.cpp
@@ -12,21 +12,21 @@
 namespace caraway {
 namespace {
 
-// Backend sides report, and the evidence is weighed, once in this interval. The test needs at least
-// two; with intervals of 1 s a version that failed under load was suspended a second later.
+// Interval at which backend sides report and the evidence is evaluated. The test needs at least two
+// intervals; with intervals of 1 s, a version that failed under load was suspended a second later.
 constexpr milliseconds evidence_interval{500};
-// The holder looks at the record this often. With whole seconds, each of the last four stages lost
-// up to a second of the time that an outage of the store leaves.
+// Interval at which the holder checks the record. With an interval of 1 s, each of the last four
+// stages lost up to a second of the time that remains after a store outage.
 constexpr milliseconds step_interval{200};
 constexpr milliseconds store_retry_pause{500};
-// Reports kept between two steps: several per instance of a large service.
+// Maximum number of reports kept between two evaluations: several per instance of a large service.
 constexpr std::size_t max_reports = 4'096;
 
 std::string record_key(const control& state, std::string_view service) {
     return state.m_adapter.m_move_prefix + std::string(service);
 }
 
-// The own service with its move, or null when no move of it is in the text.
+// Returns the own service if the text has a move of it, otherwise null.
 const service_spec* find_own_moving_service(const control& state) {
     if (!state.m_mesh) {
         return nullptr;
@@ -36,14 +36,14 @@
     return moving ? &found->second : nullptr;
 }
 
-// True once this node knows that the move has ended.
+// Returns true once this node knows that the move has ended.
 bool is_move_finished(const control& state, const std::string& id) {
     const auto found = state.m_facts.m_records.find(state.m_own_view.m_service);
     return found != state.m_facts.m_records.end() && found->second.m_move_id == id &&
            found->second.m_state != move_state::running;
 }
 
-// Starts afresh when the text names another move.
+// Resets the state of the move when the text has another move, or none any more.
 void reset_on_new_move(control& state, const service_spec* service) {
     move_role& role = state.m_move;
     const std::string id =
@@ -71,6 +71,7 @@
     }
 }
 
+// Suspends the move's new version on this node and spreads the suspension.
 void suspend_version(control& state, const service_spec& service, const std::string& reason) {
     const suspension value{
         state.m_move.m_move_id,      service.m_name, service.m_move->m_to,
@@ -79,13 +80,15 @@
     refresh_snapshot(state);
 }
 
+// Writes the verdict of a finished move to the store once, and again if the write failed. Nothing
+// is written where operators read the move record itself.
 void write_verdict(control& state, const move_record& record) {
     if (record.m_state == move_state::running ||
         !state.m_move.m_verdicts_written.insert(record.m_move_id).second) {
         return;
     }
     if (state.reads_operator_items()) {
-        return; // the record itself is what operators read
+        return; // operators read the record itself
     }
     const std::string key =
         fmt::format("caraway/verdict/move/{}/{}", record.m_service, record.m_move_id);
@@ -99,7 +102,7 @@
                        });
 }
 
-// Takes over a record as the store holds it.
+// Adopts a record as stored and spreads it to the members.
 void adopt_record(control& state, const move_record& record) {
     move_role& role = state.m_move;
     role.m_record = record;
@@ -109,6 +112,7 @@
     refresh_snapshot(state);
 }
 
+// Reads the move record from the store. A malformed record is logged and read again later.
 void read_record(control& state, const std::string& service) {
     state.m_move.m_call_pending = true;
     state.m_store->get(record_key(state, service), [&state](const store_reply& reply) {
@@ -134,8 +138,8 @@
     });
 }
 
-// Writes a record by compare-and-swap on the revision read before. Whatever the reply was unless
-// it is success, the record is read again before the next decision.
+// Writes a record by compare-and-swap on the revision that was read last. Unless the write
+// succeeds, the record is read again before the next decision.
 void write_record(control& state, move_record record, std::uint64_t if_revision) {
     move_role& role = state.m_move;
     role.m_call_pending = true;
@@ -144,7 +148,7 @@
                            move_role& current_role = state.m_move;
                            current_role.m_call_pending = false;
                            if (record.m_move_id != current_role.m_move_id) {
-                               return; // the text names another move by now
+                               return; // the text has another move by now
                            }
                            if (reply.m_kind != error_kind::none) {
                                current_role.m_record_current = false;
@@ -170,7 +174,7 @@
                        });
 }
 
-// Adds up the reports of one version.
+// Returns the sum of the reports of one version.
 evidence_report sum_reports(std::span<const evidence_report> reports, const std::string& version) {
     evidence_report sum;
     sum.m_version = version;
@@ -191,7 +195,7 @@
     return sum;
 }
 
-// The reports of the last interval, the own one included, go into the evidence.
+// Adds the reports of the last interval, including the own one, to the evidence and evaluates it.
 evidence_result evaluate_reports(control& state, const service_spec& service) {
     move_role& role = state.m_move;
     role.m_old_version_sum = sum_reports(role.m_reports, service.m_version);
@@ -199,7 +203,8 @@
     return decide_evidence(state, reports, service);
 }
 
-// One step of the holder: create or take over the record, then advance it.
+// Performs one step of the lease holder: reads, creates, takes over or advances the record, or
+// writes the verdict of a finished move.
 void step_holder(control& state, const service_spec& service) {
     move_role& role = state.m_move;
     if (!role.m_record_current) {
@@ -225,9 +230,9 @@
     }
 }
 
-// The members that may hold the move's lease, this node included. All of them get the reports, so
-// that evidence is weighed and the version suspended also while the holder is dead or paused, and
-// the next holder knows what the last one knew.
+// Returns the members that may hold the move's lease, which can include this node. All of them
+// receive the reports, so that the evidence is evaluated and the version suspended even while the
+// holder is dead or paused, and the next holder has the evidence of the last one.
 std::vector<const member*> evidence_targets(const control& state, const service_spec& service) {
     const std::string role = "caraway/lease/move/" + service.m_name;
     std::vector<const member*> targets{&state.m_members.m_self};
@@ -246,7 +251,7 @@
     return targets;
 }
 
-// Sends the report; the reply is the old version's sum of the last interval.
+// Sends the report to a candidate, which replies with the old version's sum of the last interval.
 void send_report(control& state, const ip_endpoint& to, const evidence_report& own) {
     send_bulk(state, to, own, [&state](const std::optional<bulk_reply>& reply) {
         const auto* sum = reply ? std::get_if<evidence_report>(&*reply) : nullptr;
@@ -256,7 +261,8 @@
     });
 }
 
-// Tests the own server's calls of the interval against the old version's, as the holder told them.
+// Compares the own server's calls of the interval with the old version's calls as received from the
+// lease candidates, and suspends the version if they show that it is bad.
 void evaluate_local_evidence(control& state, const service_spec& service,
                              const evidence_report& own, std::uint32_t stage) {
     move_role& role = state.m_move;
@@ -280,8 +286,8 @@
     }
 }
 
-// Reports the own server's counts to the candidates for the lease, and suspends the version at once
-// when they show by themselves that it is bad.
+// Reports the own server's counts to the candidates for the lease. Suspends the version at once if
+// these counts alone show that it is bad.
 void report_evidence(control& state, const service_spec& service) {
     evidence_report own = state.m_traffic->take_evidence();
     own.m_instance = state.m_settings.m_instance;
@@ -317,10 +323,11 @@
     }
 }
 
+// Returns whether this node should hold or acquire the lease of the move.
 bool wants_lease(control& state, const service_spec* service, time_point now) {
     lease_role& lease = *state.m_move.m_lease;
-    // The lease of an ended move is still taken once, so that the verdict is written even if the
-    // holder died right after it had ended the move.
+    // The lease of a finished move is still acquired once, so that the verdict is written even if
+    // the holder died right after ending the move.
     if (service == nullptr || state.m_leaving ||
         state.m_move.m_verdicts_written.contains(state.m_move.m_move_id)) {
         return false;
@@ -351,14 +358,15 @@
     if (service == nullptr) {
         if (now >= state.m_next_evidence && state.m_traffic) {
             state.m_next_evidence = now + evidence_interval;
-            state.m_traffic->take_evidence(); // old counts are no evidence for a later move
+            state.m_traffic
+                ->take_evidence(); // discards counts that are no evidence for a later move
         }
         return;
     }
     if (now >= state.m_next_evidence && state.m_traffic) {
         state.m_next_evidence = now + evidence_interval;
         report_evidence(state, *service);
-        // Stopping needs no lease: bad evidence suspends the version also while the store is down.
+        // Suspending needs no lease: bad evidence stops the version even while the store is down.
         const evidence_result result = evaluate_reports(state, *service);
         if (result.m_verdict == evidence_verdict::bad &&
             !is_suspended(state.m_facts, role.m_move_id) &&
@@ -368,7 +376,7 @@
     }
     const bool held = role.m_lease && lease_held(role.m_lease->m_keeper, now);
     if (!held) {
-        role.m_record_current = false; // the record is read again after the lease is won
+        role.m_record_current = false; // the record is read again once the lease is acquired
         role.m_holds_record = false;
         return;
     }
@@ -378,9 +386,8 @@
     if (role.m_call_pending || now < role.m_retry_at || (now < role.m_next_step && !must_stop)) {
         return;
     }
-    // The next step follows a finished store call at once: with a pause after the read and after
-    // the takeover, a move with a near deadline would lose two seconds after an outage of the
-    // store.
+    // The next step follows a finished store call immediately. With a pause after the read and
+    // after the takeover, a move close to its deadline would lose two seconds after a store outage.
     step_holder(state, *service);
     if (!role.m_call_pending) {
         role.m_next_step = now + step_interval;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -16,22 +16,24 @@
 namespace caraway {
 namespace {
 
-// Pace of the control loop. Probe timeouts are 300 ms, so 20 ms adds little to any reaction.
+// Interval of the control loop. Probe timeouts are 300 ms, so 20 ms adds little to any reaction.
 constexpr milliseconds tick_interval{20};
-// A leaving node stays up at least this long, and also for refusal_time after it began to refuse
-// new work, so that its leave spreads and calls that were sent before it was heard are answered.
+// A leaving node keeps running at least this long, and for refusal_time after it begins to refuse
+// new work, so that its leave spreads and calls sent before the senders learnt of it are answered.
 constexpr milliseconds min_drain_time{1'000};
 constexpr milliseconds refusal_time{300};
-// A second reader goes on watching while the lease of a dead one runs out.
+// A second reader keeps watching until the lease of a dead one expires.
 constexpr int readers_per_data_centre = 2;
 constexpr milliseconds gauge_interval{1'000};
-// Pause between the log lines of the bytes moved: a process that is killed has told most of them.
+// Interval of the log lines with the byte and store call counts. They are written while the process
+// runs, so that a process that is killed has logged most of its counts.
 constexpr milliseconds byte_log_interval{10'000};
 
-// Nodes on a platform that start together join through any few of the others, so that their tables
-// have to be completed first.
+// Nodes on a platform that start together join through a few arbitrary others, so their member
+// tables are incomplete during this time after the start.
 constexpr milliseconds member_complete_time{6'000};
 
+// Returns the seed from the settings, or a random one if that is 0.
 std::uint64_t choose_seed(const node_settings& settings) {
     if (settings.m_seed != 0) {
         return settings.m_seed;
@@ -40,6 +42,8 @@
     return (static_cast<std::uint64_t>(device()) << 32U) | device();
 }
 
+// Creates this node's entry in the member table. The incarnation is the start time in milliseconds,
+// so a restart normally raises it.
 member make_own_member(const node_settings& settings, const clock_source& clock) {
     member self;
     self.m_instance = settings.m_instance;
@@ -54,6 +58,7 @@
     return self;
 }
 
+// Creates a reader role that competes for the lease with the given index in its data centre.
 std::unique_ptr<reader_role> make_reader(const node_settings& settings, int index,
                                          std::uint64_t seed, time_point now) {
     const std::string reader_slot = settings.m_data_centre + "/" + std::to_string(index);
@@ -87,7 +92,7 @@
         begin_lease("caraway/lease/accepter", m_settings, m_random(), clock.now());
     m_own_view = make_own_server_view(*this);
     if (reads_operator_items()) {
-        // The store loses nothing that it has acknowledged, so no text waits for replicas.
+        // The store never loses an acknowledged write, so no text waits for replicas.
         m_distribution.m_replicas = 0;
     }
 }
@@ -146,7 +151,7 @@
         }
         const time_point now = m_state.now();
         m_drain_deadline =
-            now + m_state.m_settings.m_drain_timeout * 9 / 10; // the rest is for the exit
+            now + m_state.m_settings.m_drain_timeout * 9 / 10; // the rest is for exiting
         m_refuse_at = now + m_state.m_settings.m_announce_time;
         m_earliest_stop = std::max(now + min_drain_time, m_refuse_at + refusal_time);
         m_state.m_leaving = true;
@@ -176,7 +181,7 @@
     }
 
 private:
-    // The operation with what it is about, for the log line of the calls made.
+    // Returns the operation and the category of its key, as the label in the store_calls log line.
     std::string store_call_label(const store_command& command) const {
         const auto category = [this, &command]() -> std::string_view {
             const adapter& platform_adapter = m_state.m_adapter;
@@ -314,8 +319,8 @@
         }
     }
 
-    // Refuses new work once the leave has had time to spread. Ends the process, and returns true,
-    // once nothing runs any more or the drain timeout has passed.
+    // Refuses new work once the leave has had time to spread. Stops the context and returns true
+    // once no call is in progress or the drain timeout has passed.
     bool continue_shut_down(time_point now) {
         if (!m_state.m_draining && now >= m_refuse_at) {
             m_state.m_draining = true;
@@ -346,10 +351,11 @@
     std::unique_ptr<admin_server> m_reports;
     boost::asio::steady_timer m_timer;
     time_point m_next_flush;
-    std::map<std::string, std::uint64_t> m_store_calls; // by operation and what it is about
-    std::optional<time_point> m_drain_deadline;         // set by shut_down: the drain timeout
-    time_point m_earliest_stop;                         // the process stays up until then
-    time_point m_refuse_at;                             // new work is refused from then on
+    std::map<std::string, std::uint64_t> m_store_calls; // by label
+    std::optional<time_point>
+        m_drain_deadline;       // set by shut_down; calls still running then are cut
+    time_point m_earliest_stop; // the process runs at least until then
+    time_point m_refuse_at;     // when new work begins to be refused
 };
 
 std::unique_ptr<node> node::start(boost::asio::io_context& context, const node_settings& settings,
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,4 +1,4 @@
-// A whole node: the control loop on one thread, the traffic server on others.
+// A complete node: the control loop runs on one thread, the traffic server on others.
 #pragma once
 
 #include <memory>
@@ -16,8 +16,8 @@
 
 class node {
 public:
-    // Binds all addresses and starts the traffic threads and timers on the context, which the
-    // caller runs. Fails with invalid_settings when an address can't be bound.
+    // Binds all addresses and starts the traffic threads, and the timers on the context, which the
+    // caller runs. Returns null and sets reason to invalid_settings if an address can't be bound.
     static std::unique_ptr<node> start(boost::asio::io_context& context,
                                        const node_settings& settings, adapter platform_adapter,
                                        const clock_source& clock, error& reason);
@@ -27,12 +27,13 @@
     node& operator=(node&&) = delete;
     ~node();
 
-    // Begins a graceful shutdown: announces the leave, refuses new work as not run, finishes what
-    // runs within the drain timeout, releases the leases, and stops the context.
+    // Begins a graceful shutdown: announces the leave, rejects new work as not run, lets calls in
+    // progress finish within the drain timeout, releases the leases and stops the context.
     void shut_down();
 
-    // Takes over those of the new settings that can change while the process runs: the times of
-    // reports, shutdown and peers. Addresses and names stay; a difference in them is logged.
+    // Applies the settings that can change while the process runs: seeds, the join rate, and the
+    // times of reports, shutdown and peer requests. Addresses and names don't change; a difference
+    // in them is logged as needing a restart.
     void reload(const node_settings& settings);
 
 private:
--- a/src/node/server_reports.cpp
+++ b/src/node/server_reports.cpp
@@ -1,5 +1,5 @@
-// Takes the reports of the backend server beside this node, and tells the traffic side and the
-// members what became of it. The answer is an acknowledgement: what it says is in force here first.
+// Handles the reports of the backend server beside this node and updates the traffic threads and
+// the members. A reply acknowledges a report only after its content is in force on this node.
 
 #include "node/control.hpp"
 #include "observe/log.hpp"
@@ -8,10 +8,10 @@
 namespace caraway {
 namespace {
 
-// A server that missed this many reports is taken for dead. Reports may come seconds late.
+// A server that missed this many reports is considered dead. Reports may be seconds late.
 constexpr int max_missed_reports = 4;
 
-// Tells the other nodes of a change in what they route by.
+// Announces a change in the member data by which the other nodes route.
 void announce_own_server(control& state) {
     perform(state, membership_update_self(state.m_members, true, state.now()));
 }
@@ -27,7 +27,8 @@
                {"verdict", report_verdict_name(verdict)}});
 }
 
-// True when the report says more than that the server still runs as before.
+// Returns true if the report says more than that the server is still running unchanged. A change in
+// the remaining warm-up time counts only when the warm-up begins or ends.
 bool is_changed_report(const std::optional<server_report>& previous_report,
                        const server_report& current_report) {
     return !previous_report || previous_report->m_server != current_report.m_server ||
@@ -38,6 +39,7 @@
                (current_report.m_warmup_left.count() == 0);
 }
 
+// Handles a report of the server with the given name; answers an unreadable one with 400.
 admin_answer handle_report(control& state, std::string_view server, std::string_view body) {
     error reason;
     const auto report = state.m_adapter.m_reports.m_decode_report(server, body, reason);
@@ -56,6 +58,7 @@
     return {200, "application/json", "{}"};
 }
 
+// Handles a leave of the server with the given name; answers an unreadable one with 400.
 admin_answer handle_leave(control& state, std::string_view server, std::string_view body) {
     error reason;
     const auto leave = state.m_adapter.m_reports.m_decode_leave(server, body, reason);
--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -3,13 +3,15 @@
 namespace caraway {
 namespace {
 
-// True if the data centre takes new work: it is in the text and not out.
+// Returns true if the data centre accepts new work: the text lists it and it is not out. Unlisted
+// ones accept work, too, if m_lists_data_centres is false.
 bool accepts_work(const mesh& config, std::string_view data_centre) {
     const auto found = config.m_data_centres.find(data_centre);
     return found == config.m_data_centres.end() ? !config.m_lists_data_centres
                                                 : !found->second.m_out;
 }
 
+// Returns the counters of an instance, which are created on first use.
 std::shared_ptr<backend_counters> find_or_add_counters(counter_map& counters,
                                                        const std::string& instance) {
     auto& entry = counters[instance];
@@ -43,8 +45,8 @@
     return view;
 }
 
-// Adds one member to its service's view: as a registrar while it has not left, as a backend server
-// while it is reachable, ready and in a data centre that takes work.
+// Adds a member to its service's view: as a registrar unless it has left, and as a backend server
+// if it is reachable, ready and in a data centre that accepts work.
 void add_member(routing_snapshot& snapshot, const member& added, const member& self,
                 counter_map& counters) {
     const bool reachable =
@@ -62,7 +64,8 @@
     }
 }
 
-// Adds a member that left by itself, with the wall-clock time at which this node learnt of it.
+// Adds the departure of a member that left on its own, with the wall-clock time at which this node
+// learnt of it.
 void add_departure(routing_snapshot& snapshot, const tracked_member& tracked,
                    const snapshot_input& input) {
     const auto service = snapshot.m_services.find(tracked.m_member.m_service);
@@ -77,7 +80,7 @@
          input.m_wall_now - elapsed});
 }
 
-// Adds the times in which a member was lost, those that ended within the retention time.
+// Adds the periods in which a member was lost, if they are open or ended within the retention time.
 void add_losses(routing_snapshot& snapshot, const tracked_member& tracked,
                 const snapshot_input& input) {
     const auto service = snapshot.m_services.find(tracked.m_member.m_service);
@@ -96,6 +99,7 @@
     }
 }
 
+// Removes the counters of instances that are no longer in the member table.
 void drop_forgotten_counters(counter_map& counters, const membership_table& members) {
     std::erase_if(counters, [&members](const auto& entry) {
         return entry.first != members.m_self.m_instance && !members.m_members.contains(entry.first);
--- a/src/node/snapshot_builder.hpp
+++ b/src/node/snapshot_builder.hpp
@@ -12,28 +12,29 @@
 
 namespace caraway {
 
-// Counters of each backend server by instance; kept across snapshots.
+// Counters of the backend servers by instance. They are kept across snapshots.
 using counter_map = std::map<std::string, std::shared_ptr<backend_counters>, std::less<>>;
 
-// Everything that a snapshot is made of.
+// The data from which a snapshot is built.
 struct snapshot_input {
     std::uint64_t m_config_version = 0;
     bool m_ready = false;
     bool m_draining = false;
-    std::shared_ptr<const mesh> m_mesh; // null before the first configuration
+    std::shared_ptr<const mesh> m_mesh; // null until the first configuration is in force
     const membership_table* m_members = nullptr;
     const fact_table* m_facts = nullptr;
-    time_point m_now; // with m_wall_now, dates the departures of members
+    time_point m_now; // with m_wall_now, converts the departure times of members to wall-clock time
     wall_time m_wall_now;
     own_server_view m_own;
 };
 
-// Builds the snapshot; adds counters for new instances and drops those of forgotten ones.
+// Builds the snapshot. Adds counters for new instances and removes those of forgotten ones.
 std::shared_ptr<const routing_snapshot> build_snapshot(const snapshot_input& input,
                                                        counter_map& counters);
 
-// Why the own backend server takes no new work, or none: its data centre is out, its version is
-// suspended or taken back, or its version is neither the serving one nor a move's target.
+// Returns why the own backend server accepts no new work, or error_kind::none if it does. Reasons
+// are that the node is draining, the data centre is out, the version is suspended or taken back, or
+// the version is neither the one served nor a move's target.
 error_kind own_refusal(const mesh& config, const member& self, const fact_table& facts,
                        bool draining);
 
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -65,8 +65,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(snapshot, fixture)
 
-// Guards against sending new work to a data centre that is out, or to dead, leaving or starting
-// instances, while dead ones still count as registrars.
+// Guards against routing new work to a data centre that is out, or to dead, departed or starting
+// instances. Dead instances must still count as registrars.
 BOOST_AUTO_TEST_CASE(only_usable_instances_are_backends) {
     add(make_member("usable", "north", "1"));
     add(make_member("out", "south", "1"));
@@ -96,7 +96,8 @@
     BOOST_TEST(!built->m_member_traffic.contains("dead"));
 }
 
-// Guards against a suspended version that still takes calls.
+// Guards against routing calls to a suspended version, and against a backend server that accepts
+// work for a version or in a data centre that must not serve.
 BOOST_AUTO_TEST_CASE(suspension_stops_the_new_version) {
     move_record record;
     record.m_move_id = m_id;
