--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -20,7 +20,7 @@
 // Discards what was read from the store, so that the next step reads the store again before it
 // decides. The role makes no further call before `retry_at`.
 void reset_accepter(accepter_role& role, time_point retry_at) {
-    role.m_busy = false;
+    role.m_call_pending = false;
     role.m_accepted_read = false;
     role.m_text_revision = 0; // validated again; decide_acceptance skips decided texts
     role.m_retry_at = retry_at;
@@ -52,7 +52,7 @@
                                reset_accepter(role, state.now() + store_retry_pause);
                                return;
                            }
-                           role.m_busy = false;
+                           role.m_call_pending = false;
                            role.m_refused_revision = revision;
                        });
 }
@@ -76,7 +76,7 @@
                                reset_accepter(role, state.now() + store_retry_pause);
                                return;
                            }
-                           role.m_busy = false;
+                           role.m_call_pending = false;
                            role.m_accepted_read = false;
                        });
 }
@@ -161,7 +161,7 @@
     role.m_text_revision = revision;
     switch (decision.m_kind) {
     case acceptance_decision::kind::nothing:
-        role.m_busy = false;
+        role.m_call_pending = false;
         break;
     case acceptance_decision::kind::accept:
         write_accepted(state, *decision.m_record, text);
@@ -196,7 +196,7 @@
     // A text always has a lower revision than its delta. A delta that named a higher one by mistake
     // would prevent all later texts from being validated.
     if (!delta || delta->m_version < submitted.m_text || delta->m_version >= reply.m_revision) {
-        state.m_accepter.m_unusable_delta = submitted.m_delta;
+        state.m_accepter.m_unusable_delta_revision = submitted.m_delta;
         process_submitted_revisions(state, submitted);
         return;
     }
@@ -228,9 +228,10 @@
 void wait_for_submitted_delta(control& state) {
     const accepter_role& role = state.m_accepter;
     const auto remaining = std::chrono::duration_cast<milliseconds>(
-        role.m_seen_at + submitted_delta_wait - state.now());
+        role.m_latest_text_seen_at + submitted_delta_wait - state.now());
     state.m_store->watch_keys(
-        text_store_key, role.m_watch_after, std::max(remaining, milliseconds{1}),
+        text_store_key, role.m_listed_revision,
+                              std::max(remaining, milliseconds{1}),
         [&state](const store_reply& reply) {
             if (reply.m_kind != error_kind::none) {
                 reset_accepter(state.m_accepter, state.now() + store_retry_pause);
@@ -244,16 +245,16 @@
 // is read only if it is new, since it may be almost 1 MB long.
 void process_submitted_revisions(control& state, const submitted_revisions& submitted) {
     accepter_role& role = state.m_accepter;
-    if (submitted.m_text != role.m_seen_text) {
-        role.m_seen_text = submitted.m_text;
-        role.m_seen_at = state.now();
+    if (submitted.m_text != role.m_latest_text_revision) {
+        role.m_latest_text_revision = submitted.m_text;
+        role.m_latest_text_seen_at = state.now();
     }
     const std::uint64_t decided_revision =
         std::max(role.m_refused_revision, role.m_accepted ? role.m_accepted->m_source_revision : 0);
     switch (choose_text_source(submitted, role.m_text_revision, decided_revision,
-                               role.m_unusable_delta, state.now() - role.m_seen_at)) {
+                               role.m_unusable_delta_revision, state.now() - role.m_latest_text_seen_at)) {
     case text_source::nothing:
-        role.m_busy = false;
+        role.m_call_pending = false;
         break;
     case text_source::delta:
         read_submitted_delta(state, submitted);
@@ -283,7 +284,7 @@
                 submitted.m_delta = entry.m_revision;
             }
         }
-        role.m_watch_after = std::max(submitted.m_text, submitted.m_delta);
+        role.m_listed_revision = std::max(submitted.m_text, submitted.m_delta);
         process_submitted_revisions(state, submitted);
     });
 }
@@ -408,10 +409,10 @@
 // Waits for a change of the submitted text or its delta for at most `list_interval`.
 void watch_submitted_text(control& state) {
     accepter_role& role = state.m_accepter;
-    state.m_store->watch_keys(text_store_key, role.m_watch_after, list_interval,
+    state.m_store->watch_keys(text_store_key, role.m_listed_revision, list_interval,
                               [&state](const store_reply& reply) {
                                   accepter_role& accepter = state.m_accepter;
-                                  accepter.m_busy = false;
+                                  accepter.m_call_pending = false;
                                   if (reply.m_kind != error_kind::none) {
                                       reset_accepter(accepter, state.now() + store_retry_pause);
                                       return;
@@ -430,15 +431,15 @@
         refresh_candidate(state, role.m_lease, now, [](const member&) { return true; });
     run_lease(state, role.m_lease, !state.m_leaving && (role.m_lease.m_keeper.m_held || candidate));
     if (!lease_held(role.m_lease.m_keeper, now)) {
-        if (!role.m_busy) {
+        if (!role.m_call_pending) {
             reset_accepter(role, now);
         }
         return;
     }
-    if (role.m_busy || now < role.m_retry_at) {
+    if (role.m_call_pending || now < role.m_retry_at) {
         return;
     }
-    role.m_busy = true;
+    role.m_call_pending = true;
     if (!role.m_accepted_read) {
         read_accepted_record(state);
     } else {
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -10,6 +10,8 @@
 namespace caraway {
 namespace {
 
+// Compares a member's bucket hashes with the own ones; the reply holds the members of the buckets
+// that differ.
 bulk_reply serve_digest(control& state, const members_digest_request& request) {
     members_digest_reply reply;
     const std::vector<std::uint64_t> own = member_bucket_hashes(state.m_members);
@@ -22,21 +24,21 @@
     return reply;
 }
 
-// Computes the reply to each kind of request.
-struct bulk_server {
+// Handles each kind of bulk request and returns its reply.
+struct bulk_request_handler {
     control& m_state;
 
     bulk_reply operator()(const join_request& request) const {
         return serve_join(m_state, request);
     }
     bulk_reply operator()(const fetch_config_request& request) const {
-        hear_version(m_state, request.m_instance, request.m_have_version);
+        handle_peer_version(m_state, request.m_instance, request.m_have_version);
         return fetch_config_reply{
-            pack_for(m_state, request.m_have_version, request.m_want_version)};
+            pack_text_for(m_state, request.m_have_version, request.m_want_version)};
     }
     bulk_reply operator()(const facts_message& request) const {
-        facts_message reply = all_facts(m_state);
-        learn_facts(m_state, request.m_suspensions, request.m_records, true);
+        facts_message reply = collect_facts(m_state);
+        merge_facts(m_state, request.m_suspensions, request.m_records, true);
         return reply;
     }
     bulk_reply operator()(const members_digest_request& request) const {
@@ -48,7 +50,7 @@
     }
     bulk_reply operator()(const evidence_report& request) const {
         receive_evidence(m_state, request);
-        return m_state.m_move.m_old_sum;
+        return m_state.m_move.m_old_version_sum;
     }
     bulk_reply operator()(const in_force_request& request) const {
         receive_in_force(m_state, request);
@@ -56,7 +58,7 @@
     }
 };
 
-// What a request to another node is for.
+// Maps a request to the purpose under which its bytes are counted.
 struct purpose_of {
     byte_purpose operator()(const join_request&) const { return byte_purpose::join; }
     byte_purpose operator()(const fetch_config_request&) const { return byte_purpose::text; }
@@ -67,6 +69,8 @@
     byte_purpose operator()(const in_force_request&) const { return byte_purpose::other; }
 };
 
+// Returns the scope under which bytes exchanged with an address are counted. An unknown address
+// counts as another data centre's.
 byte_scope scope_of(const control& state, const ip_endpoint& address) {
     const auto found = state.m_address_is_local.find(address);
     const bool local = found != state.m_address_is_local.end() && found->second;
@@ -81,15 +85,16 @@
     state.m_udp->send(action.m_to, bytes);
 }
 
-// Logs the change; a member that is gone holds no texts any more.
-void note_member_change(control& state, const std::string& instance) {
+// Logs a member's change and updates the address table. A member that left or died is no longer
+// counted as a holder of texts.
+void handle_member_change(control& state, const std::string& instance) {
     const auto found = state.m_members.m_members.find(instance);
     if (found == state.m_members.m_members.end()) {
         return;
     }
     const member& changed = found->second.m_member;
-    const bool left = changed.m_state == member_state::left;
-    if (left || changed.m_state == member_state::dead) {
+    const bool has_left = changed.m_state == member_state::left;
+    if (has_left || changed.m_state == member_state::dead) {
         remove_text_holder(state, instance);
         state.m_address_is_local.erase(changed.m_udp);
         state.m_address_is_local.erase(changed.m_bulk);
@@ -98,7 +103,7 @@
         state.m_address_is_local[changed.m_udp] = local;
         state.m_address_is_local[changed.m_bulk] = local;
     }
-    log_event(log_level::info, left ? "member_left" : "member_changed",
+    log_event(log_level::info, has_left ? "member_left" : "member_changed",
               {{"member", changed.m_instance},
                {"state", member_state_name(changed.m_state)},
                {"incarnation", changed.m_incarnation},
@@ -107,13 +112,13 @@
                {"ready", changed.m_ready}});
 }
 
-// Compares member tables with a member and merges what differs, both ways.
+// Compares the member tables with another member and merges the differences in both directions.
 void compare_tables(control& state, const std::string& instance) {
-    const tracked_member* with = find_member(state.m_members, instance);
-    if (with == nullptr) {
+    const tracked_member* peer = find_member(state.m_members, instance);
+    if (peer == nullptr) {
         return;
     }
-    const ip_endpoint to = with->m_member.m_bulk;
+    const ip_endpoint to = peer->m_member.m_bulk;
     const members_digest_request request{state.m_settings.m_instance,
                                          member_bucket_hashes(state.m_members)};
     send_bulk(state, to, request, [&state, to](const std::optional<bulk_reply>& reply) {
@@ -137,16 +142,16 @@
             break;
         case membership_action::kind::member_changed:
             state.m_snapshot_dirty = true;
-            note_member_change(state, action.m_instance);
+            handle_member_change(state, action.m_instance);
             break;
         case membership_action::kind::version_reported:
-            hear_version(state, action.m_instance, action.m_config_version);
+            handle_peer_version(state, action.m_instance, action.m_config_version);
             break;
         case membership_action::kind::facts_differ:
             exchange_facts(state, action.m_instance, [] {});
             break;
         case membership_action::kind::facts_received:
-            learn_facts(state, action.m_packet.m_suspensions, action.m_packet.m_records, true);
+            merge_facts(state, action.m_packet.m_suspensions, action.m_packet.m_records, true);
             break;
         case membership_action::kind::compare_tables:
             compare_tables(state, action.m_instance);
@@ -172,7 +177,7 @@
         log_event(log_level::warning, "request_dropped", {{"reason", reason.m_text}});
         return encode_reply(reason.m_kind);
     }
-    std::string reply = encode_reply(std::visit(bulk_server{state}, *decoded));
+    std::string reply = encode_reply(std::visit(bulk_request_handler{state}, *decoded));
     state.m_metrics->bytes().add(std::visit(purpose_of{}, *decoded), byte_scope::served,
                                  request.size() + reply.size());
     return reply;
@@ -197,7 +202,7 @@
     perform(state, membership_tick(state.m_members, now));
 }
 
-facts_message all_facts(const control& state) {
+facts_message collect_facts(const control& state) {
     facts_message out;
     for (const auto& [id, value] : state.m_facts.m_suspensions) {
         out.m_suspensions.push_back(value);
@@ -214,19 +219,19 @@
         !state.m_facts_fetching.insert(instance).second) {
         return;
     }
-    const facts_message own = all_facts(state);
+    const facts_message own = collect_facts(state);
     send_bulk(state, found->second.m_member.m_bulk, own,
               [&state, instance, done = std::move(done)](const std::optional<bulk_reply>& reply) {
                   state.m_facts_fetching.erase(instance);
                   const auto* facts = reply ? std::get_if<facts_message>(&*reply) : nullptr;
                   if (facts != nullptr) {
-                      learn_facts(state, facts->m_suspensions, facts->m_records, true);
+                      merge_facts(state, facts->m_suspensions, facts->m_records, true);
                       done();
                   }
               });
 }
 
-void learn_facts(control& state, std::span<const suspension> suspensions,
+void merge_facts(control& state, std::span<const suspension> suspensions,
                  std::span<const move_record> records, bool spread) {
     std::vector<suspension> new_suspensions;
     std::vector<move_record> new_records;
@@ -268,13 +273,13 @@
 bool is_candidate(const control& state, std::string_view role, std::size_t candidates,
                   const std::function<bool(const member&)>& filter) {
     const std::uint64_t own = rendezvous_weight(role, state.m_settings.m_instance);
-    std::size_t ahead = 0;
+    std::size_t higher_ranked = 0;
     for (const member* other : live_members(state.m_members)) {
         if (filter(*other) && rendezvous_weight(role, other->m_instance) > own) {
-            ++ahead;
+            ++higher_ranked;
         }
     }
-    return ahead < candidates;
+    return higher_ranked < candidates;
 }
 
 } // namespace caraway
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -39,7 +39,7 @@
 void announce_store_access(control& state, bool store_lost) {
     if (state.m_members.m_self.m_store_lost != store_lost) {
         state.m_members.m_self.m_store_lost = store_lost;
-        state.m_operator.m_lost_since = state.now();
+        state.m_operator.m_store_lost_since = state.now();
         state.m_operator.m_next_check = state.now();
         perform(state, membership_update_self(state.m_members, true, state.now()));
     }
@@ -55,8 +55,8 @@
     if (store_reached || watch.m_failures >= failures_before_lost) {
         announce_store_access(state, !store_reached);
     }
-    if (store_reached != watch.m_reached) {
-        watch.m_reached = store_reached;
+    if (store_reached != watch.m_store_reachable) {
+        watch.m_store_reachable = store_reached;
         log_event(log_level::info, store_reached ? "store_regained" : "store_lost",
                   {{"reason", answer_for(reply.m_kind).m_name}, {"text", reply.m_text}});
     }
@@ -86,7 +86,7 @@
     auto text = std::make_shared<const std::string>(encode_items(items));
     const std::uint64_t hash = hash_bytes(*text);
     const auto& texts = state.m_distribution.m_texts;
-    std::uint64_t version = watch.m_deleted_at;
+    std::uint64_t version = watch.m_latest_deletion_revision;
     for (const store_entry& item : items) {
         version = std::max(version, item.m_revision);
     }
@@ -94,7 +94,7 @@
         // A list doesn't show the revision at which an item was deleted. Different content needs a
         // version of its own, so it gets the latest revision seen.
         const bool unchanged = texts.rbegin()->second.m_hash == hash;
-        version = unchanged ? texts.rbegin()->first : watch.m_after;
+        version = unchanged ? texts.rbegin()->first : watch.m_watch_revision;
     }
     perform(state, decide_store_read(state, config_text{version, hash, std::move(text)}));
 }
@@ -102,17 +102,17 @@
 // Reads all items and applies them.
 void list_items(control& state) {
     operator_watch& watch = state.m_operator;
-    watch.m_busy = true;
+    watch.m_call_pending = true;
     state.m_store->list(state.m_adapter.m_operator_prefix, [&state](const store_reply& reply) {
         operator_watch& current_watch = state.m_operator;
-        current_watch.m_busy = false;
+        current_watch.m_call_pending = false;
         update_store_access(state, reply);
         if (reply.m_kind != error_kind::none) {
             schedule_retry(state);
             return;
         }
         current_watch.m_listed = true;
-        current_watch.m_after = reply.m_revision;
+        current_watch.m_watch_revision = reply.m_revision;
         current_watch.m_next_list = state.now() + relist_interval;
         current_watch.m_items.clear();
         for (const store_entry& entry : reply.m_entries) {
@@ -125,10 +125,10 @@
 // Waits for changes of the items and applies them.
 void watch_items(control& state) {
     operator_watch& watch = state.m_operator;
-    watch.m_busy = true;
+    watch.m_call_pending = true;
     const auto on_reply = [&state](const store_reply& reply) {
         operator_watch& current_watch = state.m_operator;
-        current_watch.m_busy = false;
+        current_watch.m_call_pending = false;
         update_store_access(state, reply);
         if (reply.m_kind != error_kind::none) {
             // If the store no longer has the history since `m_after`, it can't report what changed,
@@ -137,10 +137,11 @@
             schedule_retry(state);
             return;
         }
-        current_watch.m_after = std::max(current_watch.m_after, reply.m_revision);
+        current_watch.m_watch_revision = std::max(current_watch.m_watch_revision, reply.m_revision);
         for (const store_entry& entry : reply.m_entries) {
             if (entry.m_deleted) {
-                current_watch.m_deleted_at = std::max(current_watch.m_deleted_at, entry.m_revision);
+                current_watch.m_latest_deletion_revision =
+                    std::max(current_watch.m_latest_deletion_revision, entry.m_revision);
                 current_watch.m_items.erase(entry.m_key);
             } else {
                 current_watch.m_items.insert_or_assign(entry.m_key, entry);
@@ -150,17 +151,17 @@
             apply_items(state);
         }
     };
-    state.m_store->watch(state.m_adapter.m_operator_prefix, watch.m_after, watch_timeout, on_reply);
+    state.m_store->watch(state.m_adapter.m_operator_prefix, watch.m_watch_revision, watch_timeout, on_reply);
 }
 
 // Reads the records of all moves once, so that a node that starts after the end of a move knows the
 // outcome.
 void read_records(control& state) {
     operator_watch& watch = state.m_operator;
-    watch.m_records_busy = true;
+    watch.m_records_call_pending = true;
     state.m_store->list(state.m_adapter.m_move_prefix, [&state](const store_reply& reply) {
         operator_watch& current_watch = state.m_operator;
-        current_watch.m_records_busy = false;
+        current_watch.m_records_call_pending = false;
         current_watch.m_records_retry_at = state.now() + store_retry_pause;
         if (reply.m_kind != error_kind::none) {
             return;
@@ -174,7 +175,7 @@
                 log_event(log_level::error, "move_record_malformed", {{"key", entry.m_key}});
             }
         }
-        learn_facts(state, {}, records, false);
+        merge_facts(state, {}, records, false);
     });
 }
 
@@ -196,8 +197,8 @@
 // the store itself.
 milliseconds member_wait(const control& state) {
     const auto entry_point_count = static_cast<std::int64_t>(state.m_join.m_entry_points.size());
-    const bool store_listed = state.m_join.m_listed_at != time_point{};
-    if (store_listed && state.m_join.m_first_start) {
+    const bool store_listed = state.m_join.m_entry_points_listed_at != time_point{};
+    if (store_listed && state.m_join.m_mesh_first_start) {
         return first_start_member_wait;
     }
     return store_listed ? std::min(max_member_wait, entry_point_count * member_wait_per_entry)
@@ -229,7 +230,7 @@
         return same_data_centre(m) && !m.m_store_lost;
     };
     // A node that knows no other member yet would rank itself first in its data centre.
-    const bool membership_known = state.m_join.m_done || now >= watch.m_begin_at + max_alone_time;
+    const bool membership_known = state.m_join.m_complete || now >= watch.m_start_at + max_alone_time;
     const std::size_t watchers = watchers_per_data_centre(state.m_members.m_groups.size());
     const bool candidate =
         membership_known &&
@@ -239,7 +240,7 @@
         watch.m_candidate = candidate;
         log_event(log_level::info, candidate ? "store_watch_begun" : "store_watch_ended", {});
     }
-    if (!candidate && self.m_store_lost && now - watch.m_lost_since > lost_retention) {
+    if (!candidate && self.m_store_lost && now - watch.m_store_lost_since > lost_retention) {
         announce_store_access(state, false);
     }
 }
@@ -292,8 +293,9 @@
 
 // Writes the entry without a lease: an entry that outlives its node costs a joining node one
 // attempt, whereas a lease would cost a call every few seconds.
-void write_entry(control& state, const std::string& slot, const ip_endpoint& address) {
-    const std::string key = std::string(entry_prefix) + state.m_settings.m_data_centre + "/" + slot;
+void write_entry_point(control& state, const std::string& slot, const ip_endpoint& address) {
+    const std::string key =
+        std::string(entry_point_prefix) + state.m_settings.m_data_centre + "/" + slot;
     state.m_store->put(key, format_endpoint(address), std::nullopt, {},
                        [&state, slot](const store_reply& reply) {
                            const bool written = reply.m_kind == error_kind::none;
@@ -301,35 +303,35 @@
                                      {{"slot", slot}, {"written", written}});
                            state.m_operator.m_entry_written |= written;
                            if (!state.m_operator.m_entry_written) {
-                               state.m_operator.m_entry_check_at = state.now() + store_retry_pause;
+                               state.m_operator.m_slot_check_at = state.now() + store_retry_pause;
                            }
                        });
 }
 
 void tick_operator_watch(control& state, time_point now) {
     operator_watch& watch = state.m_operator;
-    if (watch.m_begin_at == time_point{}) {
-        watch.m_begin_at = now + milliseconds(state.m_random.below(max_start_delay.count()));
+    if (watch.m_start_at == time_point{}) {
+        watch.m_start_at = now + milliseconds(state.m_random.below(max_start_delay.count()));
     }
     refresh_watcher(state, now);
-    if (now < watch.m_begin_at) {
+    if (now < watch.m_start_at) {
         return;
     }
     // A node that received no configuration from members reads it from the store even if it is not
     // a watcher.
     const bool starting =
-        !state.m_distribution.m_ready && now >= watch.m_begin_at + member_wait(state);
+        !state.m_distribution.m_ready && now >= watch.m_start_at + member_wait(state);
     if (!watch.m_candidate && is_behind(state, now)) {
         watch.m_behind_since = now; // delays the next list if this one finds nothing new
         watch.m_listed = false;
     } else if (!watch.m_candidate && !starting) {
         return;
     }
-    if (!watch.m_records_read && watch.m_candidate && !watch.m_records_busy &&
+    if (!watch.m_records_read && watch.m_candidate && !watch.m_records_call_pending &&
         now >= watch.m_records_retry_at) {
         read_records(state);
     }
-    if (watch.m_busy || now < watch.m_retry_at) {
+    if (watch.m_call_pending || now < watch.m_retry_at) {
         return;
     }
     if (!watch.m_listed || now >= watch.m_next_list) {
--- a/src/node/resync.cpp
+++ b/src/node/resync.cpp
@@ -40,7 +40,7 @@
                           if (fetched->m_config) {
                               receive_text(state, instance, *fetched->m_config);
                           }
-                          state.m_resync.m_answered = true;
+                          state.m_resync.m_peer_synced = true;
                       });
         });
     }
@@ -51,20 +51,21 @@
 void tick_resync(control& state, time_point now) {
     resync_state& resync = state.m_resync;
     const duration pause = now - std::exchange(resync.m_last_tick, now);
-    if (pause > snapshot_valid_time && !resync.m_until) {
+    if (pause > snapshot_valid_time && !resync.m_refuse_until) {
         log_event(log_level::warning, "resumed_after_pause",
                   {{"ms", std::chrono::duration_cast<milliseconds>(pause).count()}});
-        resync.m_until = now + resync_timeout;
-        resync.m_answered = false;
+        resync.m_refuse_until = now + resync_timeout;
+        resync.m_peer_synced = false;
         request_updates(state);
     }
     const bool up_to_date = state.m_distribution.m_applied >= state.m_distribution.m_highest_known;
     const bool finished =
-        !resync.m_until || (resync.m_answered && up_to_date) || now >= *resync.m_until;
+        !resync.m_refuse_until || (resync.m_peer_synced && up_to_date) ||
+                      now >= *resync.m_refuse_until;
     if (!finished) {
         return;
     }
-    resync.m_until.reset();
+    resync.m_refuse_until.reset();
     refresh_snapshot(state);
     state.m_traffic->trust_snapshot_until(now + snapshot_valid_time);
 }
--- a/src/node/store_roles.cpp
+++ b/src/node/store_roles.cpp
@@ -15,7 +15,7 @@
 
 // Applies the reply to a store call of a lease.
 void finish_lease_call(control& state, lease_role& role, const store_reply& reply) {
-    role.m_busy = false;
+    role.m_call_pending = false;
     apply_lease_reply(role.m_keeper, {reply.m_kind, reply.m_lease, reply.m_revision, reply.m_value},
                       state.now());
 }
@@ -42,7 +42,7 @@
         if (entry.m_key == accepted_key) {
             error reason;
             if (const auto record = decode_accepted(entry.m_value, reason)) {
-                learn_accepted(state, *record);
+                adopt_accepted_record(state, *record);
             } else {
                 log_event(log_level::error, "accepted_record_malformed",
                           {{"reason", reason.m_text}});
@@ -53,13 +53,13 @@
             }
         }
     }
-    learn_facts(state, {}, records, true);
+    merge_facts(state, {}, records, true);
 }
 
 // Joins through entry points that are not live members. This merges the two sides of a partition
 // that lasted longer than dead members are remembered.
 void join_unknown_entry_points(control& state) {
-    state.m_store->list(entry_prefix, [&state](const store_reply& reply) {
+    state.m_store->list(entry_point_prefix, [&state](const store_reply& reply) {
         std::set<ip_endpoint> known_addresses{state.m_settings.m_announce_bulk};
         for (const member* live_member : live_members(state.m_members)) {
             known_addresses.insert(live_member->m_bulk);
@@ -76,16 +76,16 @@
 // Reads all entries of the state prefix. At the regular interval, also looks for unknown entry
 // points.
 void list_state(control& state, reader_role& role, time_point now) {
-    role.m_busy = true;
+    role.m_call_pending = true;
     state.m_store->list(state_prefix, [&state, &role](const store_reply& reply) {
-        role.m_busy = false;
+        role.m_call_pending = false;
         const time_point replied_at = state.now();
         if (reply.m_kind != error_kind::none) {
             role.m_retry_at = replied_at + store_retry_pause;
             return;
         }
         role.m_listed = true;
-        role.m_after = reply.m_revision;
+        role.m_watch_revision = reply.m_revision;
         role.m_next_list = replied_at + list_interval;
         apply_state_entries(state, reply.m_entries);
     });
@@ -96,31 +96,31 @@
 
 // Waits for changes below the state prefix until the next list is due, for at most `watch_timeout`.
 void watch_state(control& state, reader_role& role) {
-    role.m_busy = true;
+    role.m_call_pending = true;
     const auto timeout =
         std::clamp(std::chrono::duration_cast<milliseconds>(role.m_next_list - state.now()),
                    milliseconds{100}, watch_timeout);
-    state.m_store->watch(state_prefix, role.m_after, timeout,
-                         [&state, &role](const store_reply& reply) {
-                             role.m_busy = false;
-                             if (reply.m_kind != error_kind::none) {
-                                 role.m_retry_at = state.now() + store_retry_pause;
-                                 role.m_listed = false;
-                                 return;
-                             }
-                             role.m_after = std::max(role.m_after, reply.m_revision);
+    state.m_store->watch(
+        state_prefix, role.m_watch_revision, timeout, [&state, &role](const store_reply& reply) {
+            role.m_call_pending = false;
+            if (reply.m_kind != error_kind::none) {
+                role.m_retry_at = state.now() + store_retry_pause;
+                role.m_listed = false;
+                return;
+            }
+            role.m_watch_revision = std::max(role.m_watch_revision, reply.m_revision);
                              apply_state_entries(state, reply.m_entries);
-                         });
+        });
 }
 
 // Writes this node's address as an entry point under the reader's lease. The reader is active once
 // this succeeds.
 void write_entry_point(control& state, reader_role& role) {
-    role.m_busy = true;
+    role.m_call_pending = true;
     state.m_store->put(
         role.m_entry_key, format_endpoint(state.m_settings.m_announce_bulk), std::nullopt,
         role.m_lease.m_keeper.m_lease, [&state, &role](const store_reply& reply) {
-            role.m_busy = false;
+            role.m_call_pending = false;
             role.m_active = reply.m_kind == error_kind::none;
             role.m_retry_at = state.now() + (role.m_active ? milliseconds{0} : store_retry_pause);
         });
@@ -137,7 +137,7 @@
         return;
     }
     log_event(log_level::info, "unknown_holder", {{"lease", keeper.m_key}, {"holder", holder}});
-    state.m_join.m_done = false;
+    state.m_join.m_complete = false;
     keeper.m_other_holder_value.clear();
 }
 
@@ -164,7 +164,7 @@
         role.m_listed = false;
         return;
     }
-    if (role.m_busy || now < role.m_retry_at) {
+    if (role.m_call_pending || now < role.m_retry_at) {
         return;
     }
     if (!role.m_active) {
@@ -187,7 +187,7 @@
     return role.m_candidate;
 }
 
-void learn_accepted(control& state, const accepted_record& record) {
+void adopt_accepted_record(control& state, const accepted_record& record) {
     const auto& texts = state.m_distribution.m_texts;
     if (state.m_distribution.m_store_read && record.m_version <= state.m_distribution.m_applied) {
         return;
@@ -213,7 +213,7 @@
         log_event(log_level::info, held ? "lease_won" : "lease_ended",
                   {{"lease", role.m_keeper.m_key}});
     }
-    if (role.m_busy) {
+    if (role.m_call_pending) {
         return;
     }
     lease_keeper& keeper = role.m_keeper;
@@ -221,7 +221,7 @@
         finish_lease_call(state, role, reply);
     };
     const lease_request request = next_lease_request(keeper, wanted, now);
-    role.m_busy = request != lease_request::none;
+    role.m_call_pending = request != lease_request::none;
     switch (request) {
     case lease_request::none:
         break;
