--- a/bench/move_simulation.hpp
+++ b/bench/move_simulation.hpp
@@ -334,7 +334,7 @@
                 arm_counts& sum = old_sum.m_routes[route];
                 sum.m_calls += counts.m_calls;
                 sum.m_failures += counts.m_failures;
-                for (std::size_t c = 0; c < latency_classes; ++c) {
+                for (std::size_t c = 0; c < latency_buckets; ++c) {
                     sum.m_latency[c] += counts.m_latency[c];
                 }
             }
--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -10,10 +10,10 @@
 
 // Weight of a new answer in the smoothed latency. Routes of different cost share a server; at 1/16
 // their mix doesn't look like a server turning cold.
-constexpr int smoothing = 16;
+constexpr int smoothing_samples = 16;
 // Weight of a new answer in the value whose least is the best latency. Slower than the above, since
 // the least of a noisy value is too low.
-constexpr int slow_smoothing = 64;
+constexpr int slow_smoothing_samples = 64;
 // Up to a quarter of the slots the limit rises while the smoothed latency is at most this many
 // times the best one.
 constexpr double fast_factor = 2;
@@ -21,8 +21,8 @@
 // latency. A server that is a tenth cold still answers within it.
 constexpr double warm_factor = 1.6;
 // A latency that fell by a tenth in this time shows that the server is still warming up.
-constexpr milliseconds settle_time{1'000};
-constexpr double settled_share = 0.9;
+constexpr milliseconds trend_interval{1'000};
+constexpr double warming_ratio = 0.9;
 // A warm server whose smoothed latency exceeds the best this many times has turned cold.
 constexpr int cold_factor = 3;
 // Answers needed before the smoothed latency counts as a reference for the warm latency.
@@ -40,55 +40,56 @@
 // The best latency follows a lasting rise with this time constant while the limit is low, so that
 // a server that became slower for good opens again. Longer than cold starts (some seconds), which
 // would otherwise look warm.
-constexpr std::chrono::duration<double> best_drift{60.0};
+constexpr std::chrono::duration<double> best_latency_drift{60.0};
 // A call has to fit into its useful time with this part of the smoothed latency to spare: calls
 // differ in the time that they take, and with a queue as long as the estimate allows, half of them
 // would be late in an overload that lasts.
-constexpr int reserve_percent = 100;
+constexpr int latency_reserve_percent = 100;
 // A waiting call is given up when this part of the smoothed latency is all that is left to it: it
 // could hardly be answered in time, and its caller can still come back.
-constexpr int least_time_percent = 60;
+constexpr int min_useful_time_percent = 60;
 // Bounds of the ratio between waits and their estimates, and the shortest wait that is compared:
 // below it the moment at which a slot becomes free decides.
-constexpr double least_wait_ratio = 0.25;
-constexpr double most_wait_ratio = 4;
-constexpr milliseconds least_compared_wait{5};
+constexpr double min_wait_ratio = 0.25;
+constexpr double max_wait_ratio = 4;
+constexpr milliseconds min_compared_wait{5};
 // Highest load told: more waiting calls make no difference to whom callers choose.
 constexpr std::uint64_t max_load_permille = 10'000;
 
-std::uint32_t allowed(const admission_state& state) {
+std::uint32_t concurrency_limit(const admission_state& state) {
     const auto limit = static_cast<std::uint32_t>(state.m_cold_limit);
     return std::clamp<std::uint32_t>(limit, 1, std::max<std::uint32_t>(state.m_limits.m_slots, 1));
 }
 
-std::uint32_t cold_bound(const admission_state& state) {
+std::uint32_t cold_start_ceiling(const admission_state& state) {
     return std::max<std::uint32_t>(1, state.m_limits.m_slots / cold_divisor);
 }
 
-bool says_cold(const admission_state& state, time_point now) {
-    return now < state.m_limits.m_cold_until && state.m_limits.m_cold_per_second > 0;
+bool reports_cold(const admission_state& state, time_point now) {
+    return now < state.m_limits.m_cold_until && state.m_limits.m_cold_calls_per_second > 0;
 }
 
 // True when one more call may begin now. The calls of any second stay within what a cold server
 // says that it bears.
-bool may_begin(admission_state& state, time_point now) {
-    if (state.m_running >= allowed(state)) {
+bool can_start_call(admission_state& state, time_point now) {
+    if (state.m_running >= concurrency_limit(state)) {
         return false;
     }
-    if (!says_cold(state, now)) {
+    if (!reports_cold(state, now)) {
         return true;
     }
-    while (!state.m_cold_starts.empty() &&
-           now - state.m_cold_starts.front() >= std::chrono::seconds(1)) {
-        state.m_cold_starts.pop_front();
+    while (!state.m_cold_call_starts.empty() &&
+           now - state.m_cold_call_starts.front() >= std::chrono::seconds(1)) {
+        state.m_cold_call_starts.pop_front();
     }
-    return static_cast<double>(state.m_cold_starts.size()) + 1 <= state.m_limits.m_cold_per_second;
+    return static_cast<double>(state.m_cold_call_starts.size()) + 1 <=
+           state.m_limits.m_cold_calls_per_second;
 }
 
-void begin_call(admission_state& state, time_point now) {
+void start_call(admission_state& state, time_point now) {
     ++state.m_running;
-    if (says_cold(state, now)) {
-        state.m_cold_starts.push_back(now);
+    if (reports_cold(state, now)) {
+        state.m_cold_call_starts.push_back(now);
     }
 }
 
@@ -101,62 +102,63 @@
 // Reserve for the difference between the calls of a route, or of all routes.
 duration run_time_reserve(const admission_state& state, std::string_view route) {
     const route_latency* known = find_route_latency(state.m_route_latencies, route);
-    return known == nullptr ? state.m_smoothed_latency * reserve_percent / 100 : known->m_deviation;
+    return known == nullptr ? state.m_smoothed_latency * latency_reserve_percent / 100
+                            : known->m_deviation;
 }
 
 // How long a call that is to wait behind the first calls of the queue waits for a slot.
 duration expected_wait(const admission_state& state, const queued_call& call, std::size_t ahead,
                        time_point now) {
-    const std::uint32_t limit = allowed(state);
-    duration work = state.m_smoothed_latency; // until the first slot becomes free
+    const std::uint32_t limit = concurrency_limit(state);
+    duration queued_work = state.m_smoothed_latency; // until the first slot becomes free
     for (std::size_t i = 0; i < ahead; ++i) {
-        work += run_time(state, state.m_queue[i].m_route);
+        queued_work += run_time(state, state.m_queue[i].m_route);
     }
     const double ratio = state.m_wait_ratio[static_cast<std::size_t>(call.m_urgency)];
-    const auto wait = std::chrono::duration_cast<duration>(ratio * work / limit);
-    if (!says_cold(state, now)) {
+    const auto wait = std::chrono::duration_cast<duration>(ratio * queued_work / limit);
+    if (!reports_cold(state, now)) {
         return wait;
     }
     const std::chrono::duration<double> paced(static_cast<double>(ahead + 1) /
-                                              state.m_limits.m_cold_per_second);
+                                              state.m_limits.m_cold_calls_per_second);
     return std::max(wait, std::chrono::duration_cast<duration>(paced));
 }
 
 // Compares a wait that is over with the estimate. Calls that are late give way to all others, so
 // their waits say nothing.
-void learn_wait(admission_state& state, const queued_call& call, time_point now) {
-    if (call.m_route.empty() || call.m_late || call.m_expected_wait < least_compared_wait) {
+void update_wait_ratio(admission_state& state, const queued_call& call, time_point now) {
+    if (call.m_route.empty() || call.m_late || call.m_expected_wait < min_compared_wait) {
         return;
     }
     const double ratio = std::chrono::duration<double>(now - call.m_queued_at) /
                          std::chrono::duration<double>(call.m_expected_wait);
-    double& known = state.m_wait_ratio[static_cast<std::size_t>(call.m_urgency)];
+    double& wait_ratio = state.m_wait_ratio[static_cast<std::size_t>(call.m_urgency)];
     // The estimate holds the ratio already, so the product is what would have been right.
-    const double right = std::clamp(known * ratio, least_wait_ratio, most_wait_ratio);
-    known += (right - known) / smoothing;
+    const double corrected = std::clamp(wait_ratio * ratio, min_wait_ratio, max_wait_ratio);
+    wait_ratio += (corrected - wait_ratio) / smoothing_samples;
 }
 
-bool at_slots(const admission_state& state) {
-    return allowed(state) >= state.m_limits.m_slots;
+bool is_limit_fully_open(const admission_state& state) {
+    return concurrency_limit(state) >= state.m_limits.m_slots;
 }
 
 // Order of service: urgency, calls whose answer is still of use, deadline, arrival.
-bool goes_before(const queued_call& left, const queued_call& right) {
-    return std::tie(left.m_urgency, left.m_late, left.m_deadline, left.m_order) <
-           std::tie(right.m_urgency, right.m_late, right.m_deadline, right.m_order);
+bool has_precedence(const queued_call& left, const queued_call& right) {
+    return std::tie(left.m_urgency, left.m_late, left.m_deadline, left.m_arrival_order) <
+           std::tie(right.m_urgency, right.m_late, right.m_deadline, right.m_arrival_order);
 }
 
 // The smoothed latency starts again, so that warm answers from before don't hide that the server
 // is cold now.
-void drop_to_one(admission_state& state, time_point now) {
-    if (!state.m_limits.m_infers_cold) {
+void reset_limit(admission_state& state, time_point now) {
+    if (!state.m_limits.m_detect_cold_start) {
         return;
     }
     state.m_cold_limit = 1;
     state.m_warm = false;
     state.m_answers = 0;
     state.m_fast_answers = 0;
-    state.m_dropped_at = now;
+    state.m_limit_dropped_at = now;
 }
 
 // Moves a smoothed value towards an answer; the first answers are averaged.
@@ -165,37 +167,38 @@
 }
 
 // Takes one successful answer into the smoothed and the best latency.
-void learn_latency(admission_state& state, duration latency, time_point now) {
+void update_latency(admission_state& state, duration latency, time_point now) {
     if (state.m_answers == 0) {
         state.m_smoothed_latency = latency;
-        state.m_slow_smoothed = latency;
+        state.m_slow_smoothed_latency = latency;
         state.m_last_answer = now;
-        state.m_settled_latency = latency;
-        state.m_settled_at = now;
+        state.m_trend_latency = latency;
+        state.m_trend_started = now;
         if (state.m_first_answer == time_point{}) {
             state.m_first_answer = now;
         }
     }
     ++state.m_answers;
-    smooth(state.m_smoothed_latency, latency, state.m_answers, smoothing);
-    smooth(state.m_slow_smoothed, latency, state.m_answers, slow_smoothing);
-    if (now - state.m_settled_at >= settle_time) {
-        if (state.m_smoothed_latency < settled_share * state.m_settled_latency) {
-            state.m_warming_until = now + 2 * settle_time;
+    smooth(state.m_smoothed_latency, latency, state.m_answers, smoothing_samples);
+    smooth(state.m_slow_smoothed_latency, latency, state.m_answers, slow_smoothing_samples);
+    if (now - state.m_trend_started >= trend_interval) {
+        if (state.m_smoothed_latency < warming_ratio * state.m_trend_latency) {
+            state.m_warming_until = now + 2 * trend_interval;
         }
-        state.m_settled_latency = state.m_smoothed_latency;
-        state.m_settled_at = now;
+        state.m_trend_latency = state.m_smoothed_latency;
+        state.m_trend_started = now;
     }
     if (state.m_answers < reference_answers) {
         return;
     }
-    if (state.m_best_latency == duration{} || state.m_slow_smoothed < state.m_best_latency) {
-        state.m_best_latency = state.m_slow_smoothed;
-    } else if (allowed(state) <= cold_bound(state)) {
-        const double share =
-            std::min(1.0, std::chrono::duration<double>(now - state.m_last_answer) / best_drift);
+    if (state.m_best_latency == duration{} ||
+        state.m_slow_smoothed_latency < state.m_best_latency) {
+        state.m_best_latency = state.m_slow_smoothed_latency;
+    } else if (concurrency_limit(state) <= cold_start_ceiling(state)) {
+        const double share = std::min(
+            1.0, std::chrono::duration<double>(now - state.m_last_answer) / best_latency_drift);
         state.m_best_latency += std::chrono::duration_cast<duration>(
-            share * (state.m_slow_smoothed - state.m_best_latency));
+            share * (state.m_slow_smoothed_latency - state.m_best_latency));
     }
     state.m_last_answer = now;
 }
@@ -211,7 +214,7 @@
 // last drop. Answers count only while the limit is in use: with fewer calls at a time they don't
 // show that the server bears more.
 void raise_limit(admission_state& state, bool in_use, time_point now) {
-    if (at_slots(state)) {
+    if (is_limit_fully_open(state)) {
         return;
     }
     const bool held = now - state.m_first_answer < state.m_limits.m_cold_hold ||
@@ -221,22 +224,22 @@
         state.m_fast_answers = 0;
         return;
     }
-    const std::uint32_t limit = allowed(state);
+    const std::uint32_t limit = concurrency_limit(state);
     if (!in_use || ++state.m_fast_answers < limit) {
         return;
     }
     const double step = std::max(1.0, state.m_limits.m_slots / static_cast<double>(rise_steps));
     double next = state.m_cold_limit + step;
     if (held || !is_fast(state, warm_factor)) {
-        next = std::min(next, std::max<double>(state.m_cold_limit, cold_bound(state)));
+        next = std::min(next, std::max<double>(state.m_cold_limit, cold_start_ceiling(state)));
     }
     state.m_fast_answers = 0;
     state.m_cold_limit = std::clamp<double>(next, 1, std::max(1U, state.m_limits.m_slots));
 }
 
 // The least time that a waiting call of the route needs to be of use.
-duration least_time(const admission_state& state, std::string_view route) {
-    return run_time(state, route) * least_time_percent / 100;
+duration min_useful_time(const admission_state& state, std::string_view route) {
+    return run_time(state, route) * min_useful_time_percent / 100;
 }
 
 // Puts calls that can't be answered in time any more behind those that still can.
@@ -244,22 +247,22 @@
     bool changed = false;
     for (queued_call& call : state.m_queue) {
         if (!call.m_late && call.m_useful_until != time_point{} &&
-            call.m_useful_until <= now + least_time(state, call.m_route)) {
+            call.m_useful_until <= now + min_useful_time(state, call.m_route)) {
             call.m_late = true;
             changed = true;
         }
     }
     if (changed) {
-        std::sort(state.m_queue.begin(), state.m_queue.end(), goes_before);
+        std::sort(state.m_queue.begin(), state.m_queue.end(), has_precedence);
     }
 }
 
 // Moves expired calls and then, while the limit allows, the first ones out of the queue.
 admission_release release_waiting(admission_state& state, time_point now) {
     admission_release release;
-    std::size_t taken = 0;
+    std::size_t released_count = 0;
     const auto too_late = [&state, now](const queued_call& call) {
-        return call.m_deadline <= now + least_time(state, call.m_route);
+        return call.m_deadline <= now + min_useful_time(state, call.m_route);
     };
     for (const queued_call& call : state.m_queue) {
         if (too_late(call)) {
@@ -268,14 +271,14 @@
     }
     std::erase_if(state.m_queue, too_late);
     demote_late_calls(state, now);
-    while (taken < state.m_queue.size() && may_begin(state, now)) {
-        learn_wait(state, state.m_queue[taken], now);
-        release.m_run.push_back(state.m_queue[taken].m_id);
-        begin_call(state, now);
-        ++taken;
+    while (released_count < state.m_queue.size() && can_start_call(state, now)) {
+        update_wait_ratio(state, state.m_queue[released_count], now);
+        release.m_run.push_back(state.m_queue[released_count].m_id);
+        start_call(state, now);
+        ++released_count;
     }
     state.m_queue.erase(state.m_queue.begin(),
-                        state.m_queue.begin() + static_cast<std::ptrdiff_t>(taken));
+                        state.m_queue.begin() + static_cast<std::ptrdiff_t>(released_count));
     return release;
 }
 
@@ -289,7 +292,7 @@
 
 void set_admission_limits(admission_state& state, const admission_limits& limits) {
     state.m_limits = limits;
-    if (!limits.m_infers_cold) {
+    if (!limits.m_detect_cold_start) {
         state.m_cold_limit = std::max(1U, limits.m_slots);
         return;
     }
@@ -310,44 +313,45 @@
         result.m_reason = error_kind::deadline_before_send;
         return result;
     }
-    if (state.m_queue.empty() && may_begin(state, now)) {
-        begin_call(state, now);
+    if (state.m_queue.empty() && can_start_call(state, now)) {
+        start_call(state, now);
         result.m_verdict = admission_verdict::run;
         return result;
     }
-    const bool cold = !at_slots(state) || says_cold(state, now);
-    const error_kind full = cold ? error_kind::cold_start_limit : error_kind::queue_full;
+    const bool cold = !is_limit_fully_open(state) || reports_cold(state, now);
+    const error_kind refusal_reason = cold ? error_kind::cold_start_limit : error_kind::queue_full;
     const bool late = useful_until != time_point{} && useful_until <= now;
     queued_call waiting{
         call, level, late, deadline, state.m_next_order++, std::string(route), useful_until, now};
-    const auto place =
-        std::upper_bound(state.m_queue.begin(), state.m_queue.end(), waiting, goes_before);
-    const auto ahead = static_cast<std::size_t>(place - state.m_queue.begin());
+    const auto insert_at =
+        std::upper_bound(state.m_queue.begin(), state.m_queue.end(), waiting, has_precedence);
+    const auto ahead = static_cast<std::size_t>(insert_at - state.m_queue.begin());
     waiting.m_expected_wait = expected_wait(state, waiting, ahead, now);
-    const bool less_urgent_wait =
+    const bool less_urgent_queued =
         !state.m_queue.empty() && state.m_queue.back().m_urgency > waiting.m_urgency;
-    if (!less_urgent_wait) {
+    if (!less_urgent_queued) {
         const time_point latest = useful_until > now ? std::min(useful_until, deadline) : deadline;
         const time_point answered =
             now + waiting.m_expected_wait + run_time(state, route) + run_time_reserve(state, route);
         if (answered > latest) {
-            result.m_reason = full;
-            result.m_room_after = answered - latest;
+            result.m_reason = refusal_reason;
+            result.m_retry_after = answered - latest;
             return result;
         }
     }
     if (state.m_queue.size() >= state.m_limits.m_queue) {
-        if (!less_urgent_wait) {
-            result.m_reason = full;
-            result.m_room_after = state.m_smoothed_latency / static_cast<int>(allowed(state));
+        if (!less_urgent_queued) {
+            result.m_reason = refusal_reason;
+            result.m_retry_after =
+                state.m_smoothed_latency / static_cast<int>(concurrency_limit(state));
             return result;
         }
-        const auto position = place - state.m_queue.begin();
+        const auto position = insert_at - state.m_queue.begin();
         result.m_displaced = state.m_queue.back().m_id;
         state.m_queue.pop_back();
         state.m_queue.insert(state.m_queue.begin() + position, std::move(waiting));
     } else {
-        state.m_queue.insert(place, std::move(waiting));
+        state.m_queue.insert(insert_at, std::move(waiting));
     }
     result.m_verdict = admission_verdict::wait;
     return result;
@@ -357,32 +361,32 @@
 // shows it. Answers to calls that began before the last drop say nothing of the server since.
 admission_release admission_finish(admission_state& state, const call_sample& sample,
                                    time_point now) {
-    const bool in_use = state.m_running >= allowed(state);
+    const bool in_use = state.m_running >= concurrency_limit(state);
     state.m_running -= state.m_running > 0 ? 1 : 0;
     if (sample.m_cancelled) {
         return release_waiting(state, now);
     }
     const bool failed = sample.m_failed || sample.m_shed;
-    const bool warm = at_slots(state);
-    state.m_failure_share += ((failed ? 1.0 : 0.0) - state.m_failure_share) / smoothing;
+    const bool warm = is_limit_fully_open(state);
+    state.m_failure_share += ((failed ? 1.0 : 0.0) - state.m_failure_share) / smoothing_samples;
     state.m_recent_failures =
         ((state.m_recent_failures << 1U) | (failed ? 1U : 0U)) & failure_window;
     if (failed) {
         const int failures = std::popcount(state.m_recent_failures);
         if (sample.m_shed || !warm || failures >= warm_failures) {
-            drop_to_one(state, now);
+            reset_limit(state, now);
         }
         return release_waiting(state, now);
     }
-    if (now - sample.m_latency < state.m_dropped_at) {
+    if (now - sample.m_latency < state.m_limit_dropped_at) {
         return release_waiting(state, now);
     }
-    learn_latency(state, sample.m_latency, now);
-    learn_route_latency(state.m_route_latencies, sample.m_route, sample.m_latency);
+    update_latency(state, sample.m_latency, now);
+    update_route_latency(state.m_route_latencies, sample.m_route, sample.m_latency);
     const bool slow = state.m_best_latency != duration{} &&
                       state.m_smoothed_latency > cold_factor * state.m_best_latency;
     if (slow && state.m_cold_limit > 1) {
-        drop_to_one(state, now);
+        reset_limit(state, now);
     } else {
         raise_limit(state, in_use, now);
     }
@@ -411,10 +415,10 @@
 // for the reference left a version that was slow from its first call unnoticed at a few calls a
 // second.
 bool is_cold(const admission_state& state, time_point now) {
-    if (!state.m_limits.m_infers_cold) {
+    if (!state.m_limits.m_detect_cold_start) {
         return now < state.m_limits.m_cold_until;
     }
-    if (at_slots(state) || state.m_warm) {
+    if (is_limit_fully_open(state) || state.m_warm) {
         return false;
     }
     return state.m_best_latency != duration{} || state.m_first_answer == time_point{} ||
@@ -430,16 +434,17 @@
 // a dead server don't attract calls. A warm server's limit rises as soon as it is used, so its load
 // is counted over its slots; otherwise quiet servers would look full and send calls elsewhere.
 std::uint32_t admission_load_permille(const admission_state& state, time_point now) {
-    const std::uint32_t limit = allowed(state);
+    const std::uint32_t limit = concurrency_limit(state);
     if (limit == 1 && (state.m_recent_failures & 1U) != 0) {
         return 1000;
     }
     const auto busy = static_cast<std::uint64_t>(state.m_running) + state.m_queue.size();
     const std::uint32_t bound = state.m_warm ? std::max(limit, state.m_limits.m_slots) : limit;
     std::uint64_t load = 1000 * busy / bound;
-    if (says_cold(state, now)) {
-        const auto begun = static_cast<double>(state.m_cold_starts.size() + state.m_queue.size());
-        const double share = begun / state.m_limits.m_cold_per_second;
+    if (reports_cold(state, now)) {
+        const auto recent_starts =
+            static_cast<double>(state.m_cold_call_starts.size() + state.m_queue.size());
+        const double share = recent_starts / state.m_limits.m_cold_calls_per_second;
         load = std::max(load, static_cast<std::uint64_t>(1000 * share));
     }
     return static_cast<std::uint32_t>(std::min(max_load_permille, load));
--- a/src/decide/admission.hpp
+++ b/src/decide/admission.hpp
@@ -23,10 +23,10 @@
     // counted from its first answer; longer while its latency still falls.
     milliseconds m_cold_hold{5'000};
     // False for a server that says itself when it is cold: the limit is then always the slots.
-    bool m_infers_cold = true;
+    bool m_detect_cold_start = true;
     // Such a server bears so many calls a second until then; 0: any number.
     time_point m_cold_until;
-    double m_cold_per_second = 0;
+    double m_cold_calls_per_second = 0;
 };
 
 // A call that waits for a slot.
@@ -35,8 +35,8 @@
     urgency m_urgency = urgency::normal;
     bool m_late = false; // its answer has lost most of its worth already
     time_point m_deadline;
-    std::uint64_t m_order = 0; // arrival
-    std::string m_route;       // empty: not told
+    std::uint64_t m_arrival_order = 0; // arrival
+    std::string m_route;               // empty: not told
     time_point m_useful_until; // when the answer loses most of its worth; not known if long past
     time_point m_queued_at;
     duration m_expected_wait{}; // for a slot, as estimated on arrival
@@ -56,17 +56,18 @@
     std::uint32_t m_fast_answers = 0;    // in a row since the limit last changed
     double m_failure_share = 0;          // of the last calls, smoothed
     std::uint32_t m_recent_failures = 0; // one bit for each of the last calls, newest lowest
-    duration m_slow_smoothed{};   // smoothed over more answers; its least value is the best latency
-    duration m_settled_latency{}; // smoothed latency at m_settled_at
-    time_point m_settled_at;
+    duration m_slow_smoothed_latency{};  // smoothed over more answers; its least value is the best
+                                         // latency
+    duration m_trend_latency{};          // smoothed latency at m_trend_started
+    time_point m_trend_started;
     time_point m_warming_until; // the latency fell lately: not warm before this
     bool m_warm = false;        // since the limit last dropped, answers were as fast as when warm
     time_point m_first_answer;
     time_point m_last_answer;
-    time_point m_dropped_at; // answers to calls that began before this don't count
+    time_point m_limit_dropped_at; // answers to calls that began before this don't count
     std::vector<queued_call> m_queue;
     std::uint64_t m_next_order = 0;
-    std::deque<time_point> m_cold_starts; // calls begun in the last second while cold
+    std::deque<time_point> m_cold_call_starts; // calls begun in the last second while cold
     bool m_draining = false;
 };
 
@@ -78,7 +79,7 @@
     // A call that lost its place in the full queue to a more urgent one; 0 if none. It is answered
     // as refused with queue_full.
     std::uint64_t m_displaced = 0;
-    duration m_room_after{}; // refuse: until there may be room for such a call
+    duration m_retry_after{}; // refuse: until there may be room for such a call
 };
 
 admission_state make_admission(const admission_limits& limits);
--- a/src/decide/balance.hpp
+++ b/src/decide/balance.hpp
@@ -41,10 +41,10 @@
 // One node's choices between the two versions of a service. Every call covers its weight of a unit
 // of 1000; in each unit the new version is chosen once, at a random place.
 struct version_share {
-    std::uint32_t m_covered = 0; // of the current unit
-    std::uint32_t m_place = 0;   // in the current unit, where the new version is chosen
-    bool m_begun = false;        // m_place is drawn
-    std::uint32_t m_due = 0;     // places passed whose choice is still to be made
+    std::uint32_t m_unit_position = 0;      // of the current unit
+    std::uint32_t m_selected_position = 0;  // in the current unit, where the new version is chosen
+    bool m_initialised = false;             // m_selected_position is drawn
+    std::uint32_t m_pending_selections = 0; // places passed whose choice is still to be made
 };
 
 // Chooses the version of a call: true for the new version, which gets weight_permille of the calls,
@@ -54,13 +54,13 @@
 bool choose_new_version(version_share& share, std::uint32_t weight_permille, random_source& random);
 
 // One node's choices between the services of a split route.
-struct split_choice {
-    std::vector<std::int64_t> m_credit; // by part
+struct weighted_round_robin {
+    std::vector<std::int64_t> m_current_weights; // by part
 };
 
 // Chooses a part by its weight: smooth weighted round robin, exact to about one call at any moment.
 // weights holds at least one that is above 0; a choice with other numbers of parts starts afresh.
-std::size_t choose_part(split_choice& choice, std::span<const std::uint32_t> weights);
+std::size_t choose_weighted(weighted_round_robin& choice, std::span<const std::uint32_t> weights);
 
 // A circuit breaker for one backend server: opens after consecutive failures to reach it and lets
 // one call through after a backoff.
@@ -71,11 +71,11 @@
 };
 bool breaker_is_open(const circuit_breaker& breaker, time_point now);
 // Marks the one trial call of a half-open breaker; returns false if another one is under way.
-bool breaker_try(circuit_breaker& breaker, time_point now);
-void breaker_success(circuit_breaker& breaker);
-void breaker_failure(circuit_breaker& breaker, time_point now);
+bool breaker_try_call(circuit_breaker& breaker, time_point now);
+void breaker_record_success(circuit_breaker& breaker);
+void breaker_record_failure(circuit_breaker& breaker, time_point now);
 // A connection could not be made: the breaker opens at once, since each such call costs its caller
 // the whole time that a connection is waited for.
-void breaker_unreachable(circuit_breaker& breaker, time_point now);
+void breaker_record_unreachable(circuit_breaker& breaker, time_point now);
 
 } // namespace caraway
--- a/src/decide/move_evidence.cpp
+++ b/src/decide/move_evidence.cpp
@@ -64,7 +64,7 @@
     {{0.25, 3}, {0.25, 20}, {0.05, 3}, {0.05, 20}}};
 // Servers of one service differ in speed, and a version has few of them: calls of the new version
 // count as slow from this many classes (1.5 times each) above the threshold of the old version's.
-constexpr std::size_t server_speed_classes = 1;
+constexpr std::size_t server_speed_buckets = 1;
 // Old calls in the window before a threshold is taken from it.
 constexpr double window_min_calls = 20;
 // Windows forget within about 40 intervals, so that thresholds follow the time of day.
@@ -91,8 +91,8 @@
 constexpr double pass_score = 3.0;
 constexpr double bad_failure_excess = 0.10;
 // Scores are kept in this range, so that a burst (one crashed server) can be made up for.
-constexpr double good_floor = -5;
-constexpr double good_ceiling = 10;
+constexpr double min_score = -5;
+constexpr double max_score = 10;
 
 // Fewest calls of the new version in a stage: for any raise, and for a route to be judged.
 constexpr std::uint64_t first_stage_min_calls = 3;
@@ -180,16 +180,16 @@
 
 // R(k) = (R(k-1) + w(k)) * L(k), bounded so that it stays finite.
 template <std::size_t alternatives>
-void update(ratio_test<alternatives>& test, const interval_ratios<alternatives>& interval,
-            double cap) {
+void update_ratios(ratio_test<alternatives>& test, const interval_ratios<alternatives>& interval,
+                   double cap) {
     if (!interval.m_informative) {
         return;
     }
     constexpr double largest = 1e100;
-    const auto k = static_cast<double>(++test.m_looks);
+    const auto k = static_cast<double>(++test.m_informative_intervals);
     double weight = spread_mass * start_spread / ((k + start_spread) * (k + start_spread - 1));
-    if (!test.m_stage_begun) {
-        test.m_stage_begun = true;
+    if (!test.m_stage_started) {
+        test.m_stage_started = true;
         weight += stage_start_mass;
     }
     for (std::size_t i = 0; i < alternatives; ++i) {
@@ -208,14 +208,14 @@
 }
 
 template <std::size_t alternatives>
-void fade_ratios(ratio_test<alternatives>& test) {
+void decay_ratios(ratio_test<alternatives>& test) {
     for (double& ratio : test.m_ratios) {
         ratio *= ratio_decay;
     }
 }
 
-void add_good(double& score, double log_ratio, double cap) {
-    score = std::clamp(score + std::clamp(log_ratio, -cap, cap), good_floor, good_ceiling);
+void add_to_score(double& score, double log_ratio, double cap) {
+    score = std::clamp(score + std::clamp(log_ratio, -cap, cap), min_score, max_score);
 }
 
 std::uint64_t latency_calls(const arm_counts& counts) {
@@ -226,9 +226,9 @@
     return sum;
 }
 
-std::uint64_t calls_above(const arm_counts& counts, std::size_t latency_class) {
+std::uint64_t calls_above(const arm_counts& counts, std::size_t bucket) {
     std::uint64_t sum = 0;
-    for (std::size_t i = latency_class + 1; i < latency_classes; ++i) {
+    for (std::size_t i = bucket + 1; i < latency_buckets; ++i) {
         sum += counts.m_latency[i];
     }
     return sum;
@@ -236,7 +236,7 @@
 
 // The lowest class that at most slow_share of the window's calls exceed; nothing while the window
 // has too few calls.
-std::optional<std::size_t> slow_threshold(const std::array<double, latency_classes>& window,
+std::optional<std::size_t> slow_threshold(const std::array<double, latency_buckets>& window,
                                           double slow_share) {
     double total = 0;
     for (const double count : window) {
@@ -246,7 +246,7 @@
         return std::nullopt;
     }
     double above = 0;
-    std::size_t threshold = latency_classes - 1;
+    std::size_t threshold = latency_buckets - 1;
     while (threshold > 0 && above + window[threshold] <= slow_share * total) {
         above += window[threshold];
         --threshold;
@@ -258,7 +258,7 @@
     sum.m_calls += value.m_calls;
     sum.m_failures += value.m_failures;
     sum.m_cold_calls += value.m_cold_calls;
-    for (std::size_t i = 0; i < latency_classes; ++i) {
+    for (std::size_t i = 0; i < latency_buckets; ++i) {
         sum.m_latency[i] += value.m_latency[i];
     }
 }
@@ -277,14 +277,14 @@
         m_largest = std::max(m_largest, failures);
     }
     std::uint32_t excess() const {
-        const std::uint32_t kept = m_second + single_server_failures;
-        return m_servers > 1 && m_largest > kept ? m_largest - kept : 0;
+        const std::uint32_t tolerated = m_second + single_server_failures;
+        return m_servers > 1 && m_largest > tolerated ? m_largest - tolerated : 0;
     }
 };
 
 // Failures of a batch: compared with the old version's, or where it has no calls, with the assumed
 // good share.
-interval_ratios<failure_alternatives> test_failures(const route_test& test, bool old_seen) {
+interval_ratios<failure_alternatives> test_failures(const route_test& test, bool old_version_seen) {
     interval_ratios<failure_alternatives> result;
     const std::uint64_t n_new = test.m_pending_new.m_calls;
     const std::uint64_t n_old = test.m_pending_old.m_calls;
@@ -300,10 +300,10 @@
     }
     const auto failures = static_cast<double>(x);
     const auto successes = static_cast<double>(n_new - x);
-    double good = old_seen ? assumed_good_failure_share : assumed_good_failure_share_alone;
-    if (test.m_all_old_calls > 0) {
-        good = std::max(good, static_cast<double>(test.m_all_old_failures) /
-                                  static_cast<double>(test.m_all_old_calls));
+    double good = old_version_seen ? assumed_good_failure_share : assumed_good_failure_share_alone;
+    if (test.m_total_old_calls > 0) {
+        good = std::max(good, static_cast<double>(test.m_total_old_failures) /
+                                  static_cast<double>(test.m_total_old_calls));
     }
     if (good > largest_comparable_share) {
         return result;
@@ -353,33 +353,34 @@
     const double bad = good + bad_failure_excess;
     const double failures = test.m_pending_new.m_failures;
     const double successes = test.m_pending_new.m_calls - failures;
-    add_good(test.m_failure_good,
-             failures * std::log(good / bad) + successes * std::log((1 - good) / (1 - bad)), cap);
+    add_to_score(test.m_failure_score,
+                 failures * std::log(good / bad) + successes * std::log((1 - good) / (1 - bad)),
+                 cap);
 }
 
 // Tests what is pending on a route once it is worth a comparison.
-void test_pending(route_test& test, bool old_seen, double cap,
+void test_pending(route_test& test, bool old_version_seen, double cap,
                   interval_ratios<failure_alternatives>& all_failures,
                   interval_ratios<latency_alternatives>& all_latency) {
-    const arm_counts& fresh = test.m_pending_new;
+    const arm_counts& new_counts = test.m_pending_new;
     const bool old_absent = test.m_pending_old.m_calls == 0 && test.m_window_old_calls < 1;
     const bool enough = test.m_pending_old.m_calls >= pending_min_old_calls || old_absent;
-    if ((fresh.m_calls == 0 || !enough) && test.m_pending_intervals < max_pending_intervals) {
+    if ((new_counts.m_calls == 0 || !enough) && test.m_pending_intervals < max_pending_intervals) {
         return;
     }
-    if (fresh.m_calls > 0) {
-        const auto failures = test_failures(test, old_seen);
-        const auto latency = test_latency(test, server_speed_classes);
-        update(test.m_failures, failures, cap);
-        update(test.m_latency, latency, cap);
+    if (new_counts.m_calls > 0) {
+        const auto failures = test_failures(test, old_version_seen);
+        const auto latency = test_latency(test, server_speed_buckets);
+        update_ratios(test.m_failures, failures, cap);
+        update_ratios(test.m_latency, latency, cap);
         combine(all_failures, failures);
         combine(all_latency, latency);
-        add_good(test.m_latency_good, -test_latency(test, 0).m_log[0], cap);
+        add_to_score(test.m_latency_score, -test_latency(test, 0).m_log[0], cap);
         score_failures(test, cap);
     }
-    for (std::size_t i = 0; i < latency_classes; ++i) {
+    for (std::size_t i = 0; i < latency_buckets; ++i) {
         test.m_window_old[i] += test.m_pending_old.m_latency[i];
-        test.m_window_new[i] += fresh.m_latency[i];
+        test.m_window_new[i] += new_counts.m_latency[i];
     }
     test.m_window_old_calls += test.m_pending_old.m_calls;
     test.m_window_old_failures += test.m_pending_old.m_failures;
@@ -388,10 +389,10 @@
     test.m_pending_intervals = 0;
 }
 
-void fade(route_test& test) {
-    fade_ratios(test.m_failures);
-    fade_ratios(test.m_latency);
-    for (std::size_t i = 0; i < latency_classes; ++i) {
+void decay_evidence(route_test& test) {
+    decay_ratios(test.m_failures);
+    decay_ratios(test.m_latency);
+    for (std::size_t i = 0; i < latency_buckets; ++i) {
         test.m_window_old[i] *= window_decay;
         test.m_window_new[i] *= window_decay;
     }
@@ -400,16 +401,16 @@
 }
 
 // Upper edge in milliseconds of the class that holds the middle of a window.
-double median_ms(const std::array<double, latency_classes>& window) {
+double median_ms(const std::array<double, latency_buckets>& window) {
     double total = 0;
     for (const double count : window) {
         total += count;
     }
-    double seen = 0;
+    double cumulative = 0;
     double edge = 0.1;
-    for (std::size_t i = 0; i < latency_classes; ++i) {
-        seen += window[i];
-        if (2 * seen >= total) {
+    for (std::size_t i = 0; i < latency_buckets; ++i) {
+        cumulative += window[i];
+        if (2 * cumulative >= total) {
             break;
         }
         edge *= 1.5;
@@ -470,9 +471,9 @@
 
 bool has_passed(const route_test& test, std::size_t routes) {
     // Where the old version has no traffic, or all calls are cold, there is no latency to compare.
-    const bool latency =
-        test.m_latency_good >= pass_score || (test.m_latency.m_looks == 0 && test.m_old_calls == 0);
-    return test.m_failure_good >= pass_score && latency && !is_doubtful(test, routes);
+    const bool latency = test.m_latency_score >= pass_score ||
+                         (test.m_latency.m_informative_intervals == 0 && test.m_old_calls == 0);
+    return test.m_failure_score >= pass_score && latency && !is_doubtful(test, routes);
 }
 
 bool has_traffic(const route_test& test) {
@@ -494,7 +495,7 @@
     }
     const double microseconds = std::chrono::duration<double, std::micro>(latency).count();
     std::size_t index = 0;
-    for (double edge = 100; index + 1 < latency_classes && microseconds > edge; edge *= 1.5) {
+    for (double edge = 100; index + 1 < latency_buckets && microseconds > edge; edge *= 1.5) {
         ++index;
     }
     ++counts.m_latency[index];
@@ -513,13 +514,13 @@
             if (counts.m_calls == 0) {
                 continue;
             }
-            evidence.m_old_seen = evidence.m_old_seen || !is_new;
+            evidence.m_old_version_seen = evidence.m_old_version_seen || !is_new;
             route_test& test = evidence.m_routes[route];
             add_arm(is_new ? test.m_pending_new : test.m_pending_old, counts);
             (is_new ? test.m_new_calls : test.m_old_calls) += counts.m_calls;
             (is_new ? test.m_new_failures : test.m_old_failures) += counts.m_failures;
-            test.m_all_old_calls += is_new ? 0 : counts.m_calls;
-            test.m_all_old_failures += is_new ? 0 : counts.m_failures;
+            test.m_total_old_calls += is_new ? 0 : counts.m_calls;
+            test.m_total_old_failures += is_new ? 0 : counts.m_failures;
             if (is_new) {
                 peaks[route].add(counts.m_failures);
             }
@@ -530,20 +531,20 @@
     evidence.m_weight_changed = false;
     interval_ratios<failure_alternatives> all_failures;
     interval_ratios<latency_alternatives> all_latency;
-    fade_ratios(evidence.m_failures);
-    fade_ratios(evidence.m_latency);
+    decay_ratios(evidence.m_failures);
+    decay_ratios(evidence.m_latency);
     for (auto& [route, test] : evidence.m_routes) {
         if (const auto peak = peaks.find(route); peak != peaks.end()) {
             const std::uint32_t excess = peak->second.excess();
             test.m_pending_new.m_calls -= excess;
             test.m_pending_new.m_failures -= excess;
         }
-        fade(test);
+        decay_evidence(test);
         ++test.m_pending_intervals;
-        test_pending(test, evidence.m_old_seen, cap, all_failures, all_latency);
+        test_pending(test, evidence.m_old_version_seen, cap, all_failures, all_latency);
     }
-    update(evidence.m_failures, all_failures, cap);
-    update(evidence.m_latency, all_latency, cap);
+    update_ratios(evidence.m_failures, all_failures, cap);
+    update_ratios(evidence.m_latency, all_latency, cap);
 }
 
 evidence_result judge_evidence(const move_evidence& evidence) {
@@ -579,7 +580,7 @@
     std::uint64_t rare_calls = 0;
     const bool first = stage == 0;
     const bool last = stage + 1 == move_stages;
-    const std::uint64_t least_calls =
+    const std::uint64_t min_calls =
         stage <= last_early_stage ? early_route_min_calls : route_min_calls;
     if (is_doubtful(evidence.m_failures, evidence.m_routes.size()) ||
         is_doubtful(evidence.m_latency, evidence.m_routes.size())) {
@@ -598,15 +599,15 @@
             continue;
         }
         // At full weight there is no old traffic to compare with; only the failure share counts.
-        if (last && test.m_failure_good >= pass_score) {
+        if (last && test.m_failure_score >= pass_score) {
             continue;
         }
         if (!late) {
             return false;
         }
-        if (test.m_new_calls < least_calls) {
+        if (test.m_new_calls < min_calls) {
             rare_calls += test.m_new_calls + test.m_old_calls;
-        } else if (test.m_failure_good <= -pass_score) {
+        } else if (test.m_failure_score <= -pass_score) {
             return false;
         }
     }
@@ -620,13 +621,13 @@
 // version's window of calls starts again: at full weight it must not pass for present traffic.
 void begin_stage(move_evidence& evidence) {
     evidence.m_weight_changed = true;
-    evidence.m_failures.m_stage_begun = false;
-    evidence.m_latency.m_stage_begun = false;
+    evidence.m_failures.m_stage_started = false;
+    evidence.m_latency.m_stage_started = false;
     for (auto& [route, test] : evidence.m_routes) {
-        test.m_failures.m_stage_begun = false;
-        test.m_latency.m_stage_begun = false;
-        test.m_failure_good = 0;
-        test.m_latency_good = 0;
+        test.m_failures.m_stage_started = false;
+        test.m_latency.m_stage_started = false;
+        test.m_failure_score = 0;
+        test.m_latency_score = 0;
         test.m_new_calls = 0;
         test.m_old_calls = 0;
         test.m_new_failures = 0;
--- a/src/decide/move_evidence.hpp
+++ b/src/decide/move_evidence.hpp
@@ -18,13 +18,13 @@
 
 // Upper edges of the latency classes in microseconds grow by a factor of 1.5 from 100; the last
 // class is open.
-constexpr std::size_t latency_classes = 32;
+constexpr std::size_t latency_buckets = 32;
 
 // Counts of one version on one route over one reporting interval.
 struct arm_counts {
     std::uint32_t m_calls = 0;
     std::uint32_t m_failures = 0; // 5xx answers, cut connections, timeouts of the backend server
-    std::array<std::uint32_t, latency_classes>
+    std::array<std::uint32_t, latency_buckets>
         m_latency{};                // of successful calls outside cold start
     std::uint32_t m_cold_calls = 0; // served while the cold-start limit was below the slots
 };
@@ -58,8 +58,8 @@
 template <std::size_t alternatives>
 struct ratio_test {
     std::array<double, alternatives> m_ratios{};
-    std::uint64_t m_looks = 0;  // informative intervals so far
-    bool m_stage_begun = false; // the current stage had an informative interval
+    std::uint64_t m_informative_intervals = 0; // informative intervals so far
+    bool m_stage_started = false;              // the current stage had an informative interval
 };
 
 // The accumulated evidence of one route. Opaque to callers but for tests; the fields are owned by
@@ -68,8 +68,8 @@
     ratio_test<failure_alternatives> m_failures;
     ratio_test<latency_alternatives> m_latency;
     // Log-likelihood ratios of "as good" to "worse" in the current stage.
-    double m_failure_good = 0;
-    double m_latency_good = 0;
+    double m_failure_score = 0;
+    double m_latency_score = 0;
     std::uint64_t m_new_calls = 0; // since the current stage began
     std::uint64_t m_old_calls = 0;
     std::uint64_t m_new_failures = 0;
@@ -79,14 +79,14 @@
     arm_counts m_pending_new;
     std::uint32_t m_pending_intervals = 0;
     // Decayed windows, for thresholds and reasons.
-    std::array<double, latency_classes> m_window_old{};
-    std::array<double, latency_classes> m_window_new{};
+    std::array<double, latency_buckets> m_window_old{};
+    std::array<double, latency_buckets> m_window_new{};
     double m_window_old_calls = 0;
     double m_window_old_failures = 0;
     // Of the old version since the move began: what was always so on a route is no defect of the
     // new version when at full weight there is no old traffic to compare with.
-    std::uint64_t m_all_old_calls = 0;
-    std::uint64_t m_all_old_failures = 0;
+    std::uint64_t m_total_old_calls = 0;
+    std::uint64_t m_total_old_failures = 0;
 };
 
 // The accumulated evidence for one move, at its holder or at one backend-side node.
@@ -95,8 +95,8 @@
     // The same tests over all routes together, for a defect that shows on all of them.
     ratio_test<failure_alternatives> m_failures;
     ratio_test<latency_alternatives> m_latency;
-    bool m_old_seen = false;       // the old version had calls on some route
-    bool m_weight_changed = false; // the next interval has calls from before and after a raise
+    bool m_old_version_seen = false; // the old version had calls on some route
+    bool m_weight_changed = false;   // the next interval has calls from before and after a raise
     // Instances of the new version that may suspend it on their own evidence; they share a part of
     // the false-alarm bound.
     std::uint32_t m_instances = 8;
--- a/src/decide/own_server.cpp
+++ b/src/decide/own_server.cpp
@@ -10,21 +10,21 @@
 
 // True for a late report of a server that said before that it stops.
 // Reports may arrive seconds late.
-constexpr milliseconds latest_report{6'000};
+constexpr milliseconds max_report_delay{6'000};
 // The highest sequence of a server that may have started since it left: its count starts anew, and
 // it needs some seconds to stop and start.
-constexpr std::uint64_t new_incarnation_sequence = 2;
+constexpr std::uint64_t max_new_incarnation_sequence = 2;
 
 // True when the report comes from an incarnation that said that it stops before this node knew it.
 // A leave that doesn't state when its server started is taken for that of the incarnation whose
 // late report follows it.
 bool has_left(own_server& server, const server_report& report, time_point now) {
-    auto& leave = server.m_unknown_leave;
+    auto& leave = server.m_unmatched_leave;
     if (!leave || leave->m_server != report.m_server) {
         return false;
     }
-    const bool late = now - server.m_unknown_leave_at <= latest_report &&
-                      report.m_sequence > new_incarnation_sequence;
+    const bool late = now - server.m_unmatched_leave_at <= max_report_delay &&
+                      report.m_sequence > max_new_incarnation_sequence;
     if (!leave->m_started_ms && late) {
         leave->m_started_ms = report.m_started_ms;
     }
@@ -61,11 +61,11 @@
         if (server.m_report && report.m_started_ms <= server.m_report->m_started_ms) {
             return report_verdict::stale;
         }
-        const auto unknown_leave = server.m_unknown_leave;
-        const time_point unknown_leave_at = server.m_unknown_leave_at;
+        const auto unmatched_leave = server.m_unmatched_leave;
+        const time_point unmatched_leave_at = server.m_unmatched_leave_at;
         server = own_server{};
-        server.m_unknown_leave = unknown_leave;
-        server.m_unknown_leave_at = unknown_leave_at;
+        server.m_unmatched_leave = unmatched_leave;
+        server.m_unmatched_leave_at = unmatched_leave_at;
     }
     server.m_report = report;
     server.m_reported_at = now;
@@ -76,8 +76,8 @@
 
 report_verdict receive_leave(own_server& server, const server_leave& leave, time_point now) {
     if (!server.m_report || server.m_report->m_server != leave.m_server) {
-        server.m_unknown_leave = leave;
-        server.m_unknown_leave_at = now;
+        server.m_unmatched_leave = leave;
+        server.m_unmatched_leave_at = now;
         return report_verdict::stale;
     }
     if (leave.m_started_ms && *leave.m_started_ms != server.m_report->m_started_ms) {
--- a/src/decide/own_server.hpp
+++ b/src/decide/own_server.hpp
@@ -38,8 +38,8 @@
 struct own_server {
     std::optional<server_report> m_report; // latest one of the current incarnation
     // The last leave of a server that was not known then, as to a node that has just restarted.
-    std::optional<server_leave> m_unknown_leave;
-    time_point m_unknown_leave_at;
+    std::optional<server_leave> m_unmatched_leave;
+    time_point m_unmatched_leave_at;
     time_point m_reported_at;
     time_point m_cold_until;
     bool m_left = false;        // it said that it stops
--- a/src/decide/pushback.cpp
+++ b/src/decide/pushback.cpp
@@ -7,25 +7,25 @@
 
 // Bounds of the time in which a server that refused is not asked. A slot becomes free every few
 // milliseconds, and what a node states is an estimate; after the longest time it is asked anew.
-constexpr milliseconds shortest_pushback{10};
-constexpr milliseconds longest_pushback{250};
+constexpr milliseconds min_pushback{10};
+constexpr milliseconds max_pushback{250};
 
 // Callers that may still be answered in time come back within this time, spread so that they don't
 // return in step.
-constexpr milliseconds soon_least{40};
-constexpr milliseconds soon_spread{80};
+constexpr milliseconds early_retry_min{40};
+constexpr milliseconds early_retry_jitter{80};
 // A caller needs about this share of its useful time for the answer itself.
 constexpr double answer_share = 0.5;
 // Callers that will be late anyway come back in this part of the time that they have left.
-constexpr double late_least_share = 0.2;
-constexpr double late_most_share = 0.33;
+constexpr double late_retry_min_share = 0.2;
+constexpr double late_retry_max_share = 0.33;
 // A version or data centre that takes no calls any more: the next attempt goes elsewhere.
-constexpr milliseconds elsewhere_wait{20};
+constexpr milliseconds reroute_delay{20};
 // Callers of a leaving node come back when it has been replaced or they have found another one;
 // ones told to return at once used up their attempts within 40 ms.
-constexpr milliseconds replacement_wait{500};
+constexpr milliseconds replacement_delay{500};
 // A node without a configuration gets one within some hundred milliseconds.
-constexpr milliseconds start_wait{250};
+constexpr milliseconds startup_delay{250};
 
 // Differences of deadlines below this are the callers' own handling.
 constexpr milliseconds deadline_tolerance{20};
@@ -36,58 +36,61 @@
 
 } // namespace
 
-bool is_overload(error_kind reason) {
+bool is_overload_refusal(error_kind reason) {
     return reason == error_kind::queue_full || reason == error_kind::cold_start_limit;
 }
 
-void note_refusal(refusal_memory& memory, urgency level, duration wait, time_point now) {
-    const time_point until = now + std::clamp<duration>(wait, shortest_pushback, longest_pushback);
+void record_refusal(refusal_state& refusals, urgency level, duration wait, time_point now) {
+    const time_point until = now + std::clamp<duration>(wait, min_pushback, max_pushback);
     for (auto i = static_cast<std::size_t>(level); i < urgency_levels; ++i) {
-        memory.m_until[i] = std::max(memory.m_until[i], until);
+        refusals.m_until[i] = std::max(refusals.m_until[i], until);
     }
 }
 
-void note_acceptance(refusal_memory& memory, urgency level) {
+void record_acceptance(refusal_state& refusals, urgency level) {
     for (std::size_t i = 0; i <= static_cast<std::size_t>(level); ++i) {
-        memory.m_until[i] = time_point{};
+        refusals.m_until[i] = time_point{};
     }
 }
 
-bool is_refusing(const refusal_memory& memory, urgency level, time_point now) {
-    return now < memory.m_until[static_cast<std::size_t>(level)];
+bool is_refusing(const refusal_state& refusals, urgency level, time_point now) {
+    return now < refusals.m_until[static_cast<std::size_t>(level)];
 }
 
-void note_deadline(caller_history& history, milliseconds stated) {
-    history.m_longest_deadline = std::max(history.m_longest_deadline, stated);
+void record_deadline(caller_history& history, milliseconds stated) {
+    history.m_max_deadline = std::max(history.m_max_deadline, stated);
 }
 
-void note_refused_caller(caller_history& history, duration left, time_point now) {
-    history.m_refused_until = std::max(history.m_refused_until, now + left);
+void record_refused_caller(caller_history& history, duration left, time_point now) {
+    history.m_returning_until = std::max(history.m_returning_until, now + left);
 }
 
-duration time_before(const caller_history& history, milliseconds stated, time_point now) {
-    const milliseconds missing = history.m_longest_deadline - stated;
-    return now < history.m_refused_until && missing > deadline_tolerance ? missing : duration{};
+duration elapsed_before_attempt(const caller_history& history, milliseconds stated,
+                                time_point now) {
+    const milliseconds shortfall = history.m_max_deadline - stated;
+    return now < history.m_returning_until && shortfall > deadline_tolerance ? shortfall
+                                                                             : duration{};
 }
 
-duration advise_return(error_kind reason, duration useful_left, duration left,
-                       random_source& random) {
+duration suggest_retry_delay(error_kind reason, duration useful_left, duration left,
+                             random_source& random) {
     if (reason == error_kind::draining) {
-        return std::max<duration>(soon_least, std::min<duration>(replacement_wait, left / 3));
+        return std::max<duration>(early_retry_min, std::min<duration>(replacement_delay, left / 3));
     }
     if (reason == error_kind::version_suspended || reason == error_kind::version_not_served ||
         reason == error_kind::data_centre_out) {
-        return elsewhere_wait;
+        return reroute_delay;
     }
     if (reason == error_kind::node_not_ready) {
-        return start_wait;
+        return startup_delay;
     }
-    const duration soon = soon_least + share_of(soon_spread, random.unit());
-    if (soon < share_of(useful_left, answer_share)) {
-        return soon;
+    const duration early_delay = early_retry_min + share_of(early_retry_jitter, random.unit());
+    if (early_delay < share_of(useful_left, answer_share)) {
+        return early_delay;
     }
-    const double share = late_least_share + (late_most_share - late_least_share) * random.unit();
-    return std::max<duration>(soon_least, share_of(left, share));
+    const double share =
+        late_retry_min_share + (late_retry_max_share - late_retry_min_share) * random.unit();
+    return std::max<duration>(early_retry_min, share_of(left, share));
 }
 
 } // namespace caraway
--- a/src/decide/retry.cpp
+++ b/src/decide/retry.cpp
@@ -6,11 +6,11 @@
 namespace {
 
 // Tokens of a retry budget that are kept at most, as a multiple of the first ones.
-constexpr double most_saved_bursts = 1.5;
+constexpr double max_saved_bursts = 1.5;
 
 // Failures after which an idempotent call may be sent again although it may have run. The other
 // unknown outcomes would recur (answer too large) or leave no time (deadline, cancellation).
-bool is_repeatable_unknown(error_kind kind) {
+bool is_retryable_unknown(error_kind kind) {
     return kind == error_kind::connection_cut || kind == error_kind::answer_truncated;
 }
 
@@ -18,28 +18,28 @@
 
 retry_budget make_retry_budget(double percent, double burst) {
     retry_budget budget;
-    budget.m_per_call = percent / 100;
+    budget.m_tokens_per_call = percent / 100;
     budget.m_tokens = burst;
-    budget.m_max_tokens = most_saved_bursts * burst;
+    budget.m_max_tokens = max_saved_bursts * burst;
     return budget;
 }
 
 void budget_deposit(retry_budget& budget) {
-    budget.m_tokens = std::min(budget.m_max_tokens, budget.m_tokens + budget.m_per_call);
+    budget.m_tokens = std::min(budget.m_max_tokens, budget.m_tokens + budget.m_tokens_per_call);
 }
 
 // The budget is asked last, so that a call that may not be retried anyway takes no token.
 bool may_retry(const attempt& failed, retry_budget& budget, time_point now) {
     const std::uint32_t limit =
         failed.m_reached_server ? failed.m_max_retries : max_refused_retries;
-    if (failed.m_retries >= limit || failed.m_refused_deeper) {
+    if (failed.m_retries >= limit || failed.m_failed_downstream) {
         return false;
     }
     if (failed.m_deadline - now < min_retry_time) {
         return false;
     }
     const bool not_run = answer_for(failed.m_failure).m_retry_elsewhere;
-    if (!not_run && !(failed.m_idempotent && is_repeatable_unknown(failed.m_failure))) {
+    if (!not_run && !(failed.m_idempotent && is_retryable_unknown(failed.m_failure))) {
         return false;
     }
     if (!failed.m_reached_server) {
--- a/src/decide/retry.hpp
+++ b/src/decide/retry.hpp
@@ -11,7 +11,7 @@
 // Token bucket for one service: every call adds a fraction of a token, every retry takes one.
 struct retry_budget {
     double m_tokens = 10; // lets a quiet service retry a few calls
-    double m_per_call = 0.1;
+    double m_tokens_per_call = 0.1;
     double m_max_tokens = 100;
 };
 
@@ -38,7 +38,7 @@
     std::uint32_t m_max_retries = max_retries; // counts if m_reached_server
     // The next hop itself already retried or is an intermediate answer of a deeper hop: only the
     // layer next to the refusal retries.
-    bool m_refused_deeper = false;
+    bool m_failed_downstream = false;
     time_point m_deadline;
 };
 
--- a/src/decide/route_latency.cpp
+++ b/src/decide/route_latency.cpp
@@ -6,16 +6,16 @@
 namespace {
 
 // Weight of a new answer is one in this many.
-constexpr std::uint32_t smoothing = 16;
+constexpr std::uint32_t smoothing_samples = 16;
 // Answers from which the values are of use.
-constexpr std::uint32_t least_answers = 4;
+constexpr std::uint32_t min_answers = 4;
 // Routes that are told apart; a service has few that are called often.
 constexpr std::size_t max_routes = 256;
 
 } // namespace
 
 // The first answers are averaged, so that the first one doesn't count more than the others.
-void learn_route_latency(route_latencies& latencies, std::string_view route, duration latency) {
+void update_route_latency(route_latencies& latencies, std::string_view route, duration latency) {
     auto found = latencies.find(route);
     if (found == latencies.end()) {
         if (route.empty() || latencies.size() >= max_routes) {
@@ -25,7 +25,7 @@
     }
     route_latency& known = found->second;
     ++known.m_answers;
-    const auto weight = static_cast<int>(std::min(known.m_answers, smoothing));
+    const auto weight = static_cast<int>(std::min(known.m_answers, smoothing_samples));
     const duration distance =
         latency > known.m_mean ? latency - known.m_mean : known.m_mean - latency;
     known.m_mean += (latency - known.m_mean) / weight;
@@ -36,8 +36,8 @@
 
 const route_latency* find_route_latency(const route_latencies& latencies, std::string_view route) {
     const auto found = latencies.find(route);
-    return found == latencies.end() || found->second.m_answers < least_answers ? nullptr
-                                                                               : &found->second;
+    return found == latencies.end() || found->second.m_answers < min_answers ? nullptr
+                                                                             : &found->second;
 }
 
 } // namespace caraway
--- a/src/decide/route_latency.hpp
+++ b/src/decide/route_latency.hpp
@@ -21,7 +21,7 @@
 using route_latencies = std::map<std::string, route_latency, std::less<>>;
 
 // Takes one answer into the route's smoothed latency. Routes beyond a bound are left out.
-void learn_route_latency(route_latencies& latencies, std::string_view route, duration latency);
+void update_route_latency(route_latencies& latencies, std::string_view route, duration latency);
 
 // The latency of the route, or null while too few of its answers are known.
 const route_latency* find_route_latency(const route_latencies& latencies, std::string_view route);
--- a/src/decide/version_move.cpp
+++ b/src/decide/version_move.cpp
@@ -10,11 +10,12 @@
 namespace {
 
 // Schedule, derived from the target that a good version is done by its deadline although the store
-// is away for a third of the time given. A stage may end at stage_end if every route passed, and at
-// late_end if evidence is scarce but nothing speaks against the version. The last stage ends at
-// 0.62 of the time given; before it each stage needs min_dwell. An outage that begins just before
-// one of these times shifts the rest by a third and still leaves 0.04 before the deadline. Nearly
-// half of the time is spent at 40 permille, where a defect that shows late harms few calls.
+// is away for a third of the time given. A stage may end at earliest_stage_end_ms if every route
+// passed, and at latest_stage_end_ms if evidence is scarce but nothing speaks against the version.
+// The last stage ends at 0.62 of the time given; before it each stage needs min_dwell. An outage
+// that begins just before one of these times shifts the rest by a third and still leaves 0.04
+// before the deadline. Nearly half of the time is spent at 40 permille, where a defect that shows
+// late harms few calls.
 constexpr double last_end_share = 0.62;
 // After an outage the lease must be claimed again and the record read, whatever the time given;
 // with 40 s given the share above alone left too little. The renewal is tried again every 0.5 s to
@@ -24,14 +25,14 @@
 constexpr double largest_reserve_share = 0.1;
 
 // Milliseconds from the start of the move at which its last stage ends at the latest.
-double last_end(double given) {
-    const double reserve = std::min(outage_reserve_ms, largest_reserve_share * given);
-    return std::min(last_end_share * given, (1 - outage_share) * given - reserve);
+double last_stage_end_ms(double given_ms) {
+    const double reserve_ms = std::min(outage_reserve_ms, largest_reserve_share * given_ms);
+    return std::min(last_end_share * given_ms, (1 - outage_share) * given_ms - reserve_ms);
 }
 
 // Full weight is not begun before its time even with good evidence; the time at 40 permille is
 // shortened by this share at most.
-constexpr double early_share = 0.06;
+constexpr double max_early_share = 0.06;
 constexpr double first_stage_share = 0.08;
 // Shortest stage: 3% of the time given, but not below eight intervals where the time given allows,
 // since the test needs two or more and the first has calls from before the raise.
@@ -39,25 +40,26 @@
 constexpr double min_dwell_ms = 4'000;
 constexpr double max_dwell_share = 1.0 / 15;
 
-double min_dwell(double given) {
-    return std::max(min_dwell_share * given, std::min(min_dwell_ms, max_dwell_share * given));
+double min_dwell(double given_ms) {
+    return std::max(min_dwell_share * given_ms, std::min(min_dwell_ms, max_dwell_share * given_ms));
 }
 
 // Milliseconds from the start of the move at which a stage ends at the latest if nothing speaks
 // against the version.
-double late_end(std::size_t stage, double given) {
+double latest_stage_end_ms(std::size_t stage, double given_ms) {
     const double remaining = static_cast<double>(stage_weights_permille.size() - 1 - stage);
-    const double end = last_end(given) - remaining * min_dwell(given);
-    return stage == 0 ? std::min(first_stage_share * given, end) : end;
+    const double end = last_stage_end_ms(given_ms) - remaining * min_dwell(given_ms);
+    return stage == 0 ? std::min(first_stage_share * given_ms, end) : end;
 }
 
 // Milliseconds from the start at which a stage may end if every route passed.
-double stage_end(std::size_t stage, double given) {
+double earliest_stage_end_ms(std::size_t stage, double given_ms) {
     const bool last = stage + 1 == stage_weights_permille.size();
-    return late_end(stage, given) - (last || stage == 0 ? 0 : early_share * given);
+    return latest_stage_end_ms(stage, given_ms) -
+           (last || stage == 0 ? 0 : max_early_share * given_ms);
 }
 
-move_step write_final(const move_record& record, move_state state, std::string reason) {
+move_step make_final_step(const move_record& record, move_state state, std::string reason) {
     move_step step{move_step::kind::write, record};
     step.m_record.m_state = state;
     step.m_record.m_weight_permille = state == move_state::done ? 1000 : 0;
@@ -65,7 +67,7 @@
     return step;
 }
 
-constexpr std::array states{move_state::running, move_state::done, move_state::taken_back};
+constexpr std::array move_states{move_state::running, move_state::done, move_state::taken_back};
 
 } // namespace
 
@@ -106,42 +108,43 @@
         return {};
     }
     if (suspended) {
-        return write_final(record, move_state::taken_back, "the version is suspended");
+        return make_final_step(record, move_state::taken_back, "the version is suspended");
     }
     const evidence_result result = judge_evidence(evidence);
     if (result.m_verdict == evidence_verdict::bad) {
-        return write_final(record, move_state::taken_back, result.m_reason);
+        return make_final_step(record, move_state::taken_back, result.m_reason);
     }
     const std::int64_t now_ms = unix_ms(now);
     const bool full = record.m_weight_permille == 1000;
     if (now_ms >= record.m_deadline_ms) {
         if (full && record.m_raised_ms < record.m_deadline_ms) {
-            return write_final(record, move_state::done,
-                               "all traffic since before the deadline, nothing against it");
+            return make_final_step(record, move_state::done,
+                                   "all traffic since before the deadline, nothing against it");
         }
-        return write_final(record, move_state::taken_back,
-                           fmt::format("too little evidence by the deadline: weight {} permille",
-                                       record.m_weight_permille));
+        return make_final_step(
+            record, move_state::taken_back,
+            fmt::format("too little evidence by the deadline: weight {} permille",
+                        record.m_weight_permille));
     }
     const auto stage = static_cast<std::size_t>(record.m_stage);
     if (stage >= stage_weights_permille.size()) {
         return {};
     }
-    const auto given = static_cast<double>(record.m_deadline_ms - record.m_started_ms);
-    const auto passed = static_cast<double>(now_ms - record.m_started_ms);
-    const auto dwell = static_cast<double>(now_ms - record.m_raised_ms);
-    const auto left = static_cast<double>(record.m_deadline_ms - now_ms);
-    if (passed < stage_end(stage, given) || dwell < min_dwell(given)) {
+    const auto given_ms = static_cast<double>(record.m_deadline_ms - record.m_started_ms);
+    const auto elapsed_ms = static_cast<double>(now_ms - record.m_started_ms);
+    const auto dwell_ms = static_cast<double>(now_ms - record.m_raised_ms);
+    const auto remaining_ms = static_cast<double>(record.m_deadline_ms - now_ms);
+    if (elapsed_ms < earliest_stage_end_ms(stage, given_ms) || dwell_ms < min_dwell(given_ms)) {
         return {};
     }
-    const bool late = passed >= late_end(stage, given);
+    const bool late = elapsed_ms >= latest_stage_end_ms(stage, given_ms);
     if (!stage_passed(evidence, stage, late)) {
         return {};
     }
     if (stage + 1 == stage_weights_permille.size()) {
-        return write_final(record, move_state::done, "every stage passed");
+        return make_final_step(record, move_state::done, "every stage passed");
     }
-    if (left < min_dwell(given)) {
+    if (remaining_ms < min_dwell(given_ms)) {
         return {}; // a stage that can't be observed before the deadline is not begun
     }
     move_step step{move_step::kind::write, record};
@@ -171,10 +174,10 @@
 }
 
 std::optional<move_record> decode_move(std::string_view value, std::uint64_t revision) {
-    boost::system::error_code failed;
+    boost::system::error_code parse_error;
     const boost::json::value parsed =
-        boost::json::parse(boost::json::string_view(value.data(), value.size()), failed);
-    if (failed || !parsed.is_object()) {
+        boost::json::parse(boost::json::string_view(value.data(), value.size()), parse_error);
+    if (parse_error || !parsed.is_object()) {
         return std::nullopt;
     }
     const boost::json::object& object = parsed.get_object();
@@ -196,25 +199,25 @@
         }
         return found->get_int64();
     };
-    constexpr std::int64_t any = std::numeric_limits<std::int64_t>::max();
+    constexpr std::int64_t max_value = std::numeric_limits<std::int64_t>::max();
     move_record record;
     record.m_move_id = text("move_id");
     record.m_service = text("service");
     record.m_from = text("from");
     record.m_to = text("to");
-    const std::string word = text("state");
-    const auto* const state = std::find_if(states.begin(), states.end(), [&](move_state known) {
-        return move_state_name(known) == word;
-    });
+    const std::string state_name = text("state");
+    const auto* const state =
+        std::find_if(move_states.begin(), move_states.end(),
+                     [&](move_state known) { return move_state_name(known) == state_name; });
     record.m_stage = static_cast<std::uint32_t>(
         number("stage", static_cast<std::int64_t>(stage_weights_permille.size()) - 1));
     record.m_weight_permille = static_cast<std::uint32_t>(number("weight_permille", 1000));
-    record.m_started_ms = number("started_ms", any);
-    record.m_raised_ms = number("raised_ms", any);
-    record.m_deadline_ms = number("deadline_ms", any);
+    record.m_started_ms = number("started_ms", max_value);
+    record.m_raised_ms = number("raised_ms", max_value);
+    record.m_deadline_ms = number("deadline_ms", max_value);
     record.m_holder = text("holder");
     record.m_reason = text("reason");
-    if (!complete || state == states.end()) {
+    if (!complete || state == move_states.end()) {
         return std::nullopt;
     }
     record.m_state = *state;
--- a/src/node/move_control.cpp
+++ b/src/node/move_control.cpp
@@ -183,7 +183,7 @@
             total.m_calls += counts.m_calls;
             total.m_failures += counts.m_failures;
             total.m_cold_calls += counts.m_cold_calls;
-            for (std::size_t i = 0; i < latency_classes; ++i) {
+            for (std::size_t i = 0; i < latency_buckets; ++i) {
                 total.m_latency[i] += counts.m_latency[i];
             }
         }
--- a/src/observe/action_text.cpp
+++ b/src/observe/action_text.cpp
@@ -116,7 +116,7 @@
 std::string counts_text(const arm_counts& counts) {
     std::string text =
         fmt::format("{} {} {}", counts.m_calls, counts.m_failures, counts.m_cold_calls);
-    for (std::size_t i = 0; i < latency_classes; ++i) {
+    for (std::size_t i = 0; i < latency_buckets; ++i) {
         if (counts.m_latency[i] != 0) {
             fmt::format_to(std::back_inserter(text), " {}:{}", i, counts.m_latency[i]);
         }
@@ -133,7 +133,7 @@
     while (!text.empty()) {
         std::uint32_t index = 0;
         std::uint32_t count = 0;
-        if (!take_number(text, ':', index) || index >= latency_classes ||
+        if (!take_number(text, ':', index) || index >= latency_buckets ||
             !take_number(text, ' ', count)) {
             return std::nullopt;
         }
--- a/src/traffic/admission_gate.cpp
+++ b/src/traffic/admission_gate.cpp
@@ -45,9 +45,9 @@
     // A running call needs a connection of its own.
     limits.m_slots = std::min(reports ? server.m_slots : spec.m_slots, spec.m_connections);
     limits.m_queue = spec.m_queue;
-    limits.m_infers_cold = !reports;
+    limits.m_detect_cold_start = !reports;
     limits.m_cold_until = server.m_cold_until;
-    limits.m_cold_per_second = spec.m_warmup_per_second;
+    limits.m_cold_calls_per_second = spec.m_warmup_per_second;
     set_admission_limits(m_state, limits);
     if (is_recording()) {
         record_input(part, "limits", m_clock.now(),
@@ -84,7 +84,7 @@
             return true;
         }
         if (offered.m_verdict == admission_verdict::refuse) {
-            room_after = offered.m_room_after;
+            room_after = offered.m_retry_after;
             fail(reason, offered.m_reason, "the backend server takes no more calls now");
             return false;
         }
--- a/src/traffic/backend_side.cpp
+++ b/src/traffic/backend_side.cpp
@@ -290,7 +290,7 @@
         reply.m_sent = !result.m_replayed;
     } else {
         reply = refuse(context, result.m_reason, result.m_sent);
-        if (is_overload(result.m_reason.m_kind)) {
+        if (is_overload_refusal(result.m_reason.m_kind)) {
             set_number(reply.m_message, header::room_after_us,
                        static_cast<std::uint64_t>(to_us(result.m_room_after)));
         }
--- a/src/traffic/entry_side.cpp
+++ b/src/traffic/entry_side.cpp
@@ -68,27 +68,27 @@
     }
     circuit_breaker breaker = load_breaker(counters);
     if (reason == error_kind::connect_failed && !own) {
-        breaker_unreachable(breaker, now);
+        breaker_record_unreachable(breaker, now);
     } else if (reason == error_kind::connect_failed || reason == error_kind::connection_cut ||
                reason == error_kind::deadline_after_send) {
-        breaker_failure(breaker, now);
+        breaker_record_failure(breaker, now);
     } else if (breaker.m_failures == 0) {
         return;
     } else {
-        breaker_success(breaker);
+        breaker_record_success(breaker);
     }
     store_breaker(counters, breaker);
 }
 
-refusal_memory load_refusals(const backend_counters& counters) {
-    refusal_memory memory;
+refusal_state load_refusals(const backend_counters& counters) {
+    refusal_state memory;
     for (std::size_t i = 0; i < urgency_levels; ++i) {
         memory.m_until[i] = from_us(counters.m_refuses_until_us[i].load(std::memory_order_relaxed));
     }
     return memory;
 }
 
-void store_refusals(backend_counters& counters, const refusal_memory& memory) {
+void store_refusals(backend_counters& counters, const refusal_state& memory) {
     for (std::size_t i = 0; i < urgency_levels; ++i) {
         counters.m_refuses_until_us[i].store(to_us(memory.m_until[i].time_since_epoch()),
                                              std::memory_order_relaxed);
@@ -98,13 +98,13 @@
 // Remembers whether the backend server had room for the call.
 void update_refusals(backend_counters& counters, const call_info& info, const call_reply& reply,
                      time_point now) {
-    refusal_memory memory = load_refusals(counters);
-    if (is_overload(reply.m_reason)) {
+    refusal_state memory = load_refusals(counters);
+    if (is_overload_refusal(reply.m_reason)) {
         const auto stated = number_header(reply.m_message, header::room_after_us).value_or(0);
         const auto wait = std::chrono::microseconds(std::min(stated, max_latency_us));
-        note_refusal(memory, info.m_urgency, wait, now);
+        record_refusal(memory, info.m_urgency, wait, now);
     } else if (reply.m_reason == error_kind::none) {
-        note_acceptance(memory, info.m_urgency);
+        record_acceptance(memory, info.m_urgency);
     } else {
         return;
     }
@@ -381,7 +381,7 @@
         }
         const backend_view& backend = call.m_service->m_backends[*chosen.m_backend];
         circuit_breaker breaker = load_breaker(*backend.m_counters);
-        if (breaker.m_failures > 0 && breaker_try(breaker, now)) {
+        if (breaker.m_failures > 0 && breaker_try_call(breaker, now)) {
             store_breaker(*backend.m_counters, breaker);
         }
         call.m_tried[*chosen.m_backend] = true;
@@ -426,8 +426,8 @@
         weights.push_back(part.m_weight);
     }
     const std::lock_guard lock(context.m_entry_mutex);
-    split_choice& split = context.m_splits[route_name(route)];
-    return route.m_split[choose_part(split, weights)].m_service;
+    weighted_round_robin& split = context.m_splits[route_name(route)];
+    return route.m_split[choose_weighted(split, weights)].m_service;
 }
 
 // Remembers the deadline that a caller stated; returns how long it has tried before. A route's own
@@ -442,8 +442,8 @@
         context.m_callers.clear(); // learnt again within a few calls
     }
     caller_history& history = context.m_callers[route_name(route)];
-    note_deadline(history, *stated);
-    return time_before(history, *stated, now);
+    record_deadline(history, *stated);
+    return elapsed_before_attempt(history, *stated, now);
 }
 
 // Tells a refused caller when to come back.
@@ -456,12 +456,12 @@
     const time_point now = context.m_clock.now();
     const duration left =
         control.deadline() == time_point::max() ? default_time_left : control.deadline() - now;
-    const duration wait =
-        advise_return(reply.m_reason, call.m_info.m_useful_until - now, left, control.random());
+    const duration wait = suggest_retry_delay(reply.m_reason, call.m_info.m_useful_until - now,
+                                              left, control.random());
     set_retry_after(reply.m_message, wait);
     if (call.m_route != nullptr) {
         const std::lock_guard lock(context.m_entry_mutex);
-        note_refused_caller(context.m_callers[route_name(*call.m_route)], left, now);
+        record_refused_caller(context.m_callers[route_name(*call.m_route)], left, now);
     }
 }
 
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -22,8 +22,8 @@
     std::uint32_t m_slots = 12;
     time_point m_cold_since;
     milliseconds m_cold_time{0};
-    std::uint32_t m_answers = 0; // since it turned cold
-    bool m_warned = true;        // whether the caller could know; a new server is taken for cold
+    std::uint32_t m_answers = 0;   // since it turned cold
+    bool m_cold_detectable = true; // whether the caller could know; a new server is taken for cold
     std::map<std::uint64_t, running_call> m_running;
 
     double coldness(time_point now) const {
@@ -57,28 +57,29 @@
     admission_state state = make_admission(limits);
     time_point now{};
     server.become_cold(now, milliseconds(2'000 + random.below(13'000)));
-    const std::uint64_t again[2] = {20'000 + random.below(5'000), 35'000 + random.below(5'000)};
+    const std::uint64_t cold_again_ms[2] = {20'000 + random.below(5'000),
+                                            35'000 + random.below(5'000)};
     std::uint64_t next_call = 1;
     const auto start = [&](std::uint64_t call) {
-        const double factor = std::exp(0.3 * (random.unit() + random.unit() - 1));
-        const double took = 20 * (1 + 4 * server.coldness(now)) * factor;
-        server.m_running[call] = {now, now + milliseconds(static_cast<int>(took))};
-        if (server.is_cold(now) && server.m_running.size() > bound && server.m_warned) {
+        const double noise = std::exp(0.3 * (random.unit() + random.unit() - 1));
+        const double latency_ms = 20 * (1 + 4 * server.coldness(now)) * noise;
+        server.m_running[call] = {now, now + milliseconds(static_cast<int>(latency_ms))};
+        if (server.is_cold(now) && server.m_running.size() > bound && server.m_cold_detectable) {
             ++result.m_overloads;
         }
     };
     for (std::uint64_t ms = 0; ms < 60'000; ++ms, now += milliseconds(1)) {
-        for (const std::uint64_t at : again) {
+        for (const std::uint64_t at : cold_again_ms) {
             if (ms == at) {
                 server.become_cold(now, milliseconds(3'000 + random.below(12'000)));
-                server.m_warned = false;
+                server.m_cold_detectable = false;
             }
         }
         const bool cold = server.is_cold(now);
-        const bool fallen = cold && server.m_running.size() > bound;
+        const bool overloaded = cold && server.m_running.size() > bound;
         std::vector<std::uint64_t> ended;
         for (const auto& [call, running] : server.m_running) {
-            if (fallen || running.m_ends <= now) {
+            if (overloaded || running.m_ends <= now) {
                 ended.push_back(call);
             }
         }
@@ -86,12 +87,13 @@
         for (const std::uint64_t call : ended) {
             call_sample sample;
             sample.m_latency = now - server.m_running[call].m_started;
-            sample.m_failed = fallen;
+            sample.m_failed = overloaded;
             server.m_running.erase(call);
-            result.m_answered += fallen ? 0 : 1;
+            result.m_answered += overloaded ? 0 : 1;
             ++server.m_answers;
             // Two rounds of answers tell that the server is cold again.
-            server.m_warned = server.m_warned || server.m_answers >= 2 * server.m_slots;
+            server.m_cold_detectable =
+                server.m_cold_detectable || server.m_answers >= 2 * server.m_slots;
             const auto release = admission_finish(state, sample, now);
             released.insert(released.end(), release.m_run.begin(), release.m_run.end());
         }
@@ -102,8 +104,8 @@
         }
         // Few calls around the second time that it turns cold: it then doesn't fall over, and only
         // the latency tells.
-        const bool light = ms + 500 > again[1] && ms < again[1] + 2'000;
-        for (int i = 0; i < (light ? (ms % 30 == 0 ? 1 : 0) : 2); ++i) {
+        const bool low_traffic = ms + 500 > cold_again_ms[1] && ms < cold_again_ms[1] + 2'000;
+        for (int i = 0; i < (low_traffic ? (ms % 30 == 0 ? 1 : 0) : 2); ++i) {
             const std::uint64_t call = next_call++;
             const auto offered =
                 admission_offer(state, call, urgency::normal, now + milliseconds(500), now);
@@ -154,7 +156,7 @@
 
 // Guards against an urgent call refused while less urgent ones wait, calls run in the wrong order,
 // bounds exceeded, and calls that get no fate or two.
-BOOST_AUTO_TEST_CASE(urgent_calls_go_first_and_every_call_has_one_fate) {
+BOOST_AUTO_TEST_CASE(urgent_calls_run_first_and_every_call_has_one_outcome) {
     const std::uint64_t first = first_seed();
     for (std::uint64_t seed = first; seed < first + 200; ++seed) {
         random_source random(seed);
@@ -165,7 +167,7 @@
         time_point now{};
         std::map<std::uint64_t, urgency> waiting;
         std::set<std::uint64_t> running;
-        const auto settle = [&](const admission_release& release) {
+        const auto apply_release = [&](const admission_release& release) {
             for (const std::uint64_t call : release.m_expired) {
                 BOOST_TEST(waiting.erase(call) == 1U);
             }
@@ -188,7 +190,7 @@
                 sample.m_latency = milliseconds(1 + random.below(10));
                 sample.m_failed = random.below(10) == 0;
                 sample.m_cancelled = random.below(10) == 0;
-                settle(admission_finish(state, sample, now));
+                apply_release(admission_finish(state, sample, now));
             }
             if (random.below(8) == 0 && !waiting.empty()) {
                 admission_cancel(state, waiting.begin()->first);
@@ -211,13 +213,13 @@
             } else {
                 waiting[call] = level;
             }
-            settle(admission_tick(state, now));
+            apply_release(admission_tick(state, now));
             BOOST_TEST(running.size() == state.m_running);
             BOOST_TEST(running.size() <= limits.m_slots);
             BOOST_TEST(waiting.size() == state.m_queue.size());
             BOOST_TEST(waiting.size() <= limits.m_queue);
         }
-        settle(admission_drain(state));
+        apply_release(admission_drain(state));
         BOOST_TEST(waiting.empty());
         const auto refused =
             admission_offer(state, 1'000, urgency::urgent, now + milliseconds(100), now);
@@ -227,13 +229,13 @@
 
 // Guards against a cold server that gets more calls in some second than it says that it bears, and
 // against its full slots before it is warm.
-BOOST_AUTO_TEST_CASE(a_cold_server_gets_its_calls_a_second) {
+BOOST_AUTO_TEST_CASE(cold_server_call_rate_stays_within_its_limit) {
     admission_limits limits;
     limits.m_slots = 12;
     limits.m_queue = 48;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     limits.m_cold_until = time_point{} + std::chrono::seconds(3);
-    limits.m_cold_per_second = 14;
+    limits.m_cold_calls_per_second = 14;
     admission_state state = make_admission({});
     set_admission_limits(state, limits);
     std::vector<time_point> starts;
@@ -272,7 +274,7 @@
     admission_limits limits;
     limits.m_slots = 4;
     limits.m_queue = 48;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission({});
     set_admission_limits(state, limits);
     std::map<std::uint64_t, time_point> arrived;
@@ -319,7 +321,7 @@
     admission_limits limits;
     limits.m_slots = 9;
     limits.m_queue = 48;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission(limits);
     set_admission_limits(state, limits);
     struct known_call {
@@ -375,14 +377,14 @@
 BOOST_AUTO_TEST_CASE(calls_that_became_late_in_the_queue_give_way) {
     admission_limits limits;
     limits.m_slots = 1;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission(limits);
     set_admission_limits(state, limits);
     time_point now{std::chrono::seconds(10)};
-    const time_point far = now + std::chrono::seconds(5);
-    admission_offer(state, 1, urgency::normal, far, now);
-    admission_offer(state, 2, urgency::normal, far, now, now + milliseconds(50));
-    admission_offer(state, 3, urgency::normal, far + milliseconds(1), now,
+    const time_point far_deadline = now + std::chrono::seconds(5);
+    admission_offer(state, 1, urgency::normal, far_deadline, now);
+    admission_offer(state, 2, urgency::normal, far_deadline, now, now + milliseconds(50));
+    admission_offer(state, 3, urgency::normal, far_deadline + milliseconds(1), now,
                     now + std::chrono::seconds(1));
     now += milliseconds(200); // longer than expected
     BOOST_TEST(
@@ -396,23 +398,23 @@
 BOOST_AUTO_TEST_CASE(late_calls_wait_behind_those_that_can_be_in_time) {
     admission_limits limits;
     limits.m_slots = 1;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission(limits);
     set_admission_limits(state, limits);
     const time_point now{std::chrono::seconds(10)};
-    const time_point far = now + std::chrono::seconds(5);
+    const time_point far_deadline = now + std::chrono::seconds(5);
     const auto offer = [&](std::uint64_t call, urgency level, time_point deadline,
                            time_point useful_until) {
         return admission_offer(state, call, level, deadline, now, useful_until).m_verdict;
     };
     const auto late = now - milliseconds(1);
-    BOOST_TEST((offer(1, urgency::normal, far, {}) == admission_verdict::run));
+    BOOST_TEST((offer(1, urgency::normal, far_deadline, {}) == admission_verdict::run));
     BOOST_TEST(
         (offer(2, urgency::normal, now + milliseconds(500), late) == admission_verdict::wait));
-    BOOST_TEST(
-        (offer(3, urgency::normal, far, now + milliseconds(600)) == admission_verdict::wait));
-    BOOST_TEST(
-        (offer(4, urgency::background, far, now + milliseconds(600)) == admission_verdict::wait));
+    BOOST_TEST((offer(3, urgency::normal, far_deadline, now + milliseconds(600)) ==
+                admission_verdict::wait));
+    BOOST_TEST((offer(4, urgency::background, far_deadline, now + milliseconds(600)) ==
+                admission_verdict::wait));
     const auto next = [&] { return admission_finish(state, call_sample{}, now).m_run; };
     BOOST_TEST((next() == std::vector<std::uint64_t>{3}));
     BOOST_TEST((next() == std::vector<std::uint64_t>{2}));
@@ -421,10 +423,10 @@
 
 // Guards against callers' nodes that can't tell a full server from one with a long queue, or that
 // take a cold server, which runs few calls at a time, for an idle one.
-BOOST_AUTO_TEST_CASE(the_load_told_shows_the_queue_and_the_cold_start) {
+BOOST_AUTO_TEST_CASE(reported_load_includes_queue_and_cold_start) {
     admission_limits limits;
     limits.m_slots = 4;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission(limits);
     set_admission_limits(state, limits);
     const time_point now{std::chrono::seconds(10)};
@@ -434,7 +436,7 @@
     BOOST_TEST(admission_load_permille(state, now) == 3'000U);
 
     limits.m_cold_until = now + std::chrono::seconds(3);
-    limits.m_cold_per_second = 10;
+    limits.m_cold_calls_per_second = 10;
     admission_state cold = make_admission(limits);
     set_admission_limits(cold, limits);
     for (std::uint64_t call = 1; call <= 9; ++call) {
@@ -451,10 +453,10 @@
 
 // Guards against a refusal that doesn't tell when there may be room: callers' nodes would ask again
 // at once.
-BOOST_AUTO_TEST_CASE(a_refusal_tells_when_there_may_be_room) {
+BOOST_AUTO_TEST_CASE(refusal_states_when_to_retry) {
     admission_limits limits;
     limits.m_slots = 2;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission(limits);
     set_admission_limits(state, limits);
     time_point now{std::chrono::seconds(10)};
@@ -474,7 +476,7 @@
         result = offer();
     }
     BOOST_TEST((result.m_reason == error_kind::queue_full));
-    BOOST_TEST((result.m_room_after > duration{} && result.m_room_after <= milliseconds(100)));
+    BOOST_TEST((result.m_retry_after > duration{} && result.m_retry_after <= milliseconds(100)));
 }
 
 // Guards against calls that wait until their deadline passes, or get a slot when they can no longer
@@ -482,7 +484,7 @@
 BOOST_AUTO_TEST_CASE(calls_without_time_are_given_up_early) {
     admission_limits limits;
     limits.m_slots = 1;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission(limits);
     set_admission_limits(state, limits);
     time_point now{std::chrono::seconds(10)};
--- a/tests/own_server_test.cpp
+++ b/tests/own_server_test.cpp
@@ -20,7 +20,7 @@
     return report;
 }
 
-report_verdict take(own_server& server, const server_report& report, time_point now = start) {
+report_verdict receive(own_server& server, const server_report& report, time_point now = start) {
     return receive_report(server, report, own_address, now);
 }
 
@@ -32,16 +32,16 @@
 // identity with counts that start anew.
 BOOST_AUTO_TEST_CASE(late_reports_change_nothing) {
     own_server server;
-    BOOST_TEST((take(server, make_report("a", 5, 100)) == report_verdict::taken));
-    BOOST_TEST((take(server, make_report("a", 5, 100)) == report_verdict::stale));
-    BOOST_TEST((take(server, make_report("b", 1, 200)) == report_verdict::taken));
-    BOOST_TEST((take(server, make_report("a", 6, 100)) == report_verdict::stale));
+    BOOST_TEST((receive(server, make_report("a", 5, 100)) == report_verdict::taken));
+    BOOST_TEST((receive(server, make_report("a", 5, 100)) == report_verdict::stale));
+    BOOST_TEST((receive(server, make_report("b", 1, 200)) == report_verdict::taken));
+    BOOST_TEST((receive(server, make_report("a", 6, 100)) == report_verdict::stale));
     BOOST_TEST(server.m_report->m_server == "b");
-    BOOST_TEST((take(server, make_report("b", 1, 300)) == report_verdict::taken));
-    BOOST_TEST((take(server, make_report("b", 9, 200)) == report_verdict::stale));
+    BOOST_TEST((receive(server, make_report("b", 1, 300)) == report_verdict::taken));
+    BOOST_TEST((receive(server, make_report("b", 9, 200)) == report_verdict::stale));
     server_report elsewhere = make_report("c", 1, 900);
     elsewhere.m_address.m_port = 81;
-    BOOST_TEST((take(server, elsewhere) == report_verdict::foreign));
+    BOOST_TEST((receive(server, elsewhere) == report_verdict::foreign));
     BOOST_TEST(server.m_report->m_started_ms == 300);
 }
 
@@ -50,13 +50,13 @@
 BOOST_AUTO_TEST_CASE(a_leaving_server_gets_nothing) {
     own_server server;
     BOOST_TEST((server_refusal(server, start, silence) == error_kind::connect_failed));
-    take(server, make_report("a", 1, 100));
+    receive(server, make_report("a", 1, 100));
     BOOST_TEST((server_refusal(server, start, silence) == error_kind::none));
     server_report draining = make_report("a", 2, 100);
     draining.m_state = server_state::draining;
-    take(server, draining);
+    receive(server, draining);
     BOOST_TEST((server_refusal(server, start, silence) == error_kind::draining));
-    take(server, make_report("a", 1, 200));
+    receive(server, make_report("a", 1, 200));
     BOOST_TEST((server_refusal(server, start, silence) == error_kind::none));
     BOOST_TEST((receive_leave(server, {"a", 100}, start) == report_verdict::stale));
     BOOST_TEST((receive_leave(server, {"z", {}}, start) == report_verdict::stale));
@@ -69,47 +69,47 @@
 // opens it again.
 BOOST_AUTO_TEST_CASE(a_silent_or_unreachable_server_gets_nothing) {
     own_server server;
-    take(server, make_report("a", 1, 100));
+    receive(server, make_report("a", 1, 100));
     BOOST_TEST((server_refusal(server, start + silence, silence) == error_kind::none));
     BOOST_TEST((server_refusal(server, start + silence + milliseconds(1), silence) ==
                 error_kind::connect_failed));
     server.m_unreachable = true;
     BOOST_TEST((server_refusal(server, start, silence) == error_kind::connect_failed));
-    take(server, make_report("a", 2, 100), start + silence);
+    receive(server, make_report("a", 2, 100), start + silence);
     BOOST_TEST((server_refusal(server, start + silence, silence) == error_kind::none));
 }
 
 // Guards against a late report that arrives after the leave of the same server, at a node that has
 // restarted in between and knew nothing of the server when it acknowledged the leave.
-BOOST_AUTO_TEST_CASE(a_leave_before_any_report_binds) {
+BOOST_AUTO_TEST_CASE(leave_before_any_report_rejects_late_reports) {
     own_server server;
     BOOST_TEST((receive_leave(server, {"a", 100}, start) == report_verdict::stale));
-    BOOST_TEST((take(server, make_report("a", 18, 100)) == report_verdict::stale));
+    BOOST_TEST((receive(server, make_report("a", 18, 100)) == report_verdict::stale));
     BOOST_TEST((server_refusal(server, start, silence) == error_kind::connect_failed));
-    BOOST_TEST((take(server, make_report("a", 1, 200)) == report_verdict::taken));
-    BOOST_TEST((take(server, make_report("a", 19, 100)) == report_verdict::stale));
+    BOOST_TEST((receive(server, make_report("a", 1, 200)) == report_verdict::taken));
+    BOOST_TEST((receive(server, make_report("a", 19, 100)) == report_verdict::stale));
     BOOST_TEST((server_refusal(server, start, silence) == error_kind::none));
 }
 
 // Guards against a late report that arrives after a leave which doesn't state when its server
 // started, at a node that has restarted in between: the server got calls 2.1 s after its leave was
 // acknowledged. A server that starts again under the same identity is used at once.
-BOOST_AUTO_TEST_CASE(a_leave_without_a_start_binds_the_late_report) {
+BOOST_AUTO_TEST_CASE(leave_without_start_time_rejects_late_reports) {
     own_server server;
     BOOST_TEST((receive_leave(server, {"a", {}}, start) == report_verdict::stale));
     const time_point late = start + milliseconds(2'100);
-    BOOST_TEST((take(server, make_report("a", 22, 100), late) == report_verdict::stale));
+    BOOST_TEST((receive(server, make_report("a", 22, 100), late) == report_verdict::stale));
     BOOST_TEST((server_refusal(server, late, silence) == error_kind::connect_failed));
-    BOOST_TEST((take(server, make_report("a", 1, 200), late) == report_verdict::taken));
+    BOOST_TEST((receive(server, make_report("a", 1, 200), late) == report_verdict::taken));
     BOOST_TEST((server_refusal(server, late, silence) == error_kind::none));
     // Its first report may be lost, and a long time later the leave says nothing of a report.
     own_server other;
     receive_leave(other, {"a", {}}, start);
-    BOOST_TEST((take(other, make_report("a", 2, 200), late) == report_verdict::taken));
+    BOOST_TEST((receive(other, make_report("a", 2, 200), late) == report_verdict::taken));
     own_server later;
     receive_leave(later, {"a", {}}, start);
     const time_point much_later = start + milliseconds(10'000);
-    BOOST_TEST((take(later, make_report("a", 9, 200), much_later) == report_verdict::taken));
+    BOOST_TEST((receive(later, make_report("a", 9, 200), much_later) == report_verdict::taken));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/pushback_test.cpp
+++ b/tests/pushback_test.cpp
@@ -18,12 +18,12 @@
 // Guards against calls that are sent from full server to full server, across data centres, only to
 // be refused three times: 6,800 refused calls of one day cost 20 MB between its data centres.
 BOOST_AUTO_TEST_CASE(full_servers_are_not_asked_again_at_once) {
-    refusal_memory memory;
-    note_refusal(memory, urgency::normal, milliseconds(80), start);
-    BOOST_TEST(is_refusing(memory, urgency::normal, start + milliseconds(79)));
-    BOOST_TEST(is_refusing(memory, urgency::background, start + milliseconds(79)));
-    BOOST_TEST(!is_refusing(memory, urgency::urgent, start));
-    BOOST_TEST(!is_refusing(memory, urgency::normal, start + milliseconds(80)));
+    refusal_state refusals;
+    record_refusal(refusals, urgency::normal, milliseconds(80), start);
+    BOOST_TEST(is_refusing(refusals, urgency::normal, start + milliseconds(79)));
+    BOOST_TEST(is_refusing(refusals, urgency::background, start + milliseconds(79)));
+    BOOST_TEST(!is_refusing(refusals, urgency::urgent, start));
+    BOOST_TEST(!is_refusing(refusals, urgency::normal, start + milliseconds(80)));
 
     std::array<candidate, 3> candidates;
     for (candidate& value : candidates) {
@@ -50,56 +50,56 @@
 // Guards against a wait stated by a node, however long or short, that keeps a server out of use or
 // lets it be asked by every call.
 BOOST_AUTO_TEST_CASE(stated_waits_are_bounded) {
-    refusal_memory memory;
-    note_refusal(memory, urgency::urgent, std::chrono::hours(1), start);
-    BOOST_TEST(!is_refusing(memory, urgency::background, start + std::chrono::seconds(1)));
-    refusal_memory other;
-    note_refusal(other, urgency::urgent, duration{}, start);
+    refusal_state refusals;
+    record_refusal(refusals, urgency::urgent, std::chrono::hours(1), start);
+    BOOST_TEST(!is_refusing(refusals, urgency::background, start + std::chrono::seconds(1)));
+    refusal_state other;
+    record_refusal(other, urgency::urgent, duration{}, start);
     BOOST_TEST(is_refusing(other, urgency::urgent, start + milliseconds(1)));
 }
 
 // Guards against urgent calls kept from a server that has just taken a less urgent one.
 BOOST_AUTO_TEST_CASE(an_accepted_call_ends_the_pushback_of_more_urgent_ones) {
-    refusal_memory memory;
-    note_refusal(memory, urgency::urgent, milliseconds(200), start);
-    note_acceptance(memory, urgency::normal);
-    BOOST_TEST(!is_refusing(memory, urgency::urgent, start));
-    BOOST_TEST(!is_refusing(memory, urgency::normal, start));
-    BOOST_TEST(is_refusing(memory, urgency::background, start));
+    refusal_state refusals;
+    record_refusal(refusals, urgency::urgent, milliseconds(200), start);
+    record_acceptance(refusals, urgency::normal);
+    BOOST_TEST(!is_refusing(refusals, urgency::urgent, start));
+    BOOST_TEST(!is_refusing(refusals, urgency::normal, start));
+    BOOST_TEST(is_refusing(refusals, urgency::background, start));
 }
 
 // Guards against callers that come back being taken for new ones, and against callers with a short
 // deadline of their own being taken for returning ones while nobody was refused.
 BOOST_AUTO_TEST_CASE(returning_callers_are_known_by_their_deadline) {
     caller_history history;
-    note_deadline(history, milliseconds(4'000));
-    BOOST_TEST((time_before(history, milliseconds(1'000), start) == duration{}));
-    note_refused_caller(history, milliseconds(3'900), start);
-    BOOST_TEST((time_before(history, milliseconds(3'990), start) == duration{}));
-    BOOST_TEST((time_before(history, milliseconds(3'700), start) == milliseconds(300)));
+    record_deadline(history, milliseconds(4'000));
+    BOOST_TEST((elapsed_before_attempt(history, milliseconds(1'000), start) == duration{}));
+    record_refused_caller(history, milliseconds(3'900), start);
+    BOOST_TEST((elapsed_before_attempt(history, milliseconds(3'990), start) == duration{}));
+    BOOST_TEST((elapsed_before_attempt(history, milliseconds(3'700), start) == milliseconds(300)));
     const time_point later = start + std::chrono::seconds(4);
-    BOOST_TEST((time_before(history, milliseconds(1'000), later) == duration{}));
+    BOOST_TEST((elapsed_before_attempt(history, milliseconds(1'000), later) == duration{}));
 }
 
 // Guards against refused callers that return in step, too late to be answered in time although
 // there is time, or after their deadline.
-BOOST_AUTO_TEST_CASE(callers_return_while_it_serves_them) {
+BOOST_AUTO_TEST_CASE(refused_callers_return_at_a_useful_time) {
     random_source random(first_seed());
     for (int i = 0; i < 1'000; ++i) {
-        const duration soon =
-            advise_return(error_kind::queue_full, milliseconds(600), milliseconds(4'000), random);
+        const duration soon = suggest_retry_delay(error_kind::queue_full, milliseconds(600),
+                                                  milliseconds(4'000), random);
         BOOST_TEST((soon >= milliseconds(40) && soon <= milliseconds(120)));
-        const duration late =
-            advise_return(error_kind::queue_full, milliseconds(50), milliseconds(3'000), random);
+        const duration late = suggest_retry_delay(error_kind::queue_full, milliseconds(50),
+                                                  milliseconds(3'000), random);
         BOOST_TEST((late >= milliseconds(600) && late <= milliseconds(1'000)));
     }
-    BOOST_TEST((advise_return(error_kind::version_suspended, duration{}, milliseconds(3'000),
-                              random) < milliseconds(100)));
+    BOOST_TEST((suggest_retry_delay(error_kind::version_suspended, duration{}, milliseconds(3'000),
+                                    random) < milliseconds(100)));
     // A caller of a leaving node must not use up its attempts before the node is replaced.
-    BOOST_TEST((advise_return(error_kind::draining, milliseconds(600), milliseconds(3'000),
-                              random) == milliseconds(500)));
-    BOOST_TEST((advise_return(error_kind::draining, milliseconds(200), milliseconds(450), random) ==
-                milliseconds(150)));
+    BOOST_TEST((suggest_retry_delay(error_kind::draining, milliseconds(600), milliseconds(3'000),
+                                    random) == milliseconds(500)));
+    BOOST_TEST((suggest_retry_delay(error_kind::draining, milliseconds(200), milliseconds(450),
+                                    random) == milliseconds(150)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/retry_balance_test.cpp
+++ b/tests/retry_balance_test.cpp
@@ -25,7 +25,7 @@
     std::array<std::uint64_t, layers> m_first_attempts{};
 
     // Calls the hop at the depth; returns the failure that the layer above sees.
-    error_kind call(std::size_t depth, bool& refused_deeper) {
+    error_kind call(std::size_t depth, bool& failed_downstream) {
         ++m_first_attempts[depth];
         budget_deposit(m_budgets[depth]);
         attempt failed;
@@ -33,17 +33,17 @@
         failed.m_deadline = time_point{} + milliseconds(1'000);
         while (true) {
             ++m_attempts[depth];
-            bool deeper = false;
+            bool failed_deeper = false;
             failed.m_failure = error_kind::none;
             if (depth + 1 < layers) {
-                failed.m_failure = call(depth + 1, deeper);
-                deeper = failed.m_failure != error_kind::none;
+                failed.m_failure = call(depth + 1, failed_deeper);
+                failed_deeper = failed.m_failure != error_kind::none;
             } else if (m_random.unit() < m_bad_share) {
                 failed.m_failure =
                     m_random.below(2) == 0 ? error_kind::connection_cut : error_kind::queue_full;
             }
-            failed.m_refused_deeper = deeper;
-            refused_deeper = failed.m_failure != error_kind::none;
+            failed.m_failed_downstream = failed_deeper;
+            failed_downstream = failed.m_failure != error_kind::none;
             if (failed.m_failure == error_kind::none ||
                 !may_retry(failed, m_budgets[depth], time_point{})) {
                 return failed.m_failure;
@@ -72,8 +72,8 @@
         call_chain chain{random_source(first), bad_share};
         constexpr std::uint64_t calls = 20'000;
         for (std::uint64_t i = 0; i < calls; ++i) {
-            bool deeper = false;
-            chain.call(0, deeper);
+            bool failed_deeper = false;
+            chain.call(0, failed_deeper);
         }
         for (std::size_t depth = 0; depth < layers; ++depth) {
             BOOST_TEST(chain.m_attempts[depth] <= chain.m_first_attempts[depth] * 11 / 10 + 10,
@@ -152,11 +152,11 @@
     for (int call = 0; call < 2'000; ++call) {
         ++servers[choose_candidate(servers, random).value()].m_outstanding;
     }
-    std::uint32_t most = 0;
+    std::uint32_t max_outstanding = 0;
     for (const candidate& value : servers) {
-        most = std::max(most, value.m_outstanding);
+        max_outstanding = std::max(max_outstanding, value.m_outstanding);
     }
-    BOOST_TEST(most <= 104U); // 100 each; one random choice gives about 120
+    BOOST_TEST(max_outstanding <= 104U); // 100 each; one random choice gives about 120
 }
 
 // Guards against calls that leave the own data centre without need, or stay while queues grow.
@@ -205,13 +205,13 @@
     time_point now{};
     for (int i = 0; i < 3; ++i) {
         BOOST_TEST(!breaker_is_open(breaker, now));
-        BOOST_TEST(breaker_try(breaker, now));
-        breaker_failure(breaker, now);
+        BOOST_TEST(breaker_try_call(breaker, now));
+        breaker_record_failure(breaker, now);
     }
     milliseconds waited{0};
     for (int round = 0; round < 8; ++round) {
         BOOST_TEST(breaker_is_open(breaker, now));
-        BOOST_TEST(!breaker_try(breaker, now));
+        BOOST_TEST(!breaker_try_call(breaker, now));
         milliseconds wait{0};
         while (breaker_is_open(breaker, now)) {
             now += milliseconds(10);
@@ -219,27 +219,27 @@
         }
         BOOST_TEST((wait >= waited && wait <= milliseconds(10'000)));
         waited = wait;
-        BOOST_TEST(breaker_try(breaker, now));
-        BOOST_TEST(!breaker_try(breaker, now));
+        BOOST_TEST(breaker_try_call(breaker, now));
+        BOOST_TEST(!breaker_try_call(breaker, now));
         BOOST_TEST(breaker_is_open(breaker, now));
-        breaker_failure(breaker, now);
+        breaker_record_failure(breaker, now);
     }
     now += milliseconds(10'000);
-    BOOST_TEST(breaker_try(breaker, now));
+    BOOST_TEST(breaker_try_call(breaker, now));
     now += milliseconds(2'000); // the trial never reported back
-    BOOST_TEST(breaker_try(breaker, now));
-    breaker_success(breaker);
+    BOOST_TEST(breaker_try_call(breaker, now));
+    breaker_record_success(breaker);
     BOOST_TEST(!breaker_is_open(breaker, now));
-    BOOST_TEST(breaker_try(breaker, now));
+    BOOST_TEST(breaker_try_call(breaker, now));
 }
 
 // Guards against a route whose parts get other shares than their weights, at any moment.
 BOOST_AUTO_TEST_CASE(split_is_exact_at_any_moment) {
     const std::array<std::uint32_t, 3> weights{70, 20, 10};
-    split_choice choice;
+    weighted_round_robin choice;
     std::array<int, 3> counts{};
     for (int call = 1; call <= 1'000; ++call) {
-        ++counts.at(choose_part(choice, weights));
+        ++counts.at(choose_weighted(choice, weights));
         for (std::size_t part = 0; part < weights.size(); ++part) {
             BOOST_TEST(std::abs(counts.at(part) - call * weights.at(part) / 100.0) <= 1.0);
         }
@@ -300,12 +300,12 @@
 BOOST_AUTO_TEST_CASE(an_unreachable_server_opens_its_breaker_at_once) {
     circuit_breaker breaker;
     time_point now{std::chrono::seconds(1)};
-    breaker_unreachable(breaker, now);
+    breaker_record_unreachable(breaker, now);
     BOOST_TEST(breaker_is_open(breaker, now));
     now += milliseconds(250);
     BOOST_TEST(!breaker_is_open(breaker, now));
-    BOOST_TEST(breaker_try(breaker, now));
-    breaker_success(breaker);
+    BOOST_TEST(breaker_try_call(breaker, now));
+    breaker_record_success(breaker);
     BOOST_TEST(!breaker_is_open(breaker, now));
 }
 
--- a/tests/version_move_test.cpp
+++ b/tests/version_move_test.cpp
@@ -22,8 +22,8 @@
     bool m_cold = false;
 };
 
-evidence_report report(std::string_view version, std::string_view route,
-                       const arm_behaviour& behaviour, random_source& random) {
+evidence_report make_report(std::string_view version, std::string_view route,
+                            const arm_behaviour& behaviour, random_source& random) {
     evidence_report result;
     result.m_instance = version;
     result.m_version = version;
@@ -37,11 +37,11 @@
 }
 
 // Adds intervals until the verdict is bad or their number is reached; returns the intervals added.
-int feed(move_evidence& evidence, int intervals, const arm_behaviour& old_arm,
-         const arm_behaviour& new_arm, random_source& random) {
+int add_intervals(move_evidence& evidence, int intervals, const arm_behaviour& old_arm,
+                  const arm_behaviour& new_arm, random_source& random) {
     for (int i = 1; i <= intervals; ++i) {
-        const std::array reports{report("v1", "/a", old_arm, random),
-                                 report("v2", "/a", new_arm, random)};
+        const std::array reports{make_report("v1", "/a", old_arm, random),
+                                 make_report("v2", "/a", new_arm, random)};
         add_evidence(evidence, reports, "v1", "v2");
         if (judge_evidence(evidence).m_verdict == evidence_verdict::bad) {
             return i;
@@ -115,12 +115,12 @@
     random_source random(first_seed());
     const arm_behaviour old_arm{190, 0.002, 20, false};
     move_evidence evidence;
-    BOOST_TEST(feed(evidence, 700, old_arm, {10, 0.002, 20, false}, random) == 700);
-    BOOST_TEST(feed(evidence, 100, old_arm, {10, 0.3, 20, false}, random) <= 6);
+    BOOST_TEST(add_intervals(evidence, 700, old_arm, {10, 0.002, 20, false}, random) == 700);
+    BOOST_TEST(add_intervals(evidence, 100, old_arm, {10, 0.3, 20, false}, random) <= 6);
     BOOST_TEST(judge_evidence(evidence).m_route == "/a");
     move_evidence slower;
-    BOOST_TEST(feed(slower, 700, old_arm, {10, 0.002, 20, false}, random) == 700);
-    BOOST_TEST(feed(slower, 100, old_arm, {10, 0.002, 60, false}, random) <= 6);
+    BOOST_TEST(add_intervals(slower, 700, old_arm, {10, 0.002, 20, false}, random) == 700);
+    BOOST_TEST(add_intervals(slower, 100, old_arm, {10, 0.002, 60, false}, random) <= 6);
 }
 
 // Guards against a good version taken back because one of its servers is slower than the others: a
@@ -133,8 +133,9 @@
     own.m_instances = 6;
     const auto add = [&own, &random](int intervals, double failure_share) {
         for (int i = 0; i < intervals; ++i) {
-            const std::array reports{report("v1", "/a", {20, 0, 155, false}, random),
-                                     report("v2", "/a", {40, failure_share, 352, false}, random)};
+            const std::array reports{
+                make_report("v1", "/a", {20, 0, 155, false}, random),
+                make_report("v2", "/a", {40, failure_share, 352, false}, random)};
             add_evidence(own, reports, "v1", "v2");
         }
     };
@@ -144,36 +145,39 @@
     add(4, 0.5);
     BOOST_TEST(is_locally_bad(own, reason));
     move_evidence holder;
-    BOOST_TEST(feed(holder, 300, {100, 0, 150, false}, {100, 0, 200, false}, random) == 300);
+    BOOST_TEST(add_intervals(holder, 300, {100, 0, 150, false}, {100, 0, 200, false}, random) ==
+               300);
 }
 
 // Guards against an overload of both versions, cold calls, or one crashed server taken for a bad
 // version.
-BOOST_AUTO_TEST_CASE(other_troubles_are_not_evidence) {
+BOOST_AUTO_TEST_CASE(overload_cold_start_and_crashes_are_not_evidence) {
     random_source random(first_seed());
     move_evidence overload;
-    feed(overload, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
-    BOOST_TEST(feed(overload, 300, {100, 0.3, 200, false}, {100, 0.3, 200, false}, random) == 300);
+    add_intervals(overload, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
+    BOOST_TEST(add_intervals(overload, 300, {100, 0.3, 200, false}, {100, 0.3, 200, false},
+                             random) == 300);
     move_evidence cold;
-    feed(cold, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
-    BOOST_TEST(feed(cold, 100, {100, 0, 20, false}, {100, 0, 80, true}, random) == 100);
-    BOOST_TEST(feed(cold, 100, {100, 0, 20, false}, {100, 0, 80, false}, random) <= 4);
+    add_intervals(cold, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
+    BOOST_TEST(add_intervals(cold, 100, {100, 0, 20, false}, {100, 0, 80, true}, random) == 100);
+    BOOST_TEST(add_intervals(cold, 100, {100, 0, 20, false}, {100, 0, 80, false}, random) <= 4);
     // An overload begins between the reports of the two versions for one interval.
     move_evidence offset;
-    feed(offset, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
-    feed(offset, 1, {100, 0, 20, false}, {100, 0.9, 400, false}, random);
-    feed(offset, 50, {100, 0.9, 400, false}, {100, 0.9, 400, false}, random);
+    add_intervals(offset, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
+    add_intervals(offset, 1, {100, 0, 20, false}, {100, 0.9, 400, false}, random);
+    add_intervals(offset, 50, {100, 0.9, 400, false}, {100, 0.9, 400, false}, random);
     BOOST_TEST((judge_evidence(offset).m_verdict != evidence_verdict::bad));
     move_evidence crash;
-    feed(crash, 50, {100, 0, 20, false}, {20, 0, 20, false}, random);
+    add_intervals(crash, 50, {100, 0, 20, false}, {20, 0, 20, false}, random);
     for (int i = 0; i < 2; ++i) {
         // One of five servers cuts the calls in its slots.
-        std::vector<evidence_report> reports{report("v1", "/a", {100, 0, 20, false}, random)};
+        std::vector<evidence_report> reports{make_report("v1", "/a", {100, 0, 20, false}, random)};
         for (int server = 0; server < 5; ++server) {
-            reports.push_back(report("v2", "/a", {12, server == 0 ? 1.0 : 0.0, 20, false}, random));
+            reports.push_back(
+                make_report("v2", "/a", {12, server == 0 ? 1.0 : 0.0, 20, false}, random));
         }
         add_evidence(crash, reports, "v1", "v2");
-        feed(crash, 60, {100, 0, 20, false}, {20, 0, 20, false}, random);
+        add_intervals(crash, 60, {100, 0, 20, false}, {20, 0, 20, false}, random);
         BOOST_TEST((judge_evidence(crash).m_verdict != evidence_verdict::bad), "crash " << i);
     }
 }
@@ -186,9 +190,10 @@
         int intervals = 0;
         bool bad = false;
         while (!bad && intervals++ < 300) {
-            const std::array reports{report("v1", "/a", {80, 0, 20, false}, random),
-                                     report("v2", "/a", {20, 0, 20, false}, random),
-                                     report("v2", "/new", {20, failure_share, 20, false}, random)};
+            const std::array reports{
+                make_report("v1", "/a", {80, 0, 20, false}, random),
+                make_report("v2", "/a", {20, 0, 20, false}, random),
+                make_report("v2", "/new", {20, failure_share, 20, false}, random)};
             add_evidence(evidence, reports, "v1", "v2");
             bad = judge_evidence(evidence).m_verdict == evidence_verdict::bad;
         }
@@ -206,9 +211,9 @@
         move_evidence own;
         for (int i = 1; i <= 300; ++i) {
             std::vector<evidence_report> reports{
-                report("v2", "/a", {10, failure_share, 20, false}, random)};
+                make_report("v2", "/a", {10, failure_share, 20, false}, random)};
             if (with_old) {
-                reports.push_back(report("v1", "/a", {50, old_share, 20, false}, random));
+                reports.push_back(make_report("v1", "/a", {50, old_share, 20, false}, random));
             }
             add_evidence(own, reports, "v1", "v2");
             if (is_locally_bad(own, reason)) {
@@ -232,18 +237,18 @@
         move_record record = first_record();
         move_evidence evidence;
         std::uint32_t largest = 0;
-        for (int second = 1; second <= 301; ++second) {
+        for (int elapsed_s = 1; elapsed_s <= 301; ++elapsed_s) {
             const double share = record.m_weight_permille / 1000.0;
             std::vector<evidence_report> reports{
-                report("v1", "/a", {70 * (1 - share), 0, 20, false}, random),
-                report("v2", "/a", {70 * share, 0, 20, false}, random),
-                report("v1", "/b", {30 * (1 - share), 0, 20, false}, random)};
+                make_report("v1", "/a", {70 * (1 - share), 0, 20, false}, random),
+                make_report("v2", "/a", {70 * share, 0, 20, false}, random),
+                make_report("v1", "/b", {30 * (1 - share), 0, 20, false}, random)};
             if (served) {
-                reports.push_back(report("v2", "/b", {30 * share, 0, 20, false}, random));
+                reports.push_back(make_report("v2", "/b", {30 * share, 0, 20, false}, random));
             }
             add_evidence(evidence, reports, "v1", "v2");
             const move_step step =
-                step_move(record, evidence, false, s_start + std::chrono::seconds(second));
+                step_move(record, evidence, false, s_start + std::chrono::seconds(elapsed_s));
             if (step.m_kind == move_step::kind::write) {
                 BOOST_TEST(step.m_record.m_stage <= record.m_stage + 1);
                 if (step.m_record.m_stage != record.m_stage) {
@@ -252,7 +257,7 @@
                 record = step.m_record;
                 largest = std::max(largest, record.m_weight_permille);
                 if (served && record.m_weight_permille == 1000) {
-                    BOOST_TEST(second <= 200); // two thirds of the time given
+                    BOOST_TEST(elapsed_s <= 200); // two thirds of the time given
                 }
             }
         }
@@ -270,7 +275,7 @@
         record.m_weight_permille = stage_weights_permille[stage];
         record.m_raised_ms = unix_ms(s_start + std::chrono::seconds(250));
         move_evidence evidence;
-        feed(evidence, 100, {50, 0, 20, false}, {50, 0, 20, false}, random);
+        add_intervals(evidence, 100, {50, 0, 20, false}, {50, 0, 20, false}, random);
         const bool full = record.m_weight_permille == 1000;
         for (const int late : {0, 1, 100}) {
             const move_step step = step_move(take_over_move(record, "next"), evidence, false,
@@ -284,8 +289,8 @@
         const move_step step = step_move(record, evidence, true, s_start + s_given);
         BOOST_TEST((step.m_record.m_state == move_state::taken_back));
     }
-    const move_record past = start_move("m", "s", "v1", "v2", s_start, "h", s_start);
-    BOOST_TEST((past.m_state == move_state::taken_back && past.m_weight_permille == 0));
+    const move_record expired = start_move("m", "s", "v1", "v2", s_start, "h", s_start);
+    BOOST_TEST((expired.m_state == move_state::taken_back && expired.m_weight_permille == 0));
 }
 
 // Guards against two holders that both act on stale records: the final state is written once and
@@ -305,30 +310,31 @@
         int final_writes = 0;
         std::uint32_t weight = 0;
         const bool bad = random.below(2) == 0;
-        for (int second = 1; second < 400; ++second) {
-            const wall_time now = s_start + std::chrono::seconds(second);
-            for (holder& one : holders) {
-                feed(one.m_evidence, 1, {20, 0, 20, false}, {20, bad ? 0.2 : 0, 20, false}, random);
+        for (int elapsed_s = 1; elapsed_s < 400; ++elapsed_s) {
+            const wall_time now = s_start + std::chrono::seconds(elapsed_s);
+            for (holder& current : holders) {
+                add_intervals(current.m_evidence, 1, {20, 0, 20, false},
+                              {20, bad ? 0.2 : 0, 20, false}, random);
                 if (random.below(4) == 0) {
                     continue; // paused
                 }
-                if (!one.m_read || random.below(20) == 0) {
+                if (!current.m_read || random.below(20) == 0) {
                     // Thinks it has the lease: reads, and writes its name first.
-                    one.m_read = decode_move(stored, revision);
-                    BOOST_REQUIRE(one.m_read.has_value());
-                    if (one.m_read->m_state != move_state::running) {
+                    current.m_read = decode_move(stored, revision);
+                    BOOST_REQUIRE(current.m_read.has_value());
+                    if (current.m_read->m_state != move_state::running) {
                         continue;
                     }
-                    stored = encode_move(take_over_move(*one.m_read, one.m_name));
-                    one.m_read = decode_move(stored, ++revision);
+                    stored = encode_move(take_over_move(*current.m_read, current.m_name));
+                    current.m_read = decode_move(stored, ++revision);
                 }
                 const move_step step =
-                    step_move(*one.m_read, one.m_evidence, random.below(2'000) == 0, now);
+                    step_move(*current.m_read, current.m_evidence, random.below(2'000) == 0, now);
                 if (step.m_kind != move_step::kind::write) {
                     continue;
                 }
                 if (step.m_record.m_revision != revision) {
-                    one.m_read.reset(); // fenced by the compare-and-swap
+                    current.m_read.reset(); // fenced by the compare-and-swap
                     continue;
                 }
                 stored = encode_move(step.m_record);
@@ -339,12 +345,12 @@
                     BOOST_TEST(step.m_record.m_weight_permille >= weight);
                     weight = step.m_record.m_weight_permille;
                 }
-                one.m_read = step.m_record;
-                one.m_read->m_revision = revision;
+                current.m_read = step.m_record;
+                current.m_read->m_revision = revision;
                 if (random.below(4) == 0) {
-                    one.m_read.reset(); // the response was lost: reads the record again
+                    current.m_read.reset(); // the response was lost: reads the record again
                 } else {
-                    begin_stage(one.m_evidence);
+                    begin_stage(current.m_evidence);
                 }
             }
         }
@@ -389,10 +395,10 @@
     move_evidence evidence;
     for (int i = 0; i < 10; ++i) {
         const double new_calls = i < 3 ? 1 : 0;
-        const std::array reports{report("v1", "/a", {24, 0, 20, false}, random),
-                                 report("v1", "/b", {11, 0, 20, false}, random),
-                                 report("v2", "/a", {2, 0, 20, false}, random),
-                                 report("v2", "/b", {new_calls, 0, 20, false}, random)};
+        const std::array reports{make_report("v1", "/a", {24, 0, 20, false}, random),
+                                 make_report("v1", "/b", {11, 0, 20, false}, random),
+                                 make_report("v2", "/a", {2, 0, 20, false}, random),
+                                 make_report("v2", "/b", {new_calls, 0, 20, false}, random)};
         add_evidence(evidence, reports, "v1", "v2");
     }
     BOOST_TEST(stage_passed(evidence, 1, true));
@@ -406,9 +412,9 @@
 BOOST_AUTO_TEST_CASE(routes_that_always_failed_are_not_evidence) {
     random_source random(first_seed());
     move_evidence holder;
-    feed(holder, 20, {10, 1, 20, false}, {1, 1, 20, false}, random);
+    add_intervals(holder, 20, {10, 1, 20, false}, {1, 1, 20, false}, random);
     begin_stage(holder);
-    BOOST_TEST(feed(holder, 40, {0, 0, 20, false}, {4, 1, 20, false}, random) == 40);
+    BOOST_TEST(add_intervals(holder, 40, {0, 0, 20, false}, {4, 1, 20, false}, random) == 40);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
