--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -8,69 +8,75 @@
 namespace caraway {
 namespace {
 
-// Weight of a new answer in the smoothed latency. Routes of different cost share a server; at 1/16
-// their mix doesn't look like a server turning cold.
+// A new answer has a weight of 1/16 in the smoothed latency. Routes of different cost share a
+// server; at this weight a change in their mix does not look like a server turning cold.
 constexpr int smoothing_samples = 16;
-// Weight of a new answer in the value whose least is the best latency. Slower than the above, since
-// the least of a noisy value is too low.
+// Averaging length of the value whose minimum is the best latency. It is longer than
+// smoothing_samples because the minimum of a noisy value is too low.
 constexpr int slow_smoothing_samples = 64;
-// Up to a quarter of the slots the limit rises while the smoothed latency is at most this many
-// times the best one.
+// Up to a quarter of the slots, the limit rises while the smoothed latency is at most this multiple
+// of the best latency.
 constexpr double fast_factor = 2;
-// The server counts as warm, and the limit rises above the quarter, at this many times the best
-// latency. A server that is a tenth cold still answers within it.
+// The server counts as warm, and the limit rises above a quarter of the slots, at or below this
+// multiple of the best latency. A server that is still one tenth cold is within it.
 constexpr double warm_factor = 1.6;
-// A latency that fell by a tenth in this time shows that the server is still warming up.
+// The server is still warming up if its latency falls by a tenth within this interval.
 constexpr milliseconds trend_interval{1'000};
 constexpr double warming_ratio = 0.9;
-// A warm server whose smoothed latency exceeds the best this many times has turned cold.
+// A warm server counts as cold again when its smoothed latency exceeds this multiple of the best
+// latency.
 constexpr int cold_factor = 3;
-// Answers needed before the smoothed latency counts as a reference for the warm latency.
+// Successful answers required before the smoothed latency is used as the reference for a warm
+// server.
 constexpr std::uint32_t reference_answers = 16;
-// A server in cold start bears about a quarter of its slots; above it the limit rises only once
-// the server is taken for warm.
+// A server in cold start can handle about a quarter of its slots. The limit rises above that only
+// once the server counts as warm.
 constexpr std::uint32_t cold_divisor = 4;
-// Steps from cold to warm. The step grows with the slots, so that large servers don't need more
-// rounds than small ones.
+// Number of steps from one call to all slots. The step size grows with the slots, so that large
+// servers need no more rounds than small ones.
 constexpr std::uint32_t rise_steps = 12;
-// A warm server is dropped to one call at this many failures among the last 16 calls; a single one
-// is ordinary, and a cold server that falls over fails many at once.
+// A warm server's limit drops to one call at this many failures among the last 16 calls. A single
+// failure is ordinary, while a cold server that collapses fails many calls at once.
 constexpr int warm_failures = 2;
 constexpr std::uint32_t failure_window = 0xffff;
-// The best latency follows a lasting rise with this time constant while the limit is low, so that
-// a server that became slower for good opens again. Longer than cold starts (some seconds), which
-// would otherwise look warm.
+// Time constant with which the best latency follows a lasting increase while the limit is low, so
+// that the limit can rise again for a server that has become slower permanently. It is longer than
+// a cold start (some seconds), which would otherwise look warm.
 constexpr std::chrono::duration<double> best_latency_drift{60.0};
-// A call has to fit into its useful time with this part of the smoothed latency to spare: calls
-// differ in the time that they take, and with a queue as long as the estimate allows, half of them
-// would be late in an overload that lasts.
+// Share of the smoothed latency that a call must have to spare within its useful time. Service
+// times vary: with a queue as long as the estimate alone allows, half of the calls would be late in
+// a sustained overload.
 constexpr int latency_reserve_percent = 100;
-// A waiting call is given up when this part of the smoothed latency is all that is left to it: it
-// could hardly be answered in time, and its caller can still come back.
+// A queued call is abandoned when its remaining time falls to this share of the smoothed latency.
+// It could hardly be answered in time, and its caller still has time to retry.
 constexpr int min_useful_time_percent = 60;
-// Bounds of the ratio between waits and their estimates, and the shortest wait that is compared:
-// below it the moment at which a slot becomes free decides.
+// Bounds of the ratio of actual to estimated queueing time, and the shortest estimate that is
+// compared. Below it, the moment at which a slot happens to become free dominates.
 constexpr double min_wait_ratio = 0.25;
 constexpr double max_wait_ratio = 4;
 constexpr milliseconds min_compared_wait{5};
-// Highest load told: more waiting calls make no difference to whom callers choose.
+// Upper bound of the reported load; beyond it, more queued calls make no difference to the callers'
+// choice.
 constexpr std::uint64_t max_load_permille = 10'000;
 
+// Returns the number of calls that may run concurrently now, at least 1.
 std::uint32_t concurrency_limit(const admission_state& state) {
     const auto limit = static_cast<std::uint32_t>(state.m_cold_limit);
     return std::clamp<std::uint32_t>(limit, 1, std::max<std::uint32_t>(state.m_limits.m_slots, 1));
 }
 
+// Returns the highest limit before the server counts as warm.
 std::uint32_t cold_start_ceiling(const admission_state& state) {
     return std::max<std::uint32_t>(1, state.m_limits.m_slots / cold_divisor);
 }
 
+// Returns true during a reported warm-up with a rate limit.
 bool reports_cold(const admission_state& state, time_point now) {
     return now < state.m_limits.m_cold_until && state.m_limits.m_cold_calls_per_second > 0;
 }
 
-// True when one more call may begin now. The calls of any second stay within what a cold server
-// says that it bears.
+// Returns true if one more call may start now. During a reported warm-up, the calls started in any
+// one second stay within the reported rate.
 bool can_start_call(admission_state& state, time_point now) {
     if (state.m_running >= concurrency_limit(state)) {
         return false;
@@ -93,24 +99,25 @@
     }
 }
 
-// How long a call of the route runs, as far as known.
+// Returns the mean latency of the route, or of all calls if the route is unknown.
 duration run_time(const admission_state& state, std::string_view route) {
     const route_latency* known = find_route_latency(state.m_route_latencies, route);
     return known == nullptr ? state.m_smoothed_latency : known->m_mean;
 }
 
-// Reserve for the difference between the calls of a route, or of all routes.
+// Returns the time reserved for variation in the latency of the route, or of all calls if the route
+// is unknown.
 duration run_time_reserve(const admission_state& state, std::string_view route) {
     const route_latency* known = find_route_latency(state.m_route_latencies, route);
     return known == nullptr ? state.m_smoothed_latency * latency_reserve_percent / 100
                             : known->m_deviation;
 }
 
-// How long a call that is to wait behind the first calls of the queue waits for a slot.
+// Estimates how long a call waits for a slot behind the first `ahead` calls of the queue.
 duration expected_wait(const admission_state& state, const queued_call& call, std::size_t ahead,
                        time_point now) {
     const std::uint32_t limit = concurrency_limit(state);
-    duration queued_work = state.m_smoothed_latency; // until the first slot becomes free
+    duration queued_work = state.m_smoothed_latency; // time until the first slot becomes free
     for (std::size_t i = 0; i < ahead; ++i) {
         queued_work += run_time(state, state.m_queue[i].m_route);
     }
@@ -124,8 +131,8 @@
     return std::max(wait, std::chrono::duration_cast<duration>(paced));
 }
 
-// Compares a wait that is over with the estimate. Calls that are late give way to all others, so
-// their waits say nothing.
+// Updates the wait ratio with a completed wait. Late calls are ignored: they yield to all others,
+// so their waits give no information.
 void update_wait_ratio(admission_state& state, const queued_call& call, time_point now) {
     if (call.m_route.empty() || call.m_late || call.m_expected_wait < min_compared_wait) {
         return;
@@ -133,7 +140,8 @@
     const double ratio = std::chrono::duration<double>(now - call.m_queued_at) /
                          std::chrono::duration<double>(call.m_expected_wait);
     double& wait_ratio = state.m_wait_ratio[static_cast<std::size_t>(call.m_urgency)];
-    // The estimate holds the ratio already, so the product is what would have been right.
+    // The estimate already includes the ratio, so the product is the ratio that would have been
+    // correct.
     const double corrected = std::clamp(wait_ratio * ratio, min_wait_ratio, max_wait_ratio);
     wait_ratio += (corrected - wait_ratio) / smoothing_samples;
 }
@@ -142,14 +150,14 @@
     return concurrency_limit(state) >= state.m_limits.m_slots;
 }
 
-// Order of service: urgency, calls whose answer is still of use, deadline, arrival.
+// Queue order: urgency, then calls whose answer is still useful, then deadline, then arrival.
 bool has_precedence(const queued_call& left, const queued_call& right) {
     return std::tie(left.m_urgency, left.m_late, left.m_deadline, left.m_arrival_order) <
            std::tie(right.m_urgency, right.m_late, right.m_deadline, right.m_arrival_order);
 }
 
-// The smoothed latency starts again, so that warm answers from before don't hide that the server
-// is cold now.
+// Drops the limit to one call. The smoothed latency restarts, so that earlier answers of the warm
+// server don't hide that it is cold now.
 void reset_limit(admission_state& state, time_point now) {
     if (!state.m_limits.m_detect_cold_start) {
         return;
@@ -161,12 +169,13 @@
     state.m_limit_dropped_at = now;
 }
 
-// Moves a smoothed value towards an answer; the first answers are averaged.
+// Updates an exponential moving average with the latency of an answer; the first `limit` answers
+// are averaged evenly.
 void smooth(duration& value, duration latency, std::uint32_t answers, std::uint32_t limit) {
     value += (latency - value) / static_cast<int>(std::min(answers, limit));
 }
 
-// Takes one successful answer into the smoothed and the best latency.
+// Updates the smoothed latency, the best latency and the warm-up trend with a successful answer.
 void update_latency(admission_state& state, duration latency, time_point now) {
     if (state.m_answers == 0) {
         state.m_smoothed_latency = latency;
@@ -203,16 +212,17 @@
     state.m_last_answer = now;
 }
 
-// True if the smoothed latency is at most factor times the best one, or there is none yet.
+// Returns true if the smoothed latency is at most `factor` times the best latency, or if there is
+// no best latency yet.
 bool is_fast(const admission_state& state, double factor) {
     return state.m_best_latency == duration{} ||
            std::chrono::duration<double>(state.m_smoothed_latency) <=
                factor * std::chrono::duration<double>(state.m_best_latency);
 }
 
-// Raises the limit by one step after one whole round of fast answers to calls that began after the
-// last drop. Answers count only while the limit is in use: with fewer calls at a time they don't
-// show that the server bears more.
+// Raises the limit by one step after as many consecutive fast answers as the limit allows
+// concurrent calls, counting only calls that started after the last drop. Answers count only while
+// the limit is fully used: with less concurrency they don't show that the server can handle more.
 void raise_limit(admission_state& state, bool in_use, time_point now) {
     if (is_limit_fully_open(state)) {
         return;
@@ -237,12 +247,12 @@
     state.m_cold_limit = std::clamp<double>(next, 1, std::max(1U, state.m_limits.m_slots));
 }
 
-// The least time that a waiting call of the route needs to be of use.
+// Returns the minimum remaining time for which a queued call of the route is still worth running.
 duration min_useful_time(const admission_state& state, std::string_view route) {
     return run_time(state, route) * min_useful_time_percent / 100;
 }
 
-// Puts calls that can't be answered in time any more behind those that still can.
+// Moves calls that can no longer be answered in time behind those that can.
 void demote_late_calls(admission_state& state, time_point now) {
     bool changed = false;
     for (queued_call& call : state.m_queue) {
@@ -257,7 +267,7 @@
     }
 }
 
-// Moves expired calls and then, while the limit allows, the first ones out of the queue.
+// Removes expired calls from the queue, then starts calls from its front while the limit allows.
 admission_release release_waiting(admission_state& state, time_point now) {
     admission_release release;
     std::size_t released_count = 0;
@@ -299,8 +309,8 @@
     state.m_cold_limit = std::min<double>(state.m_cold_limit, std::max(1U, limits.m_slots));
 }
 
-// The queue is kept in order of service. The estimate of the wait refuses a call only behind calls
-// that are at least as urgent, so that no urgent call is refused while less urgent ones wait.
+// The queue is sorted by has_precedence. The wait estimate refuses a call only if everything in the
+// queue is at least as urgent, so that no urgent call is refused while less urgent ones wait.
 admission_result admission_offer(admission_state& state, std::uint64_t call, urgency level,
                                  time_point deadline, time_point now, time_point useful_until,
                                  std::string_view route) {
@@ -357,8 +367,9 @@
     return result;
 }
 
-// Failures and overload close the limit at once, a higher latency as soon as the smoothed value
-// shows it. Answers to calls that began before the last drop say nothing of the server since.
+// Failures and overload drop the limit at once; a higher latency drops it as soon as the smoothed
+// value shows it. Answers to calls that started before the last drop don't reflect the server's
+// present state.
 admission_release admission_finish(admission_state& state, const call_sample& sample,
                                    time_point now) {
     const bool in_use = state.m_running >= concurrency_limit(state);
@@ -411,9 +422,9 @@
     return release;
 }
 
-// Before there is a reference for the warm latency only time and a falling latency tell: waiting
-// for the reference left a version that was slow from its first call unnoticed at a few calls a
-// second.
+// Without a reference for the warm latency, only elapsed time and a falling latency are considered.
+// Waiting for the reference instead left a version that was slow from its first call undetected at
+// a few calls per second.
 bool is_cold(const admission_state& state, time_point now) {
     if (!state.m_limits.m_detect_cold_start) {
         return now < state.m_limits.m_cold_until;
@@ -430,9 +441,10 @@
             static_cast<std::uint32_t>(1000 * state.m_failure_share), state.m_smoothed_latency};
 }
 
-// A server that just failed its only allowed call reports full load, so that the fast refusals of
-// a dead server don't attract calls. A warm server's limit rises as soon as it is used, so its load
-// is counted over its slots; otherwise quiet servers would look full and send calls elsewhere.
+// A server that has just failed its only permitted call reports full load, so that the fast
+// refusals of a dead server don't attract calls. A warm server's limit rises as soon as it is used,
+// so its load is relative to its slots; otherwise idle servers would look full and divert calls
+// elsewhere.
 std::uint32_t admission_load_permille(const admission_state& state, time_point now) {
     const std::uint32_t limit = concurrency_limit(state);
     if (limit == 1 && (state.m_recent_failures & 1U) != 0) {
--- a/src/decide/admission.hpp
+++ b/src/decide/admission.hpp
@@ -1,5 +1,5 @@
-// Admission at the backend side: the node beside a backend server sees all of its calls and alone
-// enforces slots, the bounded queue and the cold-start limit.
+// Admission control on the backend side. The node beside a backend server sees all of the server's
+// calls, so it alone enforces the slots, the bounded queue and the cold-start limit.
 #pragma once
 
 #include <array>
@@ -16,131 +16,149 @@
 
 namespace caraway {
 
+// Limits of one backend server.
 struct admission_limits {
     std::uint32_t m_slots = 12;
     std::uint32_t m_queue = 48;
-    // How long a server without a known warm latency is held at a quarter of its slots at least,
-    // counted from its first answer; longer while its latency still falls.
+    // Minimum duration of the cold-start phase, counted from the first successful answer, of a
+    // server whose warm latency is not known yet. Until then the concurrency limit stays at or
+    // below a quarter of the slots. The phase lasts longer while the latency still falls.
     milliseconds m_cold_hold{5'000};
-    // False for a server that says itself when it is cold: the limit is then always the slots.
+    // Whether cold start is detected from latency and failures. False for a server that reports its
+    // own warm-up: the concurrency limit then always equals the slots.
     bool m_detect_cold_start = true;
-    // Such a server bears so many calls a second until then; 0: any number.
+    // End of the reported warm-up, and the maximum number of calls started per second until then. A
+    // rate of 0 means no limit.
     time_point m_cold_until;
     double m_cold_calls_per_second = 0;
 };
 
-// A call that waits for a slot.
+// A call that waits in the queue for a slot.
 struct queued_call {
     std::uint64_t m_id = 0;
     urgency m_urgency = urgency::normal;
-    bool m_late = false; // its answer has lost most of its worth already
+    bool m_late = false; // can no longer be answered before m_useful_until
     time_point m_deadline;
-    std::uint64_t m_arrival_order = 0; // arrival
-    std::string m_route;               // empty: not told
-    time_point m_useful_until; // when the answer loses most of its worth; not known if long past
+    std::uint64_t m_arrival_order = 0; // sequence number of the arrival
+    std::string m_route;               // empty if unknown
+    // When the answer loses most of its value to the caller. The default value means unknown.
+    time_point m_useful_until;
     time_point m_queued_at;
-    duration m_expected_wait{}; // for a slot, as estimated on arrival
+    duration m_expected_wait{}; // estimated on arrival
 };
 
+// State of admission control for one backend server. Not synchronised.
 struct admission_state {
     admission_limits m_limits;
     std::uint32_t m_running = 0;
-    double m_cold_limit = 1;   // concurrent calls allowed; equals the slots when warm
-    duration m_best_latency{}; // best smoothed latency seen; zero until the first answer
+    double m_cold_limit = 1; // concurrent calls allowed; the number of slots when warm
+    // Reference latency of the warm server: the lowest m_slow_smoothed_latency, which slowly
+    // follows a lasting increase while the limit is low. Zero until there are enough answers.
+    duration m_best_latency{};
     duration m_smoothed_latency{};
     route_latencies m_route_latencies;
-    // By urgency: how long calls waited for a slot over how long they were expected to. More urgent
-    // calls that keep coming make the others wait longer than the queue shows.
+    // Ratio of actual to estimated queueing time for each urgency. It exceeds 1 for less urgent
+    // calls when more urgent ones keep arriving, which the queue at arrival does not show.
     std::array<double, urgency_levels> m_wait_ratio{1, 1, 1};
-    std::uint32_t m_answers = 0; // successful ones since the smoothing began or the limit dropped
-    std::uint32_t m_fast_answers = 0;    // in a row since the limit last changed
-    double m_failure_share = 0;          // of the last calls, smoothed
-    std::uint32_t m_recent_failures = 0; // one bit for each of the last calls, newest lowest
-    duration m_slow_smoothed_latency{};  // smoothed over more answers; its least value is the best
-                                         // latency
-    duration m_trend_latency{};          // smoothed latency at m_trend_started
+    std::uint32_t m_answers = 0;         // successful, since smoothing last restarted
+    std::uint32_t m_fast_answers = 0;    // consecutive, since the limit last changed
+    double m_failure_share = 0;          // smoothed share of failed calls
+    std::uint32_t m_recent_failures = 0; // one bit per recent call, the newest in the lowest bit
+    // Latency smoothed over more answers; its minimum is m_best_latency.
+    duration m_slow_smoothed_latency{};
+    // Smoothed latency at m_trend_started, the start of the current warm-up trend interval.
+    duration m_trend_latency{};
     time_point m_trend_started;
-    time_point m_warming_until; // the latency fell lately: not warm before this
-    bool m_warm = false;        // since the limit last dropped, answers were as fast as when warm
+    time_point m_warming_until; // the latency fell recently; not warm before this time
+    bool m_warm = false; // the latency has reached the warm level since the last drop of the limit
     time_point m_first_answer;
     time_point m_last_answer;
-    time_point m_limit_dropped_at; // answers to calls that began before this don't count
+    time_point m_limit_dropped_at; // answers to calls that started earlier are ignored
     std::vector<queued_call> m_queue;
     std::uint64_t m_next_order = 0;
-    std::deque<time_point> m_cold_call_starts; // calls begun in the last second while cold
+    // Start times of the calls of the last second during a reported warm-up.
+    std::deque<time_point> m_cold_call_starts;
     bool m_draining = false;
 };
 
+// Whether an offered call may run now, is queued or is refused.
 enum class admission_verdict : std::uint8_t { run, wait, refuse };
 
 struct admission_result {
     admission_verdict m_verdict = admission_verdict::refuse;
-    error_kind m_reason = error_kind::none; // refuse: why
-    // A call that lost its place in the full queue to a more urgent one; 0 if none. It is answered
-    // as refused with queue_full.
+    error_kind m_reason = error_kind::none; // set if refused
+    // ID of a queued call that was evicted from the full queue in favour of this more urgent one; 0
+    // if none. The evicted call must be refused with queue_full.
     std::uint64_t m_displaced = 0;
-    duration m_retry_after{}; // refuse: until there may be room for such a call
+    duration m_retry_after{}; // if refused: estimated time until such a call could be admitted
 };
 
+// Returns the initial state, in which a cold start is assumed: one concurrent call is allowed.
 admission_state make_admission(const admission_limits& limits);
 
-// Changes the limits when a new configuration comes into force; running calls are not cut.
+// Applies the limits of a new configuration. Running calls are not interrupted.
 void set_admission_limits(admission_state& state, const admission_limits& limits);
 
-// A call asks for a slot. Refuses when draining, when its deadline cannot be met given the
-// smoothed latency and the queue before it, or when the queue is full of calls at least as urgent.
-// useful_until, if known, is when an answer loses most of its worth: a call that would wait past it
-// is refused, too, since in an overload that lasts, all calls would else be served late. A call for
-// which that time has passed waits behind all others of its urgency. route tells calls of different
-// work apart; without it all are taken for alike.
+// Requests a slot for a call: the call may run, is queued or is refused. It is refused while
+// draining, if the smoothed latency and the queue ahead of it show that its deadline cannot be met,
+// or if the queue is full of calls that are at least as urgent.
+//
+// useful_until, if known, is the time at which the answer loses most of its value. A call that
+// would wait past it is refused as well; otherwise every call would be answered late in a sustained
+// overload. A call for which this time has already passed queues behind all others of its urgency.
+//
+// route selects the latency estimate; calls without a route use the average over all routes.
 admission_result admission_offer(admission_state& state, std::uint64_t call, urgency level,
                                  time_point deadline, time_point now, time_point useful_until = {},
                                  std::string_view route = {});
 
-// How a call that ran ended.
+// Outcome of a call that ran.
 struct call_sample {
-    std::string m_route; // empty: not told
+    std::string m_route; // empty if unknown
     duration m_latency{};
-    bool m_failed = false;    // refused connection, cut, timeout, 5xx
-    bool m_shed = false;      // the backend server said that it is overloaded
-    bool m_cancelled = false; // says nothing about the server
+    bool m_failed = false;    // connection refused or cut, timeout or 5xx
+    bool m_shed = false;      // the backend server rejected the call as overloaded
+    bool m_cancelled = false; // gives no information about the server
 };
 
-// What becomes of waiting calls.
+// IDs of the calls that left the queue.
 struct admission_release {
-    std::vector<std::uint64_t> m_run;     // may run now
-    std::vector<std::uint64_t> m_expired; // too little time is left until the deadline
+    std::vector<std::uint64_t> m_run;     // have a slot and must be started
+    std::vector<std::uint64_t> m_expired; // have too little time left and must be refused
 };
 
-// A running call ended: frees its slot, moves the cold-start limit, starts waiting calls.
+// Records the end of a running call: frees its slot, adjusts the cold-start limit and starts queued
+// calls.
 admission_release admission_finish(admission_state& state, const call_sample& sample,
                                    time_point now);
 
-// A waiting call was cancelled by its caller.
+// Removes a queued call that its caller has cancelled.
 void admission_cancel(admission_state& state, std::uint64_t call);
 
-// Expires waiting calls. Call it at least every 20 ms while calls wait.
+// Expires queued calls and starts those that may run. Must be called at least every 20 ms while
+// calls are queued.
 admission_release admission_tick(admission_state& state, time_point now);
 
-// From now on every offer is refused with draining; waiting calls are expired at once.
+// Expires all queued calls; every later offer is refused with draining.
 admission_release admission_drain(admission_state& state);
 
-// True while the backend server may be in cold start, so that its latency says nothing of its
-// version: it has not been as fast as when warm since the limit began or dropped, or its first
-// answer is recent, or its latency still falls.
+// Returns true while the backend server may be in cold start, so that its latency is no evidence
+// about its version: since the limit started or dropped its latency has not reached the warm level,
+// its first answer is recent, or its latency still falls.
 bool is_cold(const admission_state& state, time_point now);
 
-// What the node tells callers of its backend server with every answer.
+// Figures about the backend server that the node returns to callers with every answer.
 struct server_quality {
     std::uint32_t m_load_permille = 0;    // see admission_load_permille
-    std::uint32_t m_failure_permille = 0; // share of the last calls that failed
-    duration m_latency{};                 // smoothed, without the wait for a slot; 0: not known
+    std::uint32_t m_failure_permille = 0; // smoothed share of failed calls
+    duration m_latency{};                 // smoothed, without queueing time; 0 if unknown
 };
 server_quality admission_quality(const admission_state& state, time_point now);
 
-// Load that answers carry back, 1000 when all slots are busy and more with the queue, at most
-// 10,000: running and waiting calls over what may run now, or over the slots of a warm server; for
-// one that says that it is cold, the calls of the last second over those that it bears, if more.
+// Returns the load that answers report to callers: running and queued calls divided by the
+// concurrency limit, or by the slots if the server is warm. 1000 means all slots are busy, more
+// means that calls are queued; the maximum is 10,000. For a server that reports a warm-up it is the
+// calls of the last second divided by its permitted rate, if that is higher.
 std::uint32_t admission_load_permille(const admission_state& state, time_point now);
 
 } // namespace caraway
--- a/src/decide/balance.cpp
+++ b/src/decide/balance.cpp
@@ -5,51 +5,53 @@
 namespace caraway {
 namespace {
 
-// Weights are in permille.
+// Permille in one unit.
 constexpr std::uint32_t weight_unit = 1000;
 
-// Reported load from which a backend server counts as close to its queue (all slots busy is 1000).
-// Spilling over at 800 leaves the load reports, which are an answer old, time to arrive.
+// Reported load from which a backend server counts as close to queueing calls (1000 means that all
+// slots are busy). Load reports lag by one answer; spilling over at 800 leaves them time to arrive.
 constexpr double spill_load_permille = 800;
-// A remote server must be this much less loaded than the local ones, or calls would travel between
-// data centres that are equally full.
+// A remote server must report a load lower than the local ones by this much; otherwise calls would
+// move between equally loaded data centres.
 constexpr double spill_margin_permille = 100;
-// A reported load fades to nothing within this age: slots turn over several times in a second.
+// Age at which a reported load no longer counts: slots turn over several times per second.
 constexpr std::chrono::duration<double> load_lifetime{1.0};
 
-constexpr std::uint32_t breaker_threshold = 3; // single cut connections are ordinary
+constexpr std::uint32_t breaker_threshold = 3; // a single cut connection is ordinary
 constexpr milliseconds breaker_min_backoff{200};
 constexpr milliseconds breaker_max_backoff{10'000};
-// A trial call that never reports back (its caller went away) frees the breaker after this time.
+// The breaker admits another trial call after this time if the result of the trial was never
+// recorded, such as when its caller disconnected.
 constexpr milliseconds breaker_trial_timeout{2'000};
 
-// A failed call costs its caller as much as this many served ones take.
+// A failed call costs its caller as much as this many successful calls.
 constexpr double failure_cost = 10;
-// Reported failures fade to nothing within this age, so that a server that recovered is tried
+// Age at which a reported failure share no longer counts, so that a recovered server is tried
 // again.
 constexpr std::chrono::duration<double> failure_lifetime{4.0};
-// Reported latencies are compared for this long; an older one is taken for the usual one.
+// Age at which a reported latency is replaced by the mean of the other candidates.
 constexpr std::chrono::duration<double> latency_lifetime{10.0};
-// Candidates compared for a call.
+// Number of random candidates compared for each call.
 constexpr std::size_t sample_size = 3;
 
-// What is left of a figure of the given age, from 1 down to 0.
+// Returns the weight of the last report by its age, decreasing linearly from 1 to 0 over the
+// lifetime.
 double freshness(const candidate& server, std::chrono::duration<double> lifetime) {
     return std::clamp(1 - std::chrono::duration<double>(server.m_load_age) / lifetime, 0.0, 1.0);
 }
 
-// Reported load in permille, less the older it is.
+// Returns the reported load in permille, scaled down with its age.
 double decayed_load(const candidate& server) {
     return server.m_load_permille * freshness(server, load_lifetime);
 }
 
-// Latency in seconds as far as known, else the given usual one.
+// Returns the latency in seconds, or default_latency if it is unknown or too old.
 double latency_or(const candidate& server, double default_latency) {
     const bool known = server.m_latency > duration{} && freshness(server, latency_lifetime) > 0;
     return known ? std::chrono::duration<double>(server.m_latency).count() : default_latency;
 }
 
-// Mean of the known latencies, in seconds; 1 if none is known.
+// Returns the mean of the known latencies in seconds, or 1 if none is known.
 double mean_known_latency(std::span<const candidate> candidates) {
     double sum = 0;
     std::size_t known = 0;
@@ -61,7 +63,7 @@
     return known == 0 ? 1 : sum / static_cast<double>(known);
 }
 
-// Cost of one more call on a candidate; the smaller is chosen.
+// Returns the expected cost of one more call on a candidate; the lowest is chosen.
 double cost(const candidate& server, double default_latency) {
     const double failures =
         server.m_failure_permille * freshness(server, failure_lifetime) / weight_unit;
@@ -69,13 +71,14 @@
            (weight_unit + decayed_load(server)) * (1 + failure_cost * failures);
 }
 
-// Tiers are tried in this order: own data centre, others; then the same with open breakers.
+// Returns true if a candidate belongs to a tier. The tiers are tried in this order: own data
+// centre, then others; then the same with open breakers.
 bool in_tier(const candidate& server, bool own, bool breaker_open) {
     return server.m_usable && !server.m_tried && !server.m_refusing &&
            server.m_own_data_centre == own && server.m_breaker_open == breaker_open;
 }
 
-// The best of a few different random candidates of a tier.
+// Returns the cheapest of a few distinct random candidates of a tier.
 std::optional<std::size_t> best_of_sample(std::span<const candidate> candidates, bool own,
                                           bool breaker_open, double default_latency,
                                           random_source& random) {
@@ -98,8 +101,9 @@
 
 } // namespace
 
-// Stays in the own data centre until the best of a few local candidates nears its queue. Comparing
-// only a few bounds the herding of many callers on the one server that last reported a low load.
+// Stays in the own data centre until the best of the sampled local candidates is close to queueing
+// calls. Comparing only a few candidates limits herding of many callers onto the one server that
+// last reported a low load.
 std::optional<std::size_t> choose_candidate(std::span<const candidate> candidates,
                                             random_source& random) {
     const double default_latency = mean_known_latency(candidates);
@@ -136,8 +140,8 @@
     return refusing;
 }
 
-// A call can pass the place of its unit and that of the next one; the second choice is then made
-// with the next call.
+// One call can pass both the selected position of its unit and that of the next unit; the second
+// selection is then assigned to the next call.
 bool choose_new_version(version_share& share, std::uint32_t weight_permille,
                         random_source& random) {
     if (weight_permille >= weight_unit) {
@@ -184,7 +188,8 @@
     return breaker.m_failures >= breaker_threshold && now < breaker.m_open_until;
 }
 
-// The trial moves m_open_until forward, so that the breaker is open to all other calls meanwhile.
+// A trial call moves m_open_until forward, so that the breaker stays open for all other calls
+// meanwhile.
 bool breaker_try_call(circuit_breaker& breaker, time_point now) {
     if (breaker.m_failures < breaker_threshold) {
         return true;
@@ -212,7 +217,7 @@
     if (breaker.m_failures < breaker_threshold) {
         return;
     }
-    // Doubling stops after six steps; a larger shift would exceed the longest wait anyway.
+    // The backoff doubles up to six times; a larger shift would exceed the maximum backoff anyway.
     const auto steps = std::min<std::uint32_t>(breaker.m_failures - breaker_threshold, 6);
     breaker.m_open_until = now + std::min(breaker_min_backoff * (1U << steps), breaker_max_backoff);
 }
--- a/src/decide/balance.hpp
+++ b/src/decide/balance.hpp
@@ -1,4 +1,5 @@
-// Choice of a backend server at the calling side.
+// Load balancing on the calling side: choice of a backend server, of a version and of a split
+// target, and circuit breakers.
 #pragma once
 
 #include <cstdint>
@@ -13,69 +14,77 @@
 
 namespace caraway {
 
-// What the calling side knows of one backend server at the moment of choice.
+// State of one backend server as known to the calling node at the time of choice.
 struct candidate {
     bool m_own_data_centre = false;
-    bool m_usable = true;            // serves the chosen version, not suspended, not left, not out
-    std::uint32_t m_outstanding = 0; // calls under way from this node
-    std::uint32_t m_load_permille = 0;    // last load that an answer carried back
-    std::uint32_t m_failure_permille = 0; // share of its calls that failed, from that answer
-    duration m_latency{};                 // of its calls, from that answer; 0: not known
-    duration m_load_age{};                // since that answer; what is old counts less
+    // Serves the chosen version and is not suspended, departed or out of service.
+    bool m_usable = true;
+    std::uint32_t m_outstanding = 0;      // calls in flight from this node
+    std::uint32_t m_load_permille = 0;    // load reported with the last answer
+    std::uint32_t m_failure_permille = 0; // share of failed calls, from the same report
+    duration m_latency{};                 // mean of its calls, from the same report; 0 if unknown
+    duration m_load_age{};                // age of the report; older reports have less weight
     bool m_breaker_open = false;
-    bool m_refusing = false; // has just refused such calls for want of room
-    bool m_tried = false;    // already refused this call
+    bool m_refusing = false; // recently refused calls of this urgency as overloaded
+    bool m_tried = false;    // has already been tried for this call
 };
 
-// Chooses among a few random candidates by the time that a call is expected to take there: latency,
-// outstanding calls, reported load and failures; the own data centre first, others when the local
-// ones are close to their queues. Candidates with an open
-// breaker are used only when nothing else is left. Returns an index into candidates.
+// Picks the candidate with the lowest expected cost from a small random sample; the cost combines
+// latency, calls in flight, reported load and failures. Candidates in the own data centre are
+// preferred until they are close to queueing calls. Candidates with an open breaker are used only
+// if there are no others. Returns an index into candidates, or nothing if none can be used.
 std::optional<std::size_t> choose_candidate(std::span<const candidate> candidates,
                                             random_source& random);
 
-// True when those that may be asked are left only because they are taken to refuse the call, or
-// have an open breaker: another attempt would cost a server and the caller time for nothing.
+// Returns true if at least one usable candidate refuses calls as overloaded and every other one has
+// been tried or has an open breaker. Another attempt would then cost a server and the caller time
+// to no effect.
 bool is_overloaded(std::span<const candidate> candidates);
 
-// One node's choices between the two versions of a service. Every call covers its weight of a unit
-// of 1000; in each unit the new version is chosen once, at a random place.
+// One node's selection between the two versions of a service. Each call advances a position by its
+// weight; in every unit of 1000 the new version is selected once, at a random position.
 struct version_share {
-    std::uint32_t m_unit_position = 0;      // of the current unit
-    std::uint32_t m_selected_position = 0;  // in the current unit, where the new version is chosen
-    bool m_initialised = false;             // m_selected_position is drawn
-    std::uint32_t m_pending_selections = 0; // places passed whose choice is still to be made
+    std::uint32_t m_unit_position = 0; // position within the current unit
+    // Position in the current unit at which the new version is selected.
+    std::uint32_t m_selected_position = 0;
+    bool m_initialised = false;             // m_selected_position has been drawn
+    std::uint32_t m_pending_selections = 0; // selections passed but not yet assigned to a call
 };
 
-// Chooses the version of a call: true for the new version, which gets weight_permille of the calls,
-// exact to about one call at any moment. Independent choices exceeded 5% of some 900 calls at a
-// weight of 50; a fixed distance between the choices would let a caller's periodic pattern keep the
-// new version off a route.
+// Returns true if a call goes to the new version, which receives weight_permille of the calls,
+// exact to about one call at any time. Independent random choices exceeded 5% of some 900 calls at
+// a weight of 50; selecting at a fixed distance would let a periodic pattern in a caller's requests
+// keep the new version off a route.
 bool choose_new_version(version_share& share, std::uint32_t weight_permille, random_source& random);
 
-// One node's choices between the services of a split route.
+// State of one node's smooth weighted round robin over the services of a split route.
 struct weighted_round_robin {
-    std::vector<std::int64_t> m_current_weights; // by part
+    std::vector<std::int64_t> m_current_weights; // by target
 };
 
-// Chooses a part by its weight: smooth weighted round robin, exact to about one call at any moment.
-// weights holds at least one that is above 0; a choice with other numbers of parts starts afresh.
+// Returns the index of the next target by smooth weighted round robin; the shares are exact to
+// about one call at any time. At least one weight must be above 0. The state is reset if the number
+// of weights changes.
 std::size_t choose_weighted(weighted_round_robin& choice, std::span<const std::uint32_t> weights);
 
-// A circuit breaker for one backend server: opens after consecutive failures to reach it and lets
-// one call through after a backoff.
+// Circuit breaker for one backend server. It opens after consecutive connection failures and lets
+// one trial call through after a backoff.
 struct circuit_breaker {
     std::uint32_t m_failures = 0;
     time_point m_open_until;
-    bool m_trial = false; // the one call of a half-open breaker is under way
+    bool m_trial = false; // the trial call of the half-open breaker is in flight
 };
+// Returns true while calls should avoid the server.
 bool breaker_is_open(const circuit_breaker& breaker, time_point now);
-// Marks the one trial call of a half-open breaker; returns false if another one is under way.
+// Returns true if a call may be made. On a half-open breaker the call becomes its trial call, and
+// other calls are rejected while it is in flight.
 bool breaker_try_call(circuit_breaker& breaker, time_point now);
+// Closes the breaker.
 void breaker_record_success(circuit_breaker& breaker);
+// Records a failure to reach the server; opens the breaker after several consecutive ones.
 void breaker_record_failure(circuit_breaker& breaker, time_point now);
-// A connection could not be made: the breaker opens at once, since each such call costs its caller
-// the whole time that a connection is waited for.
+// Records that no connection could be established. The breaker opens at once, since each such call
+// costs its caller the whole connection timeout.
 void breaker_record_unreachable(circuit_breaker& breaker, time_point now);
 
 } // namespace caraway
--- a/src/decide/move_evidence.cpp
+++ b/src/decide/move_evidence.cpp
@@ -10,110 +10,119 @@
 namespace caraway {
 namespace {
 
-// The test of one route and measure
-// ---------------------------------
-// Each second gives a table of two rows: calls of the old and of the new version on one route in
-// the same interval, split into harmed (failed, or slower than a threshold) and others. Given the
-// margins of the table, the number x of harmed calls of the new version is hypergeometric if both
-// versions are equally good, whatever the rate is at that moment; so an overload that slows both
-// gives no evidence. The alternative is Fisher's noncentral distribution with odds ratio r. The
-// ratio L of the two has expectation 1 for a good version.
+// Sequential test of one route and measure
+//
+// Each interval gives a table of two rows: the calls of the old and of the new version on one
+// route, split into harmed ones (failed, or slower than a threshold) and others. Given the margins
+// of the table, the number x of harmed calls of the new version is hypergeometric if both versions
+// are equally good, whatever the rate is at that moment, so an overload that slows both gives no
+// evidence. The alternative is Fisher's noncentral hypergeometric distribution with odds ratio r.
+// The likelihood ratio L of the two has expectation 1 for a good version.
 //
 // The statistic R(k) = (R(k-1) + w(k)) * L(k), with the sum of all w(k) at most 1, is a mixture of
-// likelihood ratios that start at every interval k: good intervals before the start don't count, so
-// later badness is not diluted. R minus the sum of the w is a supermartingale for a good version,
-// so the probability that it ever reaches R >= 1/a is at most a (Ville's inequality).
+// likelihood ratios that start at every interval k. Good intervals before the start don't count, so
+// a defect that appears later is not diluted. R minus the sum of the w is a supermartingale for a
+// good version, so the probability that R ever reaches 1/a is at most a (Ville's inequality).
 //
-// The tests are one for each route with evidence and one over all routes together, each for
-// failures and for latency. The bound of 0.5% per move is divided: four fifths for the holder, one
-// fifth for the instances that may suspend on their own and see less; each part equally among its
-// tests, and the second also among the instances. The quotient is a; log_threshold gives log(1/a).
+// There is one test for each route with evidence and one over all routes together, each for
+// failures and for latency. The bound of 0.5% per move is divided: four fifths for the holder, and
+// one fifth for the instances that may suspend on their own and see fewer calls. Each part is
+// divided equally among its tests, and the second also among the instances. The quotient is a;
+// log_threshold returns log(1/a).
 
-// Share of the false-alarm bound for the holder.
+// Share of the false-alarm bound assigned to the holder.
 constexpr double holder_share = 0.8;
 
-// w(k): a tenth of the mass starts with each of the six stages, since a raise brings out most
-// defects; the rest is spread as K / ((k + K) (k + K - 1)), which sums to 1 and is nearly uniform
+// Weights w(k): a tenth of the mass starts with each of the six stages, since a raise exposes most
+// defects. The rest is spread as K / ((k + K) (k + K - 1)), which sums to 1 and is nearly uniform
 // over the first K informative intervals.
 constexpr double stage_start_mass = 0.1;
 constexpr double spread_mass = 1 - stage_start_mass * move_stages;
 constexpr double start_spread = 200;
 
-// Odds ratios of the alternatives for failures. 100 decides after few failures while the new
-// version has a small share of the calls; 3 leaves differences below about 1.7 times alone.
+// Odds ratios of the failure alternatives. 100 decides after few failures while the new version has
+// a small share of the calls; with 3 as the lowest, differences below about 1.7 times are not
+// detected.
 constexpr std::array<double, failure_alternatives> failure_odds{3, 10, 100};
 
-// Where the old version has no traffic on a route, a failure share up to 5% is assumed to be good.
-// Evidence that never had any of its calls can't tell a bad version from an overload in which calls
-// time out; 25% is then assumed to be good. The alternatives are higher by the excesses.
+// If the old version has no traffic on a route, a failure share of up to 5% is assumed to be good.
+// If the old version has had no calls at all, a bad version can't be distinguished from an overload
+// in which calls time out, and 25% is assumed to be good. The alternatives exceed the good share by
+// the listed amounts.
 constexpr double assumed_good_failure_share = 0.05;
 constexpr double assumed_good_failure_share_alone = 0.25;
 constexpr std::array<double, failure_alternatives> assumed_bad_excesses{0.1, 0.25, 0.7};
 constexpr double largest_bad_share = 0.99;
-// A route on which the old version failed more often than this can't show a worse new one.
+// A new version cannot be shown to be worse on a route where the old one failed more often than
+// this.
 constexpr double largest_comparable_share = 0.85;
 
-// Latency alternatives: calls above the class that a share of the old version's recent calls
-// exceed, with an odds ratio. A quarter shows a shift of the whole distribution, a twentieth
-// calls that are slow now and then.
+// Latency alternatives: calls above the bucket that m_slow_share of the old version's recent calls
+// exceed, with an odds ratio. A share of a quarter detects a shift of the whole distribution, a
+// twentieth detects occasional slow calls.
 struct latency_alternative {
     double m_slow_share;
     double m_odds;
 };
 constexpr std::array<latency_alternative, latency_alternatives> latency_tests{
     {{0.25, 3}, {0.25, 20}, {0.05, 3}, {0.05, 20}}};
-// Servers of one service differ in speed, and a version has few of them: calls of the new version
-// count as slow from this many classes (1.5 times each) above the threshold of the old version's.
+// Servers of one service differ in speed, and a version may have few of them: calls of the new
+// version count as slow only this many buckets (a factor of 1.5 each) above the threshold of the
+// old version.
 constexpr std::size_t server_speed_buckets = 1;
-// Old calls in the window before a threshold is taken from it.
+// Calls of the old version required in the window before a threshold is derived from it.
 constexpr double window_min_calls = 20;
-// Windows forget within about 40 intervals, so that thresholds follow the time of day.
+// Decay per interval. Windows span about 40 intervals, so that thresholds follow the time of day.
 constexpr double window_decay = 0.975;
 
-// Ratios fade by 1% an interval, so that one crashed server early in a long move doesn't add up
-// with another much later. A defect that fails one call a minute still accumulates.
+// Ratios decay by 1% per interval, so that one crashed server early in a long move doesn't add up
+// with another much later. A defect that fails one call per minute still accumulates.
 constexpr double ratio_decay = 0.99;
 
-// Intervals with fewer old calls than this are tested together with the next ones, at most
-// max_pending_intervals of them: a comparison with one or two old calls tells nothing.
+// Intervals with fewer calls of the old version than this are tested together with the next ones,
+// up to max_pending_intervals: a comparison with one or two old calls gives no information.
 constexpr std::uint32_t pending_min_old_calls = 10;
 constexpr std::uint32_t max_pending_intervals = 10;
 
-// Failures in one interval that a single server may show beyond the others. Not zero, so that a
-// version whose servers crash one after the other still gathers evidence.
+// Failures that a single server may have in one interval beyond those of the second worst. Above
+// zero, so that a version whose servers crash one after the other still accumulates evidence.
 constexpr std::uint32_t single_server_failures = 1;
 
-// A stage doesn't end while the log of a ratio is above this share of the threshold.
+// A stage doesn't end while the log of a ratio is above this share of the log threshold.
 constexpr double doubt_share = 0.6;
 
-// A pass needs the log-likelihood ratio ln 20 against "10 points more failures" and against "odds
-// of a slow call three times higher": 29 calls without a failure give the former.
+// A route passes at a log-likelihood ratio of ln 20 against "10 points more failures" and against
+// "odds of a slow call three times higher". 29 calls without a failure reach the former.
 constexpr double pass_score = 3.0;
 constexpr double bad_failure_excess = 0.10;
-// Scores are kept in this range, so that a burst (one crashed server) can be made up for.
+// Bounds of the scores, so that the effect of a burst (one crashed server) can be compensated
+// later.
 constexpr double min_score = -5;
 constexpr double max_score = 10;
 
-// Fewest calls of the new version in a stage: for any raise, and for a route to be judged.
+// Minimum calls of the new version in a stage: for the first stage to end, for later stages to end,
+// and for a route to be evaluated.
 constexpr std::uint64_t first_stage_min_calls = 3;
 constexpr std::uint64_t stage_min_calls = 10;
 constexpr std::uint64_t route_min_calls = 5;
-// The same up to the second stage, whose weight of 40 permille gives a route with a third of 50
-// calls a second 3 calls in 5 s; the next stage brings more while its share is still small.
+// Minimum for a route up to the second stage. At its weight of 40 permille, a route with a third of
+// 50 calls a second gets 3 calls in 5 s; the next stage brings more while the new version's share
+// is still small.
 constexpr std::uint64_t early_route_min_calls = 2;
 constexpr std::size_t last_early_stage = 1;
-// Routes with too few calls to be judged are let pass late only if together they have at most this
-// share of the calls; they are tested at the higher weights, where they get more calls.
+// When a stage is late, routes with too few calls to be evaluated are accepted only if together
+// they have at most this share of the calls. They are tested at the higher weights, where they get
+// more calls.
 constexpr double rare_routes_share = 0.2;
 
-// log of the likelihood ratio of odds r to odds 1 for x harmed calls of the new version, given the
-// margins: n_new and n_old calls, s harmed ones.
+// Returns the log of the likelihood ratio of odds r to odds 1 for x harmed calls of the new
+// version, given the margins: n_new and n_old calls, of which s are harmed.
 double log_likelihood_ratio(std::uint64_t x, std::uint64_t n_new, std::uint64_t n_old,
                             std::uint64_t s, double r) {
     const std::uint64_t low = s > n_old ? s - n_old : 0;
     const std::uint64_t high = std::min(s, n_new);
-    // Sums of the unnormalized weights of both distributions, relative to their value at low and
-    // rescaled when they get large.
+    // Sums of the unnormalised weights of both distributions, relative to their value at low and
+    // rescaled when they become large.
     double central = 1;
     double tilted = 1;
     double central_sum = 1;
@@ -143,7 +152,8 @@
            std::log(tilted_sum) - tilted_scale;
 }
 
-// log(1/a) as explained above: the log of the value of R that decides.
+// Returns log(1/a) as explained above, the log of the value of R that decides. instances is 0 for
+// the holder.
 double log_threshold(std::size_t routes, std::uint32_t instances) {
     const double tests = 2.0 * static_cast<double>(routes + 1);
     if (instances == 0) {
@@ -152,15 +162,16 @@
     return std::log(tests * instances / ((1 - holder_share) * false_alarm_bound));
 }
 
-// Largest log-likelihood ratio that one interval may add to a test. A server that crashes cuts all
-// its calls within one interval, and reports of the two versions may be one interval apart when an
-// overload begins; so at least two intervals must agree. Lowering a ratio keeps the bound.
+// Returns the largest log-likelihood ratio that one interval may add to a test. At least two
+// intervals must agree, because a crashing server cuts all its calls within one interval, and
+// because the reports of the two versions may be one interval apart when an overload begins.
+// Lowering a ratio preserves the bound.
 double interval_cap(std::size_t routes) {
     return (log_threshold(routes, 0) + std::log(start_spread / spread_mass)) / 2;
 }
 
-// The same for the interval in which the weight changed: the new version's calls stand more in its
-// later part, so that an overload that begins within it harms more of them (ln 10).
+// Cap for the interval in which the weight changed (ln 10). The new version's calls are
+// concentrated in its later part, so an overload that begins within it harms more of them.
 constexpr double mixed_interval_cap = 2.3;
 
 double mean(std::span<const double> values) {
@@ -171,14 +182,15 @@
     return sum / static_cast<double>(values.size());
 }
 
-// Log-likelihood ratios of one interval for each alternative, and whether it had any information.
+// Log-likelihood ratios of one interval for each alternative, and whether the interval had any
+// information.
 template <std::size_t alternatives>
 struct interval_ratios {
     std::array<double, alternatives> m_log{};
     bool m_informative = false;
 };
 
-// R(k) = (R(k-1) + w(k)) * L(k), bounded so that it stays finite.
+// R(k) = (R(k-1) + w(k)) * L(k), bounded to stay finite. `cap` limits the log of L(k).
 template <std::size_t alternatives>
 void update_ratios(ratio_test<alternatives>& test, const interval_ratios<alternatives>& interval,
                    double cap) {
@@ -198,7 +210,8 @@
     }
 }
 
-// Adds the evidence of one route to that of all routes: the ratios of separate calls multiply.
+// Adds the log ratios of one route to those of all routes: the likelihood ratios of separate calls
+// multiply.
 template <std::size_t alternatives>
 void combine(interval_ratios<alternatives>& sum, const interval_ratios<alternatives>& value) {
     sum.m_informative = sum.m_informative || value.m_informative;
@@ -214,6 +227,7 @@
     }
 }
 
+// Adds a log ratio, limited to +-cap, to a score.
 void add_to_score(double& score, double log_ratio, double cap) {
     score = std::clamp(score + std::clamp(log_ratio, -cap, cap), min_score, max_score);
 }
@@ -226,6 +240,7 @@
     return sum;
 }
 
+// Returns the number of calls in buckets above the given one.
 std::uint64_t calls_above(const arm_counts& counts, std::size_t bucket) {
     std::uint64_t sum = 0;
     for (std::size_t i = bucket + 1; i < latency_buckets; ++i) {
@@ -234,8 +249,8 @@
     return sum;
 }
 
-// The lowest class that at most slow_share of the window's calls exceed; nothing while the window
-// has too few calls.
+// Returns the lowest bucket that at most slow_share of the window's calls exceed, or nothing while
+// the window has too few calls.
 std::optional<std::size_t> slow_threshold(const std::array<double, latency_buckets>& window,
                                           double slow_share) {
     double total = 0;
@@ -264,13 +279,13 @@
 }
 
 // The two largest failure counts of the new version's instances on one route in one interval. A
-// single server that crashes or hangs says little of its version, so what it fails beyond the
-// second worst server and single_server_failures is left out. A bad version fails on all of its
-// servers and loses little by this.
+// single server that crashes or hangs says little about its version, so its failures beyond those
+// of the second worst server plus single_server_failures are excluded. A bad version fails on all
+// of its servers, so this removes little of its evidence.
 struct failure_peaks {
     std::uint32_t m_largest = 0;
     std::uint32_t m_second = 0;
-    std::uint32_t m_servers = 0; // that served calls; a single one can't be compared
+    std::uint32_t m_servers = 0; // that served calls; a single one has no peer to compare with
     void add(std::uint32_t failures) {
         ++m_servers;
         m_second = std::max(m_second, std::min(m_largest, failures));
@@ -282,8 +297,8 @@
     }
 };
 
-// Failures of a batch: compared with the old version's, or where it has no calls, with the assumed
-// good share.
+// Log-likelihood ratios for the failures of a batch, compared with the old version's or, if it has
+// no calls, with the share assumed to be good.
 interval_ratios<failure_alternatives> test_failures(const route_test& test, bool old_version_seen) {
     interval_ratios<failure_alternatives> result;
     const std::uint64_t n_new = test.m_pending_new.m_calls;
@@ -291,7 +306,7 @@
     const std::uint64_t x = test.m_pending_new.m_failures;
     const std::uint64_t s = x + test.m_pending_old.m_failures;
     if (n_old > 0) {
-        // With none or all of the calls harmed, the margins allow only this one table.
+        // If none or all of the calls are harmed, this is the only table with these margins.
         result.m_informative = s > 0 && s < n_new + n_old;
         for (std::size_t i = 0; i < failure_alternatives && result.m_informative; ++i) {
             result.m_log[i] = log_likelihood_ratio(x, n_new, n_old, s, failure_odds[i]);
@@ -317,8 +332,8 @@
     return result;
 }
 
-// Latency classes of a batch. The thresholds come from the window before the batch; those of the
-// new version's calls lie tolerance classes higher.
+// Log-likelihood ratios for the latencies of a batch. The thresholds come from the window before
+// the batch; those for the new version's calls are `tolerance` buckets higher.
 interval_ratios<latency_alternatives> test_latency(const route_test& test, std::size_t tolerance) {
     interval_ratios<latency_alternatives> result;
     const std::uint64_t n_new = latency_calls(test.m_pending_new);
@@ -341,10 +356,12 @@
     return result;
 }
 
-// Evidence that the new version doesn't fail much more often than the old one did recently.
+// Updates the score for "the new version doesn't fail much more often than the old one did
+// recently".
 void score_failures(route_test& test, double cap) {
-    // With a rate of zero, one ordinary failure of the new version would outweigh everything; with
-    // this one, a single failure never holds up a late stage (ln 0.01/0.11 is above -pass_score).
+    // With a rate of zero, one ordinary failure of the new version would outweigh all other
+    // evidence; with this rate, a single failure never blocks a late stage (ln 0.01/0.11 is above
+    // -pass_score).
     constexpr double lowest_rate = 0.01;
     double good = assumed_good_failure_share;
     if (test.m_window_old_calls >= 1) {
@@ -358,7 +375,7 @@
                  cap);
 }
 
-// Tests what is pending on a route once it is worth a comparison.
+// Tests the pending counts of a route once there are enough of them for a comparison.
 void test_pending(route_test& test, bool old_version_seen, double cap,
                   interval_ratios<failure_alternatives>& all_failures,
                   interval_ratios<latency_alternatives>& all_latency) {
@@ -389,6 +406,7 @@
     test.m_pending_intervals = 0;
 }
 
+// Applies the decay of one interval to the ratios and windows of a route.
 void decay_evidence(route_test& test) {
     decay_ratios(test.m_failures);
     decay_ratios(test.m_latency);
@@ -400,7 +418,7 @@
     test.m_window_old_failures *= window_decay;
 }
 
-// Upper edge in milliseconds of the class that holds the middle of a window.
+// Returns the upper bound in milliseconds of the bucket that contains the median of a window.
 double median_ms(const std::array<double, latency_buckets>& window) {
     double total = 0;
     for (const double count : window) {
@@ -418,9 +436,10 @@
     return edge;
 }
 
-// The first test whose ratio reaches the threshold, with the reason. instances: 0 at the holder,
-// else the number of nodes that judge on their own. These compare failures only: a single server
-// that is slower than the others, or has more of the calls, says nothing of its version's latency.
+// Returns the first test whose ratio reaches the threshold, with the reason. instances is 0 at the
+// holder, otherwise the number of nodes with a local test. Local tests compare failures only: a
+// single server that is slower than the others, or receives more of the calls, says nothing about
+// its version's latency.
 std::optional<evidence_result> find_bad(const move_evidence& evidence, std::uint32_t instances) {
     const double threshold = std::exp(log_threshold(evidence.m_routes.size(), instances));
     const bool compares_latency = instances == 0;
@@ -459,7 +478,7 @@
     return std::nullopt;
 }
 
-// True if a test speaks against the version, short of a verdict.
+// Returns true if a test gives evidence against the version that is too weak for a verdict.
 template <std::size_t alternatives>
 bool is_doubtful(const ratio_test<alternatives>& test, std::size_t routes) {
     return mean(test.m_ratios) >= std::exp(doubt_share * log_threshold(routes, 0));
@@ -469,8 +488,9 @@
     return is_doubtful(test.m_failures, routes) || is_doubtful(test.m_latency, routes);
 }
 
+// Returns true if the route has enough evidence that the new version is as good as the old one.
 bool has_passed(const route_test& test, std::size_t routes) {
-    // Where the old version has no traffic, or all calls are cold, there is no latency to compare.
+    // Without traffic of the old version, or if all calls are cold, there is no latency to compare.
     const bool latency = test.m_latency_score >= pass_score ||
                          (test.m_latency.m_informative_intervals == 0 && test.m_old_calls == 0);
     return test.m_failure_score >= pass_score && latency && !is_doubtful(test, routes);
@@ -482,7 +502,7 @@
 
 } // namespace
 
-// The class is found by its logarithm; a call below the first edge is in class 0.
+// Finds the latency bucket by its upper bound; latencies below the first bound are in bucket 0.
 void count_call(arm_counts& counts, bool failed, duration latency, bool cold) {
     ++counts.m_calls;
     counts.m_cold_calls += cold ? 1 : 0;
@@ -573,7 +593,7 @@
     return true;
 }
 
-// Late, routes need only a few calls with nothing against them, and rare routes none.
+// In a late stage, routes need only a few calls and no evidence against them, and rare routes none.
 bool stage_passed(const move_evidence& evidence, std::size_t stage, bool late) {
     std::uint64_t new_calls = 0;
     std::uint64_t all_calls = 0;
@@ -598,7 +618,8 @@
         if (first || has_passed(test, evidence.m_routes.size())) {
             continue;
         }
-        // At full weight there is no old traffic to compare with; only the failure share counts.
+        // At full weight there is no traffic of the old version to compare with; only the failure
+        // share counts.
         if (last && test.m_failure_score >= pass_score) {
             continue;
         }
@@ -617,8 +638,9 @@
     return new_calls >= (first ? first_stage_min_calls : stage_min_calls);
 }
 
-// The ratios towards "worse" go on, so that evidence that grows over a raise is not lost. The old
-// version's window of calls starts again: at full weight it must not pass for present traffic.
+// The ratios for "worse" continue, so that evidence that accumulates across a raise is not lost.
+// The old version's window of calls restarts: at full weight it must not be mistaken for current
+// traffic.
 void begin_stage(move_evidence& evidence) {
     evidence.m_weight_changed = true;
     evidence.m_failures.m_stage_started = false;
--- a/src/decide/own_server.cpp
+++ b/src/decide/own_server.cpp
@@ -3,21 +3,21 @@
 namespace caraway {
 namespace {
 
+// Returns true if the identity and the start time are those of the current incarnation.
 bool is_current(const own_server& server, std::string_view identity, std::int64_t started_ms) {
     return server.m_report && server.m_report->m_server == identity &&
            server.m_report->m_started_ms == started_ms;
 }
 
-// True for a late report of a server that said before that it stops.
-// Reports may arrive seconds late.
+// Reports may arrive seconds late. A report counts as late up to this long after the leave notice.
 constexpr milliseconds max_report_delay{6'000};
-// The highest sequence of a server that may have started since it left: its count starts anew, and
-// it needs some seconds to stop and start.
+// Highest sequence number of a server that may have restarted since its leave notice. The sequence
+// restarts with the incarnation, and a server needs some seconds to stop and start.
 constexpr std::uint64_t max_new_incarnation_sequence = 2;
 
-// True when the report comes from an incarnation that said that it stops before this node knew it.
-// A leave that doesn't state when its server started is taken for that of the incarnation whose
-// late report follows it.
+// Returns true if the report comes from an incarnation whose leave notice arrived before this node
+// knew it. A notice without a start time is attributed to the incarnation whose late report follows
+// it.
 bool has_left(own_server& server, const server_report& report, time_point now) {
     auto& leave = server.m_unmatched_leave;
     if (!leave || leave->m_server != report.m_server) {
--- a/src/decide/own_server.hpp
+++ b/src/decide/own_server.hpp
@@ -1,5 +1,6 @@
-// What a node knows of the backend server beside it from the server's own reports. The node is the
-// only way to the server, so this state alone decides whether calls may reach it. Pure.
+// State of the backend server beside a node, from the server's own reports. Calls reach the server
+// only through this node, so this state alone decides whether it receives any. Pure functions
+// without I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,56 +16,61 @@
 
 enum class server_state : std::uint8_t { ready, draining };
 
-// One heartbeat of a backend server.
+// Heartbeat of a backend server.
 struct server_report {
-    std::string m_server; // identity of this incarnation; most restarts change it
+    std::string m_server; // identity of the incarnation; most restarts change it
     std::string m_service;
     std::string m_version;
     std::string m_data_centre;
     ip_endpoint m_address;
-    std::uint32_t m_slots = 0; // calls that it runs at a time
+    std::uint32_t m_slots = 0; // maximum number of concurrent calls
     server_state m_state = server_state::ready;
-    std::uint64_t m_sequence = 0;  // rises with each report of an incarnation
-    std::int64_t m_started_ms = 0; // Unix milliseconds at its start, by its own clock
-    milliseconds m_warmup_left{0}; // how long it stays cold; 0: warm
+    std::uint64_t m_sequence = 0;  // increases with each report of an incarnation
+    std::int64_t m_started_ms = 0; // start time in Unix milliseconds by the server's clock
+    milliseconds m_warmup_left{0}; // remaining warm-up time; 0 when warm
 };
 
-// A server's word that it stops; nothing but its identity is certain to be there.
+// Notice of a backend server that it is stopping. Only the identity is always present.
 struct server_leave {
     std::string m_server;
     std::optional<std::int64_t> m_started_ms;
 };
 
+// State of the backend server beside this node.
 struct own_server {
-    std::optional<server_report> m_report; // latest one of the current incarnation
-    // The last leave of a server that was not known then, as to a node that has just restarted.
+    std::optional<server_report> m_report; // last accepted report of the current incarnation
+    // Last leave notice of a server unknown at that time, as happens to a node that has just
+    // restarted.
     std::optional<server_leave> m_unmatched_leave;
     time_point m_unmatched_leave_at;
     time_point m_reported_at;
     time_point m_cold_until;
-    bool m_left = false;        // it said that it stops
-    bool m_unreachable = false; // connections to it failed since its last report
+    bool m_left = false;        // the current incarnation sent a leave notice
+    bool m_unreachable = false; // a connection failed since the last report
 };
 
+// Result of processing a report or a leave notice.
 enum class report_verdict : std::uint8_t {
-    taken,   // news of the current incarnation, or the first of a new one
-    stale,   // late: a newer report or incarnation is known
-    foreign, // of a server at another address
+    taken,   // newer report of the current incarnation, or the first of a new one
+    stale,   // a newer report or incarnation is already known
+    foreign, // comes from a server at another address
 };
 
-// Returns the word for a verdict in logs.
+// Returns the name of a verdict as it appears in logs.
 std::string_view report_verdict_name(report_verdict value);
 
-// A heartbeat arrived. An incarnation that started before the known one names no server any more,
-// and neither does one at another address than the own server's.
+// Processes a heartbeat. Reports of an incarnation that started before the known one are stale, and
+// reports of a server at another address than own_address are foreign; neither changes the state.
 report_verdict receive_report(own_server& server, const server_report& report,
                               const ip_endpoint& own_address, time_point now);
 
-// The server said that it stops. A leave of an earlier incarnation is stale.
+// Processes a leave notice. A notice of an earlier incarnation is stale. A notice of an unknown
+// server is stale, too, but is stored to reject late reports of that server.
 report_verdict receive_leave(own_server& server, const server_leave& leave, time_point now);
 
-// Why the server may get no call: none if it may; draining, or connect_failed while it is not
-// there.
+// Returns why the server may receive no calls: none if it may, draining if it is draining or
+// stopping, or connect_failed if it is unknown, unreachable or has sent no report for longer than
+// silence_limit.
 error_kind server_refusal(const own_server& server, time_point now, milliseconds silence_limit);
 
 } // namespace caraway
--- a/src/decide/pushback.cpp
+++ b/src/decide/pushback.cpp
@@ -5,29 +5,33 @@
 namespace caraway {
 namespace {
 
-// Bounds of the time in which a server that refused is not asked. A slot becomes free every few
-// milliseconds, and what a node states is an estimate; after the longest time it is asked anew.
+// Bounds of the time for which a server that refused a call is not tried. A slot becomes free every
+// few milliseconds and the stated wait is only an estimate, so the server is tried again after the
+// maximum at the latest.
 constexpr milliseconds min_pushback{10};
 constexpr milliseconds max_pushback{250};
 
-// Callers that may still be answered in time come back within this time, spread so that they don't
-// return in step.
+// Callers that can still be answered in time retry after the minimum plus a random part of the
+// jitter, so that they don't retry in lockstep.
 constexpr milliseconds early_retry_min{40};
 constexpr milliseconds early_retry_jitter{80};
-// A caller needs about this share of its useful time for the answer itself.
+// Share of the useful time that a caller needs for the answer itself.
 constexpr double answer_share = 0.5;
-// Callers that will be late anyway come back in this part of the time that they have left.
+// Callers that will be late anyway retry after a random share of their remaining time between these
+// bounds.
 constexpr double late_retry_min_share = 0.2;
 constexpr double late_retry_max_share = 0.33;
-// A version or data centre that takes no calls any more: the next attempt goes elsewhere.
+// Delay after a refusal by a version or data centre that is out of service: the next attempt goes
+// elsewhere.
 constexpr milliseconds reroute_delay{20};
-// Callers of a leaving node come back when it has been replaced or they have found another one;
-// ones told to return at once used up their attempts within 40 ms.
+// Delay after a refusal by a draining node, until it has been replaced or another one is found.
+// Callers that were told to retry at once used up their attempts within 40 ms.
 constexpr milliseconds replacement_delay{500};
-// A node without a configuration gets one within some hundred milliseconds.
+// Delay after a refusal by a node without a configuration, which receives one within some hundred
+// milliseconds.
 constexpr milliseconds startup_delay{250};
 
-// Differences of deadlines below this are the callers' own handling.
+// Differences between deadlines below this come from processing at the callers.
 constexpr milliseconds deadline_tolerance{20};
 
 duration share_of(duration whole, double share) {
--- a/src/decide/retry.cpp
+++ b/src/decide/retry.cpp
@@ -5,11 +5,12 @@
 namespace caraway {
 namespace {
 
-// Tokens of a retry budget that are kept at most, as a multiple of the first ones.
+// Maximum number of tokens of a budget, as a multiple of the initial burst.
 constexpr double max_saved_bursts = 1.5;
 
-// Failures after which an idempotent call may be sent again although it may have run. The other
-// unknown outcomes would recur (answer too large) or leave no time (deadline, cancellation).
+// Returns true for failures after which an idempotent call may be resent although it may have run.
+// Other failures with unknown outcome would recur (answer too large) or leave no time (deadline,
+// cancellation).
 bool is_retryable_unknown(error_kind kind) {
     return kind == error_kind::connection_cut || kind == error_kind::answer_truncated;
 }
@@ -28,7 +29,8 @@
     budget.m_tokens = std::min(budget.m_max_tokens, budget.m_tokens + budget.m_tokens_per_call);
 }
 
-// The budget is asked last, so that a call that may not be retried anyway takes no token.
+// The budget is checked last, so that a call that may not be retried for another reason takes no
+// token.
 bool may_retry(const attempt& failed, retry_budget& budget, time_point now) {
     const std::uint32_t limit =
         failed.m_reached_server ? failed.m_max_retries : max_refused_retries;
@@ -43,7 +45,7 @@
         return false;
     }
     if (!failed.m_reached_server) {
-        return true; // costs no backend server anything
+        return true; // no extra load on any backend server
     }
     if (budget.m_tokens < 1) {
         return false;
--- a/src/decide/route_latency.cpp
+++ b/src/decide/route_latency.cpp
@@ -5,16 +5,16 @@
 namespace caraway {
 namespace {
 
-// Weight of a new answer is one in this many.
+// A new answer has a weight of one in this many.
 constexpr std::uint32_t smoothing_samples = 16;
-// Answers from which the values are of use.
+// Number of answers from which the values are used.
 constexpr std::uint32_t min_answers = 4;
-// Routes that are told apart; a service has few that are called often.
+// Maximum number of routes tracked; a service has few that are called often.
 constexpr std::size_t max_routes = 256;
 
 } // namespace
 
-// The first answers are averaged, so that the first one doesn't count more than the others.
+// The first answers are averaged evenly, so that the first one has no more weight than the others.
 void update_route_latency(route_latencies& latencies, std::string_view route, duration latency) {
     auto found = latencies.find(route);
     if (found == latencies.end()) {
--- a/src/decide/route_latency.hpp
+++ b/src/decide/route_latency.hpp
@@ -1,5 +1,5 @@
-// How long a backend server takes for the calls of each route. Routes of one service differ by an
-// order of magnitude in the work that they ask for, so one value for all misjudges most of them.
+// Smoothed latency of a backend server for each route. The work per call differs by an order of
+// magnitude between the routes of one service, so a single average would misjudge most of them.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,21 @@
 
 namespace caraway {
 
+// Smoothed latency of one route and the number of answers it is based on.
 struct route_latency {
     duration m_mean{};
-    duration m_deviation{}; // mean distance from the mean
+    duration m_deviation{}; // smoothed absolute deviation from the mean
     std::uint32_t m_answers = 0;
 };
 
 using route_latencies = std::map<std::string, route_latency, std::less<>>;
 
-// Takes one answer into the route's smoothed latency. Routes beyond a bound are left out.
+// Updates the smoothed latency of a route with one answer. Routes beyond a maximum number are
+// ignored.
 void update_route_latency(route_latencies& latencies, std::string_view route, duration latency);
 
-// The latency of the route, or null while too few of its answers are known.
+// Returns the latency of the route, or null while there are too few answers. The pointer is valid
+// until the map is destroyed.
 const route_latency* find_route_latency(const route_latencies& latencies, std::string_view route);
 
 } // namespace caraway
--- a/src/decide/version_move.cpp
+++ b/src/decide/version_move.cpp
@@ -9,56 +9,61 @@
 namespace caraway {
 namespace {
 
-// Schedule, derived from the target that a good version is done by its deadline although the store
-// is away for a third of the time given. A stage may end at earliest_stage_end_ms if every route
-// passed, and at latest_stage_end_ms if evidence is scarce but nothing speaks against the version.
-// The last stage ends at 0.62 of the time given; before it each stage needs min_dwell. An outage
-// that begins just before one of these times shifts the rest by a third and still leaves 0.04
-// before the deadline. Nearly half of the time is spent at 40 permille, where a defect that shows
-// late harms few calls.
+// Schedule of the stages. It is derived from the target that a good version is done by its deadline
+// even if the store is unavailable for a third of the time given (the time from start to deadline).
+// A stage may end at earliest_stage_end_ms if every route has passed, and at latest_stage_end_ms if
+// evidence is scarce but none is against the version. The last stage ends at 0.62 of the time
+// given, and each earlier stage takes at least min_dwell. An outage that begins just before one of
+// these times delays the rest by a third and still leaves 0.04 before the deadline. Nearly half of
+// the time is spent at 40 permille, where a defect that appears late harms few calls.
 constexpr double last_end_share = 0.62;
-// After an outage the lease must be claimed again and the record read, whatever the time given;
-// with 40 s given the share above alone left too little. The renewal is tried again every 0.5 s to
-// 1 s, and each of the four raises after it may come one look at the evidence late.
+// After an outage the lease must be acquired again and the record read, which takes the same time
+// however short the time given is; with 40 s, the share above alone left too little. The lease is
+// retried every 0.5 s to 1 s, and each of the four raises after it may be delayed by one evidence
+// interval.
 constexpr double outage_share = 1.0 / 3;
 constexpr double outage_reserve_ms = 3'000;
 constexpr double largest_reserve_share = 0.1;
 
-// Milliseconds from the start of the move at which its last stage ends at the latest.
+// Returns the latest end of the last stage in milliseconds from the start of the move.
 double last_stage_end_ms(double given_ms) {
     const double reserve_ms = std::min(outage_reserve_ms, largest_reserve_share * given_ms);
     return std::min(last_end_share * given_ms, (1 - outage_share) * given_ms - reserve_ms);
 }
 
-// Full weight is not begun before its time even with good evidence; the time at 40 permille is
-// shortened by this share at most.
+// The stages don't run ahead of the schedule by more than this share, even with good evidence; the
+// time at 40 permille is shortened by this share at most.
 constexpr double max_early_share = 0.06;
 constexpr double first_stage_share = 0.08;
-// Shortest stage: 3% of the time given, but not below eight intervals where the time given allows,
-// since the test needs two or more and the first has calls from before the raise.
+// Minimum duration of a stage: 3% of the time given, but at least eight evidence intervals if the
+// time given allows it. The test needs two or more, and the first includes calls from before the
+// raise.
 constexpr double min_dwell_share = 0.03;
 constexpr double min_dwell_ms = 4'000;
 constexpr double max_dwell_share = 1.0 / 15;
 
+// Returns the minimum duration of a stage in milliseconds.
 double min_dwell(double given_ms) {
     return std::max(min_dwell_share * given_ms, std::min(min_dwell_ms, max_dwell_share * given_ms));
 }
 
-// Milliseconds from the start of the move at which a stage ends at the latest if nothing speaks
-// against the version.
+// Returns the latest end of a stage, if there is no evidence against the version, in milliseconds
+// from the start of the move.
 double latest_stage_end_ms(std::size_t stage, double given_ms) {
     const double remaining = static_cast<double>(stage_weights_permille.size() - 1 - stage);
     const double end = last_stage_end_ms(given_ms) - remaining * min_dwell(given_ms);
     return stage == 0 ? std::min(first_stage_share * given_ms, end) : end;
 }
 
-// Milliseconds from the start at which a stage may end if every route passed.
+// Returns the earliest end of a stage, if every route has passed, in milliseconds from the start of
+// the move.
 double earliest_stage_end_ms(std::size_t stage, double given_ms) {
     const bool last = stage + 1 == stage_weights_permille.size();
     return latest_stage_end_ms(stage, given_ms) -
            (last || stage == 0 ? 0 : max_early_share * given_ms);
 }
 
+// Returns a step that writes a final state, with full weight if done and no weight otherwise.
 move_step make_final_step(const move_record& record, move_state state, std::string reason) {
     move_step step{move_step::kind::write, record};
     step.m_record.m_state = state;
@@ -71,7 +76,6 @@
 
 } // namespace
 
-// A move whose deadline has passed before it began gets no traffic at all.
 move_record start_move(std::string_view move_id, std::string_view service, std::string_view from,
                        std::string_view to, wall_time deadline, std::string_view holder,
                        wall_time now) {
@@ -100,8 +104,8 @@
     return next;
 }
 
-// Final states are written only from a running record. After the deadline nothing is raised: the
-// weight that the record had before decides.
+// Final states are written only from a running record. After the deadline the weight is not raised:
+// the weight that the record had before decides.
 move_step step_move(const move_record& record, const move_evidence& evidence, bool suspended,
                     wall_time now) {
     if (record.m_state != move_state::running) {
@@ -145,7 +149,7 @@
         return make_final_step(record, move_state::done, "every stage passed");
     }
     if (remaining_ms < min_dwell(given_ms)) {
-        return {}; // a stage that can't be observed before the deadline is not begun
+        return {}; // no time left to observe another stage before the deadline
     }
     move_step step{move_step::kind::write, record};
     ++step.m_record.m_stage;
--- a/src/decide/version_move.hpp
+++ b/src/decide/version_move.hpp
@@ -1,5 +1,5 @@
-// Version moves: the stages of a move and their schedule. Pure; the holder's adapter reads and
-// writes the record.
+// Version moves: the stages of a move and their schedule. Pure functions without I/O; the holder's
+// adapter reads and writes the record.
 #pragma once
 
 #include <array>
@@ -15,34 +15,37 @@
 namespace caraway {
 
 // Weights of the stages in permille. The first two stay below the target of 5% until every route
-// with traffic has passed the test. The stage of 900 puts nearly the whole load on the new version
-// while the old one still serves enough calls to compare with.
+// with traffic has passed the test. At 900, nearly the whole load is on the new version while the
+// old one still serves enough calls for a comparison.
 constexpr std::array<std::uint32_t, move_stages> stage_weights_permille{10,  40,  250,
                                                                         500, 900, 1000};
 
-// What the holder does next with its record.
+// Next action of the holder on its record.
 struct move_step {
     enum class kind : std::uint8_t { wait, write };
     kind m_kind = kind::wait;
-    move_record m_record; // write: the new record, by compare-and-swap on the old revision
+    // For write: the new record, to be written by compare-and-swap on the revision read.
+    move_record m_record;
 };
 
-// Creates the first record of a move.
+// Creates the first record of a move. If the deadline is not after now, the record is taken_back
+// from the start and the version gets no traffic.
 move_record start_move(std::string_view move_id, std::string_view service, std::string_view from,
                        std::string_view to, wall_time deadline, std::string_view holder,
                        wall_time now);
 
-// Takes over a running record: the new holder writes its name first, which fences the old one.
+// Returns the record with a new holder. The new holder must write it before any other change, which
+// fences the old holder.
 move_record take_over_move(const move_record& record, std::string_view holder);
 
-// Decides the next step from the record, the evidence and whether the version is suspended.
-// Raises the weight when the stage has passed, paced so that 1000 is reached by two thirds of the
-// time given; writes taken_back on bad evidence, on suspension, or when the deadline passes with
-// the weight below 1000 at that time; writes done when the last stage has passed.
+// Decides the next step from the record, the evidence and whether the version is suspended. Raises
+// the weight when the stage has passed, on a schedule that reaches 1000 within two thirds of the
+// time between start and deadline. Writes taken_back on bad evidence, on suspension, or if the
+// weight was below 1000 when the deadline passed; writes done when the last stage has passed.
 move_step step_move(const move_record& record, const move_evidence& evidence, bool suspended,
                     wall_time now);
 
-// Text forms of the record for the store (JSON object, one line). decode_move returns nothing when
+// Encode and decode the record as stored: a JSON object on one line. decode_move returns nothing if
 // a field is missing or out of range.
 std::string encode_move(const move_record& record);
 std::optional<move_record> decode_move(std::string_view value, std::uint64_t revision);
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,4 +1,4 @@
-// Tests of admission against a model of a backend server.
+// Tests of admission control, partly against a model of a backend server.
 #include <cmath>
 #include <map>
 #include <set>
@@ -12,8 +12,8 @@
 
 namespace {
 
-// A backend server that while quite cold answers five times slower, warms up with time and calls,
-// and while still cold falls over, failing every call, above a quarter of its slots.
+// Model of a backend server. While cold it answers up to five times slower and fails every call
+// above a quarter of its slots; it warms up with time and with the calls it answers.
 struct model_server {
     struct running_call {
         time_point m_started;
@@ -22,8 +22,10 @@
     std::uint32_t m_slots = 12;
     time_point m_cold_since;
     milliseconds m_cold_time{0};
-    std::uint32_t m_answers = 0;   // since it turned cold
-    bool m_cold_detectable = true; // whether the caller could know; a new server is taken for cold
+    std::uint32_t m_answers = 0; // since it last turned cold
+    // Whether admission could have detected that the server is cold. A new server is assumed to be
+    // cold.
+    bool m_cold_detectable = true;
     std::map<std::uint64_t, running_call> m_running;
 
     double coldness(time_point now) const {
@@ -39,13 +41,14 @@
 };
 
 struct model_result {
-    std::uint64_t m_overloads = 0; // calls sent above the bound although the server was known cold
+    // Calls started above the bound while the server was detectably cold.
+    std::uint64_t m_overloads = 0;
     double m_limit_when_warm = 0;
     std::uint64_t m_answered = 0;
 };
 
-// Offers more calls than the server can serve for a minute; the server starts cold and turns cold
-// again twice without warning, the second time while it has few calls.
+// Offers more calls than the server can serve for one minute. The server starts cold and turns cold
+// again twice without notice, the second time while it receives few calls.
 model_result run_model(std::uint64_t seed) {
     random_source random(seed);
     model_server server;
@@ -91,7 +94,8 @@
             server.m_running.erase(call);
             result.m_answered += overloaded ? 0 : 1;
             ++server.m_answers;
-            // Two rounds of answers tell that the server is cold again.
+            // After twice as many answers as slots, admission must have detected that the server is
+            // cold.
             server.m_cold_detectable =
                 server.m_cold_detectable || server.m_answers >= 2 * server.m_slots;
             const auto release = admission_finish(state, sample, now);
@@ -102,8 +106,8 @@
         for (const std::uint64_t call : released) {
             start(call);
         }
-        // Few calls around the second time that it turns cold: it then doesn't fall over, and only
-        // the latency tells.
+        // Few calls arrive around the second time that the server turns cold. It doesn't overload
+        // then, so only its latency shows that it is cold.
         const bool low_traffic = ms + 500 > cold_again_ms[1] && ms < cold_again_ms[1] + 2'000;
         for (int i = 0; i < (low_traffic ? (ms % 30 == 0 ? 1 : 0) : 2); ++i) {
             const std::uint64_t call = next_call++;
@@ -124,8 +128,8 @@
 
 BOOST_AUTO_TEST_SUITE(admission)
 
-// Guards against a cold server getting more concurrent calls than it bears, and against a limit
-// that stays low although the server is warm.
+// Guards against a cold server that receives more concurrent calls than it can handle, and against
+// a limit that stays low although the server is warm.
 BOOST_AUTO_TEST_CASE(cold_server_is_never_knowingly_overloaded) {
     const std::uint64_t first = first_seed();
     for (std::uint64_t seed = first; seed < first + 40; ++seed) {
@@ -136,8 +140,8 @@
     }
 }
 
-// Guards against a limit that rises although only one call at a time ran, which shows nothing of
-// what the server bears, and against a server with few calls that counts as cold for good.
+// Guards against a limit that rises although only one call ran at a time, which doesn't show how
+// many the server can handle, and against a server with few calls that counts as cold forever.
 BOOST_AUTO_TEST_CASE(single_calls_show_warmth_but_do_not_raise_the_limit) {
     admission_state state = make_admission({});
     time_point now{milliseconds(1)};
@@ -154,8 +158,8 @@
     BOOST_TEST(!is_cold(state, now));
 }
 
-// Guards against an urgent call refused while less urgent ones wait, calls run in the wrong order,
-// bounds exceeded, and calls that get no fate or two.
+// Guards against refusing an urgent call while less urgent ones wait, running calls in the wrong
+// order, exceeding the bounds, and calls that end with no outcome or with two.
 BOOST_AUTO_TEST_CASE(urgent_calls_run_first_and_every_call_has_one_outcome) {
     const std::uint64_t first = first_seed();
     for (std::uint64_t seed = first; seed < first + 200; ++seed) {
@@ -227,8 +231,8 @@
     }
 }
 
-// Guards against a cold server that gets more calls in some second than it says that it bears, and
-// against its full slots before it is warm.
+// Guards against a cold server that receives more calls in any one second than its reported rate,
+// and against the use of all its slots before it is warm.
 BOOST_AUTO_TEST_CASE(cold_server_call_rate_stays_within_its_limit) {
     admission_limits limits;
     limits.m_slots = 12;
@@ -266,8 +270,9 @@
          admission_verdict::run));
 }
 
-// Guards against a lasting overload in which every call waits so long that none is served in time:
-// with twice the load that a server can run, most of what it runs still ends within the target.
+// Guards against a sustained overload in which every call waits too long to be answered in time. At
+// twice the load that the server can handle, most of the calls that it runs must still end within
+// the target.
 BOOST_AUTO_TEST_CASE(overload_serves_a_part_in_time_instead_of_all_late) {
     constexpr milliseconds service_time{100};
     constexpr milliseconds target{250};
@@ -311,9 +316,9 @@
     BOOST_TEST(in_time >= 360); // 4 slots run 400 calls in 10 s
 }
 
-// Guards against estimates from the mean of all routes: with many short and some long calls, the
-// long ones were admitted behind a queue that took too long for each of them, so that in an
-// overload every one of them was answered late.
+// Guards against wait estimates from the mean latency of all routes. With many short and some long
+// calls, long calls were admitted behind a queue that was too long for them, so in an overload
+// every one of them was answered late.
 BOOST_AUTO_TEST_CASE(long_calls_among_many_short_ones_are_answered_in_time) {
     constexpr milliseconds short_time{11};
     constexpr milliseconds long_time{105};
@@ -369,11 +374,12 @@
         }
     }
     BOOST_TEST(late * 20 <= in_time);
-    // Nine slots, less 1.6 for the short calls, run 1,050 long ones in 15 s.
+    // Nine slots, minus 1.6 used by short calls, run 1,050 long calls in 15 s.
     BOOST_TEST(in_time >= 950);
 }
 
-// Guards against a queue in which calls that have become late hold up those that have not.
+// Guards against a queue in which calls that have become late delay calls that can still be
+// answered in time.
 BOOST_AUTO_TEST_CASE(calls_that_became_late_in_the_queue_give_way) {
     admission_limits limits;
     limits.m_slots = 1;
@@ -393,8 +399,8 @@
         (admission_finish(state, call_sample{}, now).m_run == std::vector<std::uint64_t>{2}));
 }
 
-// Guards against callers that come back late and, with the nearer deadline, take the slots before
-// calls that can still be answered in time: in an overload all would then be late.
+// Guards against late retries that, with their earlier deadline, take the slots before calls that
+// can still be answered in time. In an overload all calls would then be late.
 BOOST_AUTO_TEST_CASE(late_calls_wait_behind_those_that_can_be_in_time) {
     admission_limits limits;
     limits.m_slots = 1;
@@ -421,8 +427,8 @@
     BOOST_TEST((next() == std::vector<std::uint64_t>{4}));
 }
 
-// Guards against callers' nodes that can't tell a full server from one with a long queue, or that
-// take a cold server, which runs few calls at a time, for an idle one.
+// Guards against a reported load that doesn't distinguish a full server from one with a long queue,
+// or that makes a cold server, which runs few calls at a time, look idle.
 BOOST_AUTO_TEST_CASE(reported_load_includes_queue_and_cold_start) {
     admission_limits limits;
     limits.m_slots = 4;
@@ -451,8 +457,8 @@
     BOOST_TEST(admission_load_permille(cold, now + std::chrono::seconds(4)) == 0U);
 }
 
-// Guards against a refusal that doesn't tell when there may be room: callers' nodes would ask again
-// at once.
+// Guards against a refusal that doesn't state when there may be capacity: the callers' nodes would
+// retry at once.
 BOOST_AUTO_TEST_CASE(refusal_states_when_to_retry) {
     admission_limits limits;
     limits.m_slots = 2;
@@ -479,8 +485,9 @@
     BOOST_TEST((result.m_retry_after > duration{} && result.m_retry_after <= milliseconds(100)));
 }
 
-// Guards against calls that wait until their deadline passes, or get a slot when they can no longer
-// be answered: the caller loses the time to come back, the server its work.
+// Guards against calls that stay queued until their deadline passes, or receive a slot when they
+// can no longer be answered. The caller would lose the time for a retry, and the server would work
+// in vain.
 BOOST_AUTO_TEST_CASE(calls_without_time_are_given_up_early) {
     admission_limits limits;
     limits.m_slots = 1;
--- a/tests/own_server_test.cpp
+++ b/tests/own_server_test.cpp
@@ -1,4 +1,4 @@
-// Tests of what a node believes of the backend server beside it.
+// Tests of the state that a node keeps of the backend server beside it.
 #include "decide/own_server.hpp"
 #include "tests/support.hpp"
 
@@ -28,8 +28,8 @@
 
 BOOST_AUTO_TEST_SUITE(own_server_state)
 
-// Guards against a late report of an earlier incarnation that brings it back, also under the same
-// identity with counts that start anew.
+// Guards against a late report that revives an earlier incarnation, also if the identity is the
+// same and its sequence numbers have restarted.
 BOOST_AUTO_TEST_CASE(late_reports_change_nothing) {
     own_server server;
     BOOST_TEST((receive(server, make_report("a", 5, 100)) == report_verdict::taken));
@@ -45,8 +45,8 @@
     BOOST_TEST(server.m_report->m_started_ms == 300);
 }
 
-// Guards against calls to a server that said that it drains or stops, and against a leave of an
-// earlier incarnation that stops the present one.
+// Guards against calls to a server that is draining or stopping, and against a leave notice of an
+// earlier incarnation that stops the current one.
 BOOST_AUTO_TEST_CASE(a_leaving_server_gets_nothing) {
     own_server server;
     BOOST_TEST((server_refusal(server, start, silence) == error_kind::connect_failed));
@@ -65,8 +65,8 @@
     BOOST_TEST((server_refusal(server, start, silence) == error_kind::draining));
 }
 
-// Guards against calls to a server that has fallen silent or refuses connections; its next report
-// opens it again.
+// Guards against calls to a server that has stopped sending reports or refuses connections. Its
+// next report makes it available again.
 BOOST_AUTO_TEST_CASE(a_silent_or_unreachable_server_gets_nothing) {
     own_server server;
     receive(server, make_report("a", 1, 100));
@@ -79,8 +79,8 @@
     BOOST_TEST((server_refusal(server, start + silence, silence) == error_kind::none));
 }
 
-// Guards against a late report that arrives after the leave of the same server, at a node that has
-// restarted in between and knew nothing of the server when it acknowledged the leave.
+// Guards against a late report that revives a server after its leave notice. The node restarted in
+// between and did not know the server when it acknowledged the notice.
 BOOST_AUTO_TEST_CASE(leave_before_any_report_rejects_late_reports) {
     own_server server;
     BOOST_TEST((receive_leave(server, {"a", 100}, start) == report_verdict::stale));
@@ -91,9 +91,9 @@
     BOOST_TEST((server_refusal(server, start, silence) == error_kind::none));
 }
 
-// Guards against a late report that arrives after a leave which doesn't state when its server
-// started, at a node that has restarted in between: the server got calls 2.1 s after its leave was
-// acknowledged. A server that starts again under the same identity is used at once.
+// Guards against a late report that arrives after a leave notice without a start time, at a node
+// that has restarted in between: the server received calls 2.1 s after its notice was acknowledged.
+// A server that restarts under the same identity must be usable at once.
 BOOST_AUTO_TEST_CASE(leave_without_start_time_rejects_late_reports) {
     own_server server;
     BOOST_TEST((receive_leave(server, {"a", {}}, start) == report_verdict::stale));
@@ -102,7 +102,8 @@
     BOOST_TEST((server_refusal(server, late, silence) == error_kind::connect_failed));
     BOOST_TEST((receive(server, make_report("a", 1, 200), late) == report_verdict::taken));
     BOOST_TEST((server_refusal(server, late, silence) == error_kind::none));
-    // Its first report may be lost, and a long time later the leave says nothing of a report.
+    // The first report of a restarted server may be lost, and after a long time the notice no
+    // longer applies to new reports.
     own_server other;
     receive_leave(other, {"a", {}}, start);
     BOOST_TEST((receive(other, make_report("a", 2, 200), late) == report_verdict::taken));
--- a/tests/pushback_test.cpp
+++ b/tests/pushback_test.cpp
@@ -1,4 +1,4 @@
-// What callers' nodes make of refusals by overloaded backend servers.
+// Tests of the handling of overload refusals at the callers' nodes.
 #include <array>
 
 #include "decide/balance.hpp"
@@ -15,8 +15,9 @@
 
 BOOST_AUTO_TEST_SUITE(pushback)
 
-// Guards against calls that are sent from full server to full server, across data centres, only to
-// be refused three times: 6,800 refused calls of one day cost 20 MB between its data centres.
+// Guards against calls that are sent from one full server to the next, across data centres, only to
+// be refused three times. 6,800 such refusals in one day cost 20 MB of traffic between data
+// centres.
 BOOST_AUTO_TEST_CASE(full_servers_are_not_asked_again_at_once) {
     refusal_state refusals;
     record_refusal(refusals, urgency::normal, milliseconds(80), start);
@@ -35,10 +36,10 @@
     candidates[1].m_refusing = false;
     BOOST_TEST(!is_overloaded(candidates));
     BOOST_TEST(choose_candidate(candidates, random).value() == 1U);
-    // A server that can't be reached is no way out of an overload.
+    // An unreachable server is no alternative in an overload.
     candidates[1].m_breaker_open = true;
     BOOST_TEST(is_overloaded(candidates));
-    // Without any overload it is still better than none.
+    // Without an overload, a server with an open breaker is better than none.
     for (candidate& value : candidates) {
         value.m_refusing = false;
         value.m_breaker_open = true;
@@ -47,8 +48,8 @@
     BOOST_TEST(choose_candidate(candidates, random).has_value());
 }
 
-// Guards against a wait stated by a node, however long or short, that keeps a server out of use or
-// lets it be asked by every call.
+// Guards against a stated wait that is so long that a server stays unused, or so short that every
+// call is still sent to it.
 BOOST_AUTO_TEST_CASE(stated_waits_are_bounded) {
     refusal_state refusals;
     record_refusal(refusals, urgency::urgent, std::chrono::hours(1), start);
@@ -58,7 +59,8 @@
     BOOST_TEST(is_refusing(other, urgency::urgent, start + milliseconds(1)));
 }
 
-// Guards against urgent calls kept from a server that has just taken a less urgent one.
+// Guards against urgent calls being kept away from a server that has just accepted a less urgent
+// one.
 BOOST_AUTO_TEST_CASE(an_accepted_call_ends_the_pushback_of_more_urgent_ones) {
     refusal_state refusals;
     record_refusal(refusals, urgency::urgent, milliseconds(200), start);
@@ -68,8 +70,8 @@
     BOOST_TEST(is_refusing(refusals, urgency::background, start));
 }
 
-// Guards against callers that come back being taken for new ones, and against callers with a short
-// deadline of their own being taken for returning ones while nobody was refused.
+// Guards against mistaking a retry for a new call, and against mistaking a call with a short
+// deadline for a retry while no caller has been refused.
 BOOST_AUTO_TEST_CASE(returning_callers_are_known_by_their_deadline) {
     caller_history history;
     record_deadline(history, milliseconds(4'000));
@@ -81,8 +83,8 @@
     BOOST_TEST((elapsed_before_attempt(history, milliseconds(1'000), later) == duration{}));
 }
 
-// Guards against refused callers that return in step, too late to be answered in time although
-// there is time, or after their deadline.
+// Guards against refused callers that retry in lockstep, too late although there was time to be
+// answered, or after their deadline.
 BOOST_AUTO_TEST_CASE(refused_callers_return_at_a_useful_time) {
     random_source random(first_seed());
     for (int i = 0; i < 1'000; ++i) {
@@ -95,7 +97,7 @@
     }
     BOOST_TEST((suggest_retry_delay(error_kind::version_suspended, duration{}, milliseconds(3'000),
                                     random) < milliseconds(100)));
-    // A caller of a leaving node must not use up its attempts before the node is replaced.
+    // A caller of a draining node must not use up its attempts before the node is replaced.
     BOOST_TEST((suggest_retry_delay(error_kind::draining, milliseconds(600), milliseconds(3'000),
                                     random) == milliseconds(500)));
     BOOST_TEST((suggest_retry_delay(error_kind::draining, milliseconds(200), milliseconds(450),
--- a/tests/retry_balance_test.cpp
+++ b/tests/retry_balance_test.cpp
@@ -1,4 +1,4 @@
-// Tests of retries and of the choice of a backend server.
+// Tests of retries, circuit breakers and the choice of a backend server.
 #include <algorithm>
 #include <array>
 #include <cstdlib>
@@ -15,8 +15,8 @@
 
 constexpr std::size_t layers = 7;
 
-// A chain of services; every layer has the budget of its next hop. The last hop refuses or cuts a
-// share of the attempts.
+// A chain of services in which every layer has a retry budget for its next hop. The last hop
+// refuses or cuts a share of the attempts.
 struct call_chain {
     random_source m_random;
     double m_bad_share;
@@ -24,7 +24,7 @@
     std::array<std::uint64_t, layers> m_attempts{};
     std::array<std::uint64_t, layers> m_first_attempts{};
 
-    // Calls the hop at the depth; returns the failure that the layer above sees.
+    // Calls the hop at the given depth and returns the failure that the layer above sees.
     error_kind call(std::size_t depth, bool& failed_downstream) {
         ++m_first_attempts[depth];
         budget_deposit(m_budgets[depth]);
@@ -64,8 +64,8 @@
 
 BOOST_AUTO_TEST_SUITE(retry_balance)
 
-// Guards against retries of several layers that multiply: with everything failing, seven layers
-// that each retry once would make 128 attempts of one call.
+// Guards against retries that multiply across layers: if every call fails, seven layers that each
+// retry once would make 128 attempts for one call.
 BOOST_AUTO_TEST_CASE(attempts_stay_within_the_budget_seven_layers_deep) {
     const std::uint64_t first = first_seed();
     for (const double bad_share : {0.01, 0.3, 1.0}) {
@@ -80,13 +80,13 @@
                        "depth " << depth);
         }
         BOOST_TEST(chain.m_attempts[layers - 1] <= calls * 11 / 10 + 10);
-        // The budget must be used where it helps.
+        // The budget must be used when retries can succeed.
         const double expected = std::min(0.1, bad_share) * calls;
         BOOST_TEST(static_cast<double>(chain.m_attempts[layers - 1] - calls) > 0.8 * expected);
     }
 }
 
-// Guards against a second run of a request that may have run, and against retries that can't help.
+// Guards against resending a request that may have run, and against retries that cannot succeed.
 BOOST_AUTO_TEST_CASE(only_safe_and_useful_retries_are_made) {
     const time_point now{};
     for (const error_answer& row : error_table()) {
@@ -118,9 +118,9 @@
     BOOST_TEST(!may_retry(refused, budget, now));
 }
 
-// Guards against a share above its weight in a short move, against a period in a caller's calls
-// that keeps the new version off one route, and against calls left on the old version at full
-// weight.
+// Guards against a share above the weight in a short move, against a periodic pattern in a caller's
+// requests that keeps the new version off one route, and against calls that still go to the old
+// version at full weight.
 BOOST_AUTO_TEST_CASE(version_share_is_exact_and_has_no_period) {
     random_source random(first_seed());
     for (const std::uint32_t weight : {10U, 40U, 250U, 500U, 900U}) {
@@ -134,7 +134,7 @@
             }
             BOOST_REQUIRE_LE(std::abs(chosen * 1000 - call * static_cast<int>(weight)), 2'000);
         }
-        // 10 permille give 4 of 10,000 calls to each place on average.
+        // At 10 permille each position receives on average 4 of 10,000 calls.
         const int fewest = *std::min_element(by_place.begin(), by_place.end());
         BOOST_TEST((fewest > 0 || weight < 40));
         BOOST_TEST(*std::max_element(by_place.begin(), by_place.end()) <= chosen / 5);
@@ -145,7 +145,8 @@
     }
 }
 
-// Guards against one server that gets far more than its share, as with one random choice.
+// Guards against one server that receives far more than its share, as happens with a single random
+// choice.
 BOOST_AUTO_TEST_CASE(two_choices_even_out_the_load) {
     random_source random(first_seed());
     std::vector<candidate> servers(20, server(true, 0));
@@ -156,10 +157,11 @@
     for (const candidate& value : servers) {
         max_outstanding = std::max(max_outstanding, value.m_outstanding);
     }
-    BOOST_TEST(max_outstanding <= 104U); // 100 each; one random choice gives about 120
+    BOOST_TEST(max_outstanding <= 104U); // 100 each; a single random choice gives about 120
 }
 
-// Guards against calls that leave the own data centre without need, or stay while queues grow.
+// Guards against calls that leave the own data centre without need, or that stay while its queues
+// grow.
 BOOST_AUTO_TEST_CASE(own_data_centre_first_until_it_nears_its_queues) {
     random_source random(first_seed());
     std::vector<candidate> servers{server(true, 700), server(true, 700), server(false, 0),
@@ -178,13 +180,13 @@
     BOOST_TEST(local_share() == 200);
     servers[2].m_load_permille = servers[3].m_load_permille = 0;
     servers[0].m_load_age = servers[1].m_load_age = std::chrono::seconds(2);
-    BOOST_TEST(local_share() == 200); // what the load was two seconds ago says nothing
+    BOOST_TEST(local_share() == 200); // a load reported two seconds ago is ignored
     servers[0].m_usable = servers[1].m_usable = false;
     BOOST_TEST(local_share() == 0);
 }
 
-// Guards against choosing a server with an open breaker, one that refused already, or none at all
-// while one is left.
+// Guards against choosing a server that has an open breaker or was already tried for this call
+// while another is left, and against choosing none while one is left.
 BOOST_AUTO_TEST_CASE(open_breakers_are_the_last_resort) {
     random_source random(first_seed());
     std::vector<candidate> servers{server(true, 0), server(false, 900)};
@@ -198,8 +200,8 @@
     BOOST_TEST(!choose_candidate(servers, random).has_value());
 }
 
-// Guards against a herd of trial calls on a server that just came back, a breaker that never closes
-// and one that stays open after its trial call was lost.
+// Guards against a burst of trial calls to a server that has just recovered, a breaker that never
+// closes, and one that stays open after its trial call was lost.
 BOOST_AUTO_TEST_CASE(breaker_lets_one_trial_through) {
     circuit_breaker breaker;
     time_point now{};
@@ -226,14 +228,14 @@
     }
     now += milliseconds(10'000);
     BOOST_TEST(breaker_try_call(breaker, now));
-    now += milliseconds(2'000); // the trial never reported back
+    now += milliseconds(2'000); // the result of the trial call was never recorded
     BOOST_TEST(breaker_try_call(breaker, now));
     breaker_record_success(breaker);
     BOOST_TEST(!breaker_is_open(breaker, now));
     BOOST_TEST(breaker_try_call(breaker, now));
 }
 
-// Guards against a route whose parts get other shares than their weights, at any moment.
+// Guards against split shares that deviate from their weights at any time.
 BOOST_AUTO_TEST_CASE(split_is_exact_at_any_moment) {
     const std::array<std::uint32_t, 3> weights{70, 20, 10};
     weighted_round_robin choice;
@@ -247,7 +249,7 @@
 }
 
 // Guards against equal shares for servers of unequal speed, and against a server that fails part of
-// its calls and attracts more by answering fast.
+// its calls and attracts more of them because its failures are fast.
 BOOST_AUTO_TEST_CASE(slow_and_failing_servers_get_less) {
     random_source random(first_seed());
     std::vector<candidate> candidates(8);
@@ -263,7 +265,7 @@
     BOOST_TEST(counts[1] > 2 * counts[3]);
     BOOST_TEST(counts[3] > 2 * counts[7]);
     BOOST_TEST(counts[0] < counts[3]);
-    candidates[0].m_load_age = std::chrono::seconds(30); // what was known of it is too old
+    candidates[0].m_load_age = std::chrono::seconds(30); // the report is too old
     counts.assign(counts.size(), 0);
     for (int i = 0; i < 10'000; ++i) {
         ++counts[*choose_candidate(candidates, random)];
@@ -271,8 +273,8 @@
     BOOST_TEST(counts[0] > counts[7]);
 }
 
-// Guards against retries that cost backend servers nothing but are refused for lack of budget, and
-// against more servers for one call than its route allows.
+// Guards against retries that are rejected for lack of budget although they cost no backend server
+// anything, and against more retries of one call than its route allows.
 BOOST_AUTO_TEST_CASE(refusals_of_nodes_take_no_budget) {
     const time_point now{};
     retry_budget empty;
@@ -309,9 +311,9 @@
     BOOST_TEST(!breaker_is_open(breaker, now));
 }
 
-// Guards against budgets saved in quiet times that all nodes spend at once when a service fails:
-// the retries of all nodes in ten seconds stay within a fifth of the service's calls and a small
-// slack.
+// Guards against budgets saved up in quiet periods that all nodes spend at once when a service
+// fails. The retries of all nodes in ten seconds must stay within a fifth of the service's calls
+// plus a small margin.
 BOOST_AUTO_TEST_CASE(saved_budgets_stay_within_a_fifth_of_the_calls) {
     constexpr int nodes = 10;
     constexpr int calls = 60; // of each node in the window
--- a/tests/version_move_test.cpp
+++ b/tests/version_move_test.cpp
@@ -16,7 +16,7 @@
 }
 
 struct arm_behaviour {
-    double m_calls = 0; // in one interval
+    double m_calls = 0; // per interval
     double m_failure_share = 0;
     double m_latency_ms = 20;
     bool m_cold = false;
@@ -36,7 +36,7 @@
     return result;
 }
 
-// Adds intervals until the verdict is bad or their number is reached; returns the intervals added.
+// Adds intervals until the verdict is bad or their number is reached; returns the number added.
 int add_intervals(move_evidence& evidence, int intervals, const arm_behaviour& old_arm,
                   const arm_behaviour& new_arm, random_source& random) {
     for (int i = 1; i <= intervals; ++i) {
@@ -78,7 +78,7 @@
 
 BOOST_AUTO_TEST_SUITE(version_move)
 
-// Guards against false rollbacks above 1 in 100 and against good moves that are late.
+// Guards against a rate of false rollbacks above 1 in 100 and against good moves that end too late.
 BOOST_AUTO_TEST_CASE(good_versions_are_done_in_time) {
     const simulation_options options{120, 50, 150};
     const kind_totals good = simulate(move_kind::good, 1'000, options);
@@ -93,8 +93,8 @@
     }
 }
 
-// Guards against a bad version that is declared done, or that gets more than 5% of the calls before
-// a defect shows that was there from the start.
+// Guards against a bad version that is declared done, or that receives more than 5% of the calls
+// before a defect that exists from the start is detected.
 BOOST_AUTO_TEST_CASE(bad_versions_are_taken_back) {
     for (const move_kind kind :
          {move_kind::fails_at_once, move_kind::fails_later, move_kind::slow,
@@ -109,8 +109,8 @@
     }
 }
 
-// Guards against later badness diluted by earlier good intervals: a fifth of an hour without a
-// failure must not delay the verdict.
+// Guards against a later defect that is diluted by earlier good intervals: 700 intervals without a
+// defect (a fifth of an hour at one per second) must not delay the verdict.
 BOOST_AUTO_TEST_CASE(later_badness_is_not_diluted) {
     random_source random(first_seed());
     const arm_behaviour old_arm{190, 0.002, 20, false};
@@ -123,9 +123,9 @@
     BOOST_TEST(add_intervals(slower, 100, old_arm, {10, 0.002, 60, false}, random) <= 6);
 }
 
-// Guards against a good version taken back because one of its servers is slower than the others: a
-// server at 1.6 times the usual service time, beside old ones at 0.7 times, judged its version
-// alone.
+// Guards against rolling back a good version because one of its servers is slower than the others.
+// A server at 1.6 times the usual service time, beside servers of the old version at 0.7 times,
+// judged its version alone.
 BOOST_AUTO_TEST_CASE(a_slow_server_is_not_evidence_of_its_version) {
     random_source random(first_seed());
     std::string reason;
@@ -141,7 +141,7 @@
     };
     add(100, 0);
     BOOST_TEST(!is_locally_bad(own, reason), reason);
-    // Failures of the own server still stop the version.
+    // Failures of the own server must still suspend the version.
     add(4, 0.5);
     BOOST_TEST(is_locally_bad(own, reason));
     move_evidence holder;
@@ -149,8 +149,8 @@
                300);
 }
 
-// Guards against an overload of both versions, cold calls, or one crashed server taken for a bad
-// version.
+// Guards against mistaking an overload of both versions, cold calls or one crashed server for a
+// defect of the version.
 BOOST_AUTO_TEST_CASE(overload_cold_start_and_crashes_are_not_evidence) {
     random_source random(first_seed());
     move_evidence overload;
@@ -161,7 +161,7 @@
     add_intervals(cold, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
     BOOST_TEST(add_intervals(cold, 100, {100, 0, 20, false}, {100, 0, 80, true}, random) == 100);
     BOOST_TEST(add_intervals(cold, 100, {100, 0, 20, false}, {100, 0, 80, false}, random) <= 4);
-    // An overload begins between the reports of the two versions for one interval.
+    // An overload begins between the reports of the two versions for the same interval.
     move_evidence offset;
     add_intervals(offset, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
     add_intervals(offset, 1, {100, 0, 20, false}, {100, 0.9, 400, false}, random);
@@ -182,7 +182,7 @@
     }
 }
 
-// Guards against a route without traffic of the old version that nobody judges.
+// Guards against a route without traffic of the old version whose failures are never evaluated.
 BOOST_AUTO_TEST_CASE(new_routes_are_judged_by_their_failure_share) {
     random_source random(first_seed());
     for (const double failure_share : {0.04, 0.4}) {
@@ -202,8 +202,8 @@
     }
 }
 
-// Guards against a node that can't suspend by itself, or suspends where the old version is no
-// better, or where an overload of both can't be told from badness.
+// Guards against a node that can't suspend a version by itself, or that suspends it although the
+// old version is no better or an overload of both can't be distinguished from a defect.
 BOOST_AUTO_TEST_CASE(local_test_suspends_on_own_evidence) {
     random_source random(first_seed());
     std::string reason;
@@ -266,7 +266,8 @@
     }
 }
 
-// Guards against a raise or a wrong verdict when the store comes back after the deadline.
+// Guards against a raise or a wrong verdict when the store becomes available again after the
+// deadline.
 BOOST_AUTO_TEST_CASE(deadline_during_a_store_outage_is_decided_by_the_record) {
     random_source random(first_seed());
     for (std::uint32_t stage = 0; stage < stage_weights_permille.size(); ++stage) {
@@ -285,7 +286,7 @@
                 (step.m_record.m_state == (full ? move_state::done : move_state::taken_back)));
             BOOST_TEST(step.m_record.m_weight_permille == (full ? 1000U : 0U));
         }
-        // Suspended while the store was away: taken back even at full weight.
+        // Suspended during the outage of the store: taken back even at full weight.
         const move_step step = step_move(record, evidence, true, s_start + s_given);
         BOOST_TEST((step.m_record.m_state == move_state::taken_back));
     }
@@ -293,8 +294,9 @@
     BOOST_TEST((expired.m_state == move_state::taken_back && expired.m_weight_permille == 0));
 }
 
-// Guards against two holders that both act on stale records: the final state is written once and
-// the weight never falls before it. Writes may take effect although the writer sees a failure.
+// Guards against two holders that both act on stale records: the final state must be written once,
+// and the weight must not fall before it. A write may take effect although the writer sees a
+// failure.
 BOOST_AUTO_TEST_CASE(racing_holders_write_the_final_state_once) {
     const std::uint64_t first = first_seed();
     for (std::uint64_t seed = first; seed < first + 300; ++seed) {
@@ -319,7 +321,8 @@
                     continue; // paused
                 }
                 if (!current.m_read || random.below(20) == 0) {
-                    // Thinks it has the lease: reads, and writes its name first.
+                    // Assumes that it holds the lease: reads the record and writes its own name
+                    // first.
                     current.m_read = decode_move(stored, revision);
                     BOOST_REQUIRE(current.m_read.has_value());
                     if (current.m_read->m_state != move_state::running) {
@@ -348,7 +351,7 @@
                 current.m_read = step.m_record;
                 current.m_read->m_revision = revision;
                 if (random.below(4) == 0) {
-                    current.m_read.reset(); // the response was lost: reads the record again
+                    current.m_read.reset(); // the response was lost, so it reads the record again
                 } else {
                     begin_stage(current.m_evidence);
                 }
@@ -362,7 +365,8 @@
     }
 }
 
-// Guards against a record that another node reads differently, and against accepting a broken one.
+// Guards against a record that another node decodes differently, and against accepting a malformed
+// one.
 BOOST_AUTO_TEST_CASE(record_text_round_trips) {
     move_record record = first_record();
     record.m_reason = "quote \" and newline \n";
@@ -388,7 +392,7 @@
     BOOST_TEST(!decode_move(R"({"weight_permille":1001})", 1).has_value());
 }
 
-// Guards against a good version that is late, and so taken back, because a route with a third of a
+// Guards against rolling back a good version whose move runs late because a route with a third of a
 // small service's calls had 3 calls at 40 permille.
 BOOST_AUTO_TEST_CASE(few_calls_at_a_small_weight_do_not_hold_up_a_move) {
     random_source random(first_seed());
@@ -406,9 +410,9 @@
     BOOST_TEST(!stage_passed(evidence, 2, true));
 }
 
-// Guards against a good version taken back at full weight for a route whose calls always failed,
-// with the old version too: 4 of 4 failed on one restarted node, which had no old calls to compare
-// with.
+// Guards against rolling back a good version at full weight because of a route whose calls always
+// failed, with the old version too: 4 of 4 failed at one restarted node, which had no old calls to
+// compare with.
 BOOST_AUTO_TEST_CASE(routes_that_always_failed_are_not_evidence) {
     random_source random(first_seed());
     move_evidence holder;
