--- a/src/traffic/traffic_context.hpp
+++ b/src/traffic/traffic_context.hpp
@@ -62,7 +62,7 @@
 
     std::mutex m_entry_mutex;
     std::unordered_map<std::string, entry_state> m_entries;     // by service
-    std::unordered_map<std::string, split_choice> m_partitions; // by host and path of the route
+    std::unordered_map<std::string, weighted_round_robin> m_partitions; // by host and path of the route
     std::unordered_map<std::string, caller_history> m_callers;  // by host and path of the route
 
     exchange_limits limits() const {
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,4 +1,4 @@
-// Tests of admission against a model of a backend server.
+// Tests of admission control, partly against a model of a backend server.
 #include <cmath>
 #include <map>
 #include <set>
@@ -12,8 +12,8 @@
 
 namespace {
 
-// A backend server that while quite cold answers five times slower, warms up with time and calls,
-// and while still cold falls over, failing every call, above a quarter of its slots.
+// Model of a backend server. While cold it answers up to five times slower and fails every call
+// above a quarter of its slots; it warms up with time and with the calls it answers.
 struct model_server {
     struct running_call {
         time_point m_started;
@@ -22,8 +22,10 @@
     std::uint32_t m_slots = 12;
     time_point m_cold_since;
     milliseconds m_cold_time{0};
-    std::uint32_t m_answers = 0; // since it turned cold
-    bool m_warned = true;        // whether the caller could know; a new server is taken for cold
+    std::uint32_t m_answers = 0; // since it last turned cold
+    // Whether admission could have detected that the server is cold. A new server is assumed to be
+    // cold.
+    bool m_cold_detectable = true;
     std::map<std::uint64_t, running_call> m_running;
 
     double coldness(time_point now) const {
@@ -39,13 +41,14 @@
 };
 
 struct model_result {
-    std::uint64_t m_overloads = 0; // calls sent above the bound although the server was known cold
+    // Calls started above the bound while the server was detectably cold.
+    std::uint64_t m_overloads = 0;
     double m_limit_when_warm = 0;
     std::uint64_t m_answered = 0;
 };
 
-// Offers more calls than the server can serve for a minute; the server starts cold and turns cold
-// again twice without warning, the second time while it has few calls.
+// Offers more calls than the server can serve for one minute. The server starts cold and turns cold
+// again twice without notice, the second time while it receives few calls.
 model_result run_model(std::uint64_t seed) {
     random_source random(seed);
     model_server server;
@@ -57,28 +60,29 @@
     admission_state state = make_admission(limits);
     time_point now{};
     server.become_cold(now, milliseconds(2'000 + random.below(13'000)));
-    const std::uint64_t again[2] = {20'000 + random.below(5'000), 35'000 + random.below(5'000)};
+    const std::uint64_t cold_again_ms[2] = {20'000 + random.below(5'000),
+                                            35'000 + random.below(5'000)};
     std::uint64_t next_call = 1;
     const auto start = [&](std::uint64_t call) {
-        const double factor = std::exp(0.3 * (random.unit() + random.unit() - 1));
-        const double took = 20 * (1 + 4 * server.coldness(now)) * factor;
-        server.m_running[call] = {now, now + milliseconds(static_cast<int>(took))};
-        if (server.is_cold(now) && server.m_running.size() > bound && server.m_warned) {
+        const double noise = std::exp(0.3 * (random.unit() + random.unit() - 1));
+        const double latency_ms = 20 * (1 + 4 * server.coldness(now)) * noise;
+        server.m_running[call] = {now, now + milliseconds(static_cast<int>(latency_ms))};
+        if (server.is_cold(now) && server.m_running.size() > bound && server.m_cold_detectable) {
             ++result.m_overloads;
         }
     };
     for (std::uint64_t ms = 0; ms < 60'000; ++ms, now += milliseconds(1)) {
-        for (const std::uint64_t at : again) {
+        for (const std::uint64_t at : cold_again_ms) {
             if (ms == at) {
                 server.become_cold(now, milliseconds(3'000 + random.below(12'000)));
-                server.m_warned = false;
+                server.m_cold_detectable = false;
             }
         }
         const bool cold = server.is_cold(now);
-        const bool fallen = cold && server.m_running.size() > bound;
+        const bool overloaded = cold && server.m_running.size() > bound;
         std::vector<std::uint64_t> ended;
         for (const auto& [call, running] : server.m_running) {
-            if (fallen || running.m_ends <= now) {
+            if (overloaded || running.m_ends <= now) {
                 ended.push_back(call);
             }
         }
@@ -86,12 +90,14 @@
         for (const std::uint64_t call : ended) {
             call_sample sample;
             sample.m_latency = now - server.m_running[call].m_started;
-            sample.m_failed = fallen;
+            sample.m_failed = overloaded;
             server.m_running.erase(call);
-            result.m_answered += fallen ? 0 : 1;
+            result.m_answered += overloaded ? 0 : 1;
             ++server.m_answers;
-            // Two rounds of answers tell that the server is cold again.
-            server.m_warned = server.m_warned || server.m_answers >= 2 * server.m_slots;
+            // After twice as many answers as slots, admission must have detected that the server is
+            // cold.
+            server.m_cold_detectable =
+                server.m_cold_detectable || server.m_answers >= 2 * server.m_slots;
             const auto release = admission_finish(state, sample, now);
             released.insert(released.end(), release.m_run.begin(), release.m_run.end());
         }
@@ -100,10 +106,10 @@
         for (const std::uint64_t call : released) {
             start(call);
         }
-        // Few calls around the second time that it turns cold: it then doesn't fall over, and only
-        // the latency tells.
-        const bool light = ms + 500 > again[1] && ms < again[1] + 2'000;
-        for (int i = 0; i < (light ? (ms % 30 == 0 ? 1 : 0) : 2); ++i) {
+        // Few calls arrive around the second time that the server turns cold. It doesn't overload
+        // then, so only its latency shows that it is cold.
+        const bool low_traffic = ms + 500 > cold_again_ms[1] && ms < cold_again_ms[1] + 2'000;
+        for (int i = 0; i < (low_traffic ? (ms % 30 == 0 ? 1 : 0) : 2); ++i) {
             const std::uint64_t call = next_call++;
             const auto offered =
                 admission_offer(state, call, urgency::normal, now + milliseconds(500), now);
@@ -122,8 +128,8 @@
 
 BOOST_AUTO_TEST_SUITE(admission)
 
-// Guards against a cold server getting more concurrent calls than it bears, and against a limit
-// that stays low although the server is warm.
+// Guards against a cold server that receives more concurrent calls than it can handle, and against
+// a limit that stays low although the server is warm.
 BOOST_AUTO_TEST_CASE(cold_server_is_never_knowingly_overloaded) {
     const std::uint64_t first = first_seed();
     for (std::uint64_t seed = first; seed < first + 40; ++seed) {
@@ -134,8 +140,8 @@
     }
 }
 
-// Guards against a limit that rises although only one call at a time ran, which shows nothing of
-// what the server bears, and against a server with few calls that counts as cold for good.
+// Guards against a limit that rises although only one call ran at a time, which doesn't show how
+// many the server can handle, and against a server with few calls that counts as cold forever.
 BOOST_AUTO_TEST_CASE(single_calls_show_warmth_but_do_not_raise_the_limit) {
     admission_state state = make_admission({});
     time_point now{milliseconds(1)};
@@ -152,9 +158,9 @@
     BOOST_TEST(!is_cold(state, now));
 }
 
-// Guards against an urgent call refused while less urgent ones wait, calls run in the wrong order,
-// bounds exceeded, and calls that get no fate or two.
-BOOST_AUTO_TEST_CASE(urgent_calls_go_first_and_every_call_has_one_fate) {
+// Guards against refusing an urgent call while less urgent ones wait, running calls in the wrong
+// order, exceeding the bounds, and calls that end with no outcome or with two.
+BOOST_AUTO_TEST_CASE(urgent_calls_run_first_and_every_call_has_one_outcome) {
     const std::uint64_t first = first_seed();
     for (std::uint64_t seed = first; seed < first + 200; ++seed) {
         random_source random(seed);
@@ -165,7 +171,7 @@
         time_point now{};
         std::map<std::uint64_t, urgency> waiting;
         std::set<std::uint64_t> running;
-        const auto settle = [&](const admission_release& release) {
+        const auto apply_release = [&](const admission_release& release) {
             for (const std::uint64_t call : release.m_expired) {
                 BOOST_TEST(waiting.erase(call) == 1U);
             }
@@ -188,7 +194,7 @@
                 sample.m_latency = milliseconds(1 + random.below(10));
                 sample.m_failed = random.below(10) == 0;
                 sample.m_cancelled = random.below(10) == 0;
-                settle(admission_finish(state, sample, now));
+                apply_release(admission_finish(state, sample, now));
             }
             if (random.below(8) == 0 && !waiting.empty()) {
                 admission_cancel(state, waiting.begin()->first);
@@ -211,13 +217,13 @@
             } else {
                 waiting[call] = level;
             }
-            settle(admission_tick(state, now));
+            apply_release(admission_tick(state, now));
             BOOST_TEST(running.size() == state.m_running);
             BOOST_TEST(running.size() <= limits.m_slots);
             BOOST_TEST(waiting.size() == state.m_queue.size());
             BOOST_TEST(waiting.size() <= limits.m_queue);
         }
-        settle(admission_drain(state));
+        apply_release(admission_drain(state));
         BOOST_TEST(waiting.empty());
         const auto refused =
             admission_offer(state, 1'000, urgency::urgent, now + milliseconds(100), now);
@@ -225,15 +231,15 @@
     }
 }
 
-// Guards against a cold server that gets more calls in some second than it says that it bears, and
-// against its full slots before it is warm.
-BOOST_AUTO_TEST_CASE(a_cold_server_gets_its_calls_a_second) {
+// Guards against a cold server that receives more calls in any one second than its reported rate,
+// and against the use of all its slots before it is warm.
+BOOST_AUTO_TEST_CASE(cold_server_call_rate_stays_within_its_limit) {
     admission_limits limits;
     limits.m_slots = 12;
     limits.m_queue = 48;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     limits.m_cold_until = time_point{} + std::chrono::seconds(3);
-    limits.m_cold_per_second = 14;
+    limits.m_cold_calls_per_second = 14;
     admission_state state = make_admission({});
     set_admission_limits(state, limits);
     std::vector<time_point> starts;
@@ -264,15 +270,16 @@
          admission_verdict::run));
 }
 
-// Guards against a lasting overload in which every call waits so long that none is served in time:
-// with twice the load that a server can run, most of what it runs still ends within the target.
+// Guards against a sustained overload in which every call waits too long to be answered in time. At
+// twice the load that the server can handle, most of the calls that it runs must still end within
+// the target.
 BOOST_AUTO_TEST_CASE(overload_serves_a_part_in_time_instead_of_all_late) {
     constexpr milliseconds service_time{100};
     constexpr milliseconds target{250};
     admission_limits limits;
     limits.m_slots = 4;
     limits.m_queue = 48;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission({});
     set_admission_limits(state, limits);
     std::map<std::uint64_t, time_point> arrived;
@@ -309,9 +316,9 @@
     BOOST_TEST(in_time >= 360); // 4 slots run 400 calls in 10 s
 }
 
-// Guards against estimates from the mean of all routes: with many short and some long calls, the
-// long ones were admitted behind a queue that took too long for each of them, so that in an
-// overload every one of them was answered late.
+// Guards against wait estimates from the mean latency of all routes. With many short and some long
+// calls, long calls were admitted behind a queue that was too long for them, so in an overload
+// every one of them was answered late.
 BOOST_AUTO_TEST_CASE(long_calls_among_many_short_ones_are_answered_in_time) {
     constexpr milliseconds short_time{11};
     constexpr milliseconds long_time{105};
@@ -319,7 +326,7 @@
     admission_limits limits;
     limits.m_slots = 9;
     limits.m_queue = 48;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission(limits);
     set_admission_limits(state, limits);
     struct known_call {
@@ -367,22 +374,23 @@
         }
     }
     BOOST_TEST(late * 20 <= in_time);
-    // Nine slots, less 1.6 for the short calls, run 1,050 long ones in 15 s.
+    // Nine slots, minus 1.6 used by short calls, run 1,050 long calls in 15 s.
     BOOST_TEST(in_time >= 950);
 }
 
-// Guards against a queue in which calls that have become late hold up those that have not.
+// Guards against a queue in which calls that have become late delay calls that can still be
+// answered in time.
 BOOST_AUTO_TEST_CASE(calls_that_became_late_in_the_queue_give_way) {
     admission_limits limits;
     limits.m_slots = 1;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission(limits);
     set_admission_limits(state, limits);
     time_point now{std::chrono::seconds(10)};
-    const time_point far = now + std::chrono::seconds(5);
-    admission_offer(state, 1, urgency::normal, far, now);
-    admission_offer(state, 2, urgency::normal, far, now, now + milliseconds(50));
-    admission_offer(state, 3, urgency::normal, far + milliseconds(1), now,
+    const time_point far_deadline = now + std::chrono::seconds(5);
+    admission_offer(state, 1, urgency::normal, far_deadline, now);
+    admission_offer(state, 2, urgency::normal, far_deadline, now, now + milliseconds(50));
+    admission_offer(state, 3, urgency::normal, far_deadline + milliseconds(1), now,
                     now + std::chrono::seconds(1));
     now += milliseconds(200); // longer than expected
     BOOST_TEST(
@@ -391,40 +399,40 @@
         (admission_finish(state, call_sample{}, now).m_run == std::vector<std::uint64_t>{2}));
 }
 
-// Guards against callers that come back late and, with the nearer deadline, take the slots before
-// calls that can still be answered in time: in an overload all would then be late.
+// Guards against late retries that, with their earlier deadline, take the slots before calls that
+// can still be answered in time. In an overload all calls would then be late.
 BOOST_AUTO_TEST_CASE(late_calls_wait_behind_those_that_can_be_in_time) {
     admission_limits limits;
     limits.m_slots = 1;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission(limits);
     set_admission_limits(state, limits);
     const time_point now{std::chrono::seconds(10)};
-    const time_point far = now + std::chrono::seconds(5);
+    const time_point far_deadline = now + std::chrono::seconds(5);
     const auto offer = [&](std::uint64_t call, urgency level, time_point deadline,
                            time_point useful_until) {
         return admission_offer(state, call, level, deadline, now, useful_until).m_verdict;
     };
     const auto late = now - milliseconds(1);
-    BOOST_TEST((offer(1, urgency::normal, far, {}) == admission_verdict::run));
+    BOOST_TEST((offer(1, urgency::normal, far_deadline, {}) == admission_verdict::run));
     BOOST_TEST(
         (offer(2, urgency::normal, now + milliseconds(500), late) == admission_verdict::wait));
-    BOOST_TEST(
-        (offer(3, urgency::normal, far, now + milliseconds(600)) == admission_verdict::wait));
-    BOOST_TEST(
-        (offer(4, urgency::background, far, now + milliseconds(600)) == admission_verdict::wait));
+    BOOST_TEST((offer(3, urgency::normal, far_deadline, now + milliseconds(600)) ==
+                admission_verdict::wait));
+    BOOST_TEST((offer(4, urgency::background, far_deadline, now + milliseconds(600)) ==
+                admission_verdict::wait));
     const auto next = [&] { return admission_finish(state, call_sample{}, now).m_run; };
     BOOST_TEST((next() == std::vector<std::uint64_t>{3}));
     BOOST_TEST((next() == std::vector<std::uint64_t>{2}));
     BOOST_TEST((next() == std::vector<std::uint64_t>{4}));
 }
 
-// Guards against callers' nodes that can't tell a full server from one with a long queue, or that
-// take a cold server, which runs few calls at a time, for an idle one.
-BOOST_AUTO_TEST_CASE(the_load_told_shows_the_queue_and_the_cold_start) {
+// Guards against a reported load that doesn't distinguish a full server from one with a long queue,
+// or that makes a cold server, which runs few calls at a time, look idle.
+BOOST_AUTO_TEST_CASE(reported_load_includes_queue_and_cold_start) {
     admission_limits limits;
     limits.m_slots = 4;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission(limits);
     set_admission_limits(state, limits);
     const time_point now{std::chrono::seconds(10)};
@@ -434,7 +442,7 @@
     BOOST_TEST(admission_load_permille(state, now) == 3'000U);
 
     limits.m_cold_until = now + std::chrono::seconds(3);
-    limits.m_cold_per_second = 10;
+    limits.m_cold_calls_per_second = 10;
     admission_state cold = make_admission(limits);
     set_admission_limits(cold, limits);
     for (std::uint64_t call = 1; call <= 9; ++call) {
@@ -449,12 +457,12 @@
     BOOST_TEST(admission_load_permille(cold, now + std::chrono::seconds(4)) == 0U);
 }
 
-// Guards against a refusal that doesn't tell when there may be room: callers' nodes would ask again
-// at once.
-BOOST_AUTO_TEST_CASE(a_refusal_tells_when_there_may_be_room) {
+// Guards against a refusal that doesn't state when there may be capacity: the callers' nodes would
+// retry at once.
+BOOST_AUTO_TEST_CASE(refusal_states_when_to_retry) {
     admission_limits limits;
     limits.m_slots = 2;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission(limits);
     set_admission_limits(state, limits);
     time_point now{std::chrono::seconds(10)};
@@ -474,15 +482,16 @@
         result = offer();
     }
     BOOST_TEST((result.m_reason == error_kind::queue_full));
-    BOOST_TEST((result.m_room_after > duration{} && result.m_room_after <= milliseconds(100)));
+    BOOST_TEST((result.m_retry_after > duration{} && result.m_retry_after <= milliseconds(100)));
 }
 
-// Guards against calls that wait until their deadline passes, or get a slot when they can no longer
-// be answered: the caller loses the time to come back, the server its work.
+// Guards against calls that stay queued until their deadline passes, or receive a slot when they
+// can no longer be answered. The caller would lose the time for a retry, and the server would work
+// in vain.
 BOOST_AUTO_TEST_CASE(calls_without_time_are_given_up_early) {
     admission_limits limits;
     limits.m_slots = 1;
-    limits.m_infers_cold = false;
+    limits.m_detect_cold_start = false;
     admission_state state = make_admission(limits);
     set_admission_limits(state, limits);
     time_point now{std::chrono::seconds(10)};
--- a/tests/version_move_test.cpp
+++ b/tests/version_move_test.cpp
@@ -16,14 +16,14 @@
 }
 
 struct arm_behaviour {
-    double m_calls = 0; // in one interval
+    double m_calls = 0; // per interval
     double m_failure_share = 0;
     double m_latency_ms = 20;
     bool m_cold = false;
 };
 
-evidence_report report(std::string_view version, std::string_view route,
-                       const arm_behaviour& behaviour, random_source& random) {
+evidence_report make_report(std::string_view version, std::string_view route,
+                            const arm_behaviour& behaviour, random_source& random) {
     evidence_report result;
     result.m_instance = version;
     result.m_version = version;
@@ -36,12 +36,12 @@
     return result;
 }
 
-// Adds intervals until the verdict is bad or their number is reached; returns the intervals added.
-int feed(move_evidence& evidence, int intervals, const arm_behaviour& old_arm,
-         const arm_behaviour& new_arm, random_source& random) {
+// Adds intervals until the verdict is bad or their number is reached; returns the number added.
+int add_intervals(move_evidence& evidence, int intervals, const arm_behaviour& old_arm,
+                  const arm_behaviour& new_arm, random_source& random) {
     for (int i = 1; i <= intervals; ++i) {
-        const std::array reports{report("v1", "/a", old_arm, random),
-                                 report("v2", "/a", new_arm, random)};
+        const std::array reports{make_report("v1", "/a", old_arm, random),
+                                 make_report("v2", "/a", new_arm, random)};
         add_evidence(evidence, reports, "v1", "v2");
         if (judge_evidence(evidence).m_verdict == evidence_verdict::bad) {
             return i;
@@ -78,7 +78,7 @@
 
 BOOST_AUTO_TEST_SUITE(version_move)
 
-// Guards against false rollbacks above 1 in 100 and against good moves that are late.
+// Guards against a rate of false rollbacks above 1 in 100 and against good moves that end too late.
 BOOST_AUTO_TEST_CASE(good_versions_are_done_in_time) {
     const simulation_options options{120, 50, 150};
     const kind_totals good = simulate(move_kind::good, 1'000, options);
@@ -93,8 +93,8 @@
     }
 }
 
-// Guards against a bad version that is declared done, or that gets more than 5% of the calls before
-// a defect shows that was there from the start.
+// Guards against a bad version that is declared done, or that receives more than 5% of the calls
+// before a defect that exists from the start is detected.
 BOOST_AUTO_TEST_CASE(bad_versions_are_taken_back) {
     for (const move_kind kind :
          {move_kind::fails_at_once, move_kind::fails_later, move_kind::slow,
@@ -109,23 +109,23 @@
     }
 }
 
-// Guards against later badness diluted by earlier good intervals: a fifth of an hour without a
-// failure must not delay the verdict.
+// Guards against a later defect that is diluted by earlier good intervals: 700 intervals without a
+// defect (a fifth of an hour at one per second) must not delay the verdict.
 BOOST_AUTO_TEST_CASE(later_badness_is_not_diluted) {
     random_source random(first_seed());
     const arm_behaviour old_arm{190, 0.002, 20, false};
     move_evidence evidence;
-    BOOST_TEST(feed(evidence, 700, old_arm, {10, 0.002, 20, false}, random) == 700);
-    BOOST_TEST(feed(evidence, 100, old_arm, {10, 0.3, 20, false}, random) <= 6);
+    BOOST_TEST(add_intervals(evidence, 700, old_arm, {10, 0.002, 20, false}, random) == 700);
+    BOOST_TEST(add_intervals(evidence, 100, old_arm, {10, 0.3, 20, false}, random) <= 6);
     BOOST_TEST(judge_evidence(evidence).m_route == "/a");
     move_evidence slower;
-    BOOST_TEST(feed(slower, 700, old_arm, {10, 0.002, 20, false}, random) == 700);
-    BOOST_TEST(feed(slower, 100, old_arm, {10, 0.002, 60, false}, random) <= 6);
+    BOOST_TEST(add_intervals(slower, 700, old_arm, {10, 0.002, 20, false}, random) == 700);
+    BOOST_TEST(add_intervals(slower, 100, old_arm, {10, 0.002, 60, false}, random) <= 6);
 }
 
-// Guards against a good version taken back because one of its servers is slower than the others: a
-// server at 1.6 times the usual service time, beside old ones at 0.7 times, judged its version
-// alone.
+// Guards against rolling back a good version because one of its servers is slower than the others.
+// A server at 1.6 times the usual service time, beside servers of the old version at 0.7 times,
+// judged its version alone.
 BOOST_AUTO_TEST_CASE(a_slow_server_is_not_evidence_of_its_version) {
     random_source random(first_seed());
     std::string reason;
@@ -133,52 +133,56 @@
     own.m_instances = 6;
     const auto add = [&own, &random](int intervals, double failure_share) {
         for (int i = 0; i < intervals; ++i) {
-            const std::array reports{report("v1", "/a", {20, 0, 155, false}, random),
-                                     report("v2", "/a", {40, failure_share, 352, false}, random)};
+            const std::array reports{
+                make_report("v1", "/a", {20, 0, 155, false}, random),
+                make_report("v2", "/a", {40, failure_share, 352, false}, random)};
             add_evidence(own, reports, "v1", "v2");
         }
     };
     add(100, 0);
     BOOST_TEST(!is_locally_bad(own, reason), reason);
-    // Failures of the own server still stop the version.
+    // Failures of the own server must still suspend the version.
     add(4, 0.5);
     BOOST_TEST(is_locally_bad(own, reason));
     move_evidence holder;
-    BOOST_TEST(feed(holder, 300, {100, 0, 150, false}, {100, 0, 200, false}, random) == 300);
+    BOOST_TEST(add_intervals(holder, 300, {100, 0, 150, false}, {100, 0, 200, false}, random) ==
+               300);
 }
 
-// Guards against an overload of both versions, cold calls, or one crashed server taken for a bad
-// version.
-BOOST_AUTO_TEST_CASE(other_troubles_are_not_evidence) {
+// Guards against mistaking an overload of both versions, cold calls or one crashed server for a
+// defect of the version.
+BOOST_AUTO_TEST_CASE(overload_cold_start_and_crashes_are_not_evidence) {
     random_source random(first_seed());
     move_evidence overload;
-    feed(overload, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
-    BOOST_TEST(feed(overload, 300, {100, 0.3, 200, false}, {100, 0.3, 200, false}, random) == 300);
+    add_intervals(overload, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
+    BOOST_TEST(add_intervals(overload, 300, {100, 0.3, 200, false}, {100, 0.3, 200, false},
+                             random) == 300);
     move_evidence cold;
-    feed(cold, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
-    BOOST_TEST(feed(cold, 100, {100, 0, 20, false}, {100, 0, 80, true}, random) == 100);
-    BOOST_TEST(feed(cold, 100, {100, 0, 20, false}, {100, 0, 80, false}, random) <= 4);
-    // An overload begins between the reports of the two versions for one interval.
+    add_intervals(cold, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
+    BOOST_TEST(add_intervals(cold, 100, {100, 0, 20, false}, {100, 0, 80, true}, random) == 100);
+    BOOST_TEST(add_intervals(cold, 100, {100, 0, 20, false}, {100, 0, 80, false}, random) <= 4);
+    // An overload begins between the reports of the two versions for the same interval.
     move_evidence offset;
-    feed(offset, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
-    feed(offset, 1, {100, 0, 20, false}, {100, 0.9, 400, false}, random);
-    feed(offset, 50, {100, 0.9, 400, false}, {100, 0.9, 400, false}, random);
+    add_intervals(offset, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
+    add_intervals(offset, 1, {100, 0, 20, false}, {100, 0.9, 400, false}, random);
+    add_intervals(offset, 50, {100, 0.9, 400, false}, {100, 0.9, 400, false}, random);
     BOOST_TEST((judge_evidence(offset).m_verdict != evidence_verdict::bad));
     move_evidence crash;
-    feed(crash, 50, {100, 0, 20, false}, {20, 0, 20, false}, random);
+    add_intervals(crash, 50, {100, 0, 20, false}, {20, 0, 20, false}, random);
     for (int i = 0; i < 2; ++i) {
         // One of five servers cuts the calls in its slots.
-        std::vector<evidence_report> reports{report("v1", "/a", {100, 0, 20, false}, random)};
+        std::vector<evidence_report> reports{make_report("v1", "/a", {100, 0, 20, false}, random)};
         for (int server = 0; server < 5; ++server) {
-            reports.push_back(report("v2", "/a", {12, server == 0 ? 1.0 : 0.0, 20, false}, random));
+            reports.push_back(
+                make_report("v2", "/a", {12, server == 0 ? 1.0 : 0.0, 20, false}, random));
         }
         add_evidence(crash, reports, "v1", "v2");
-        feed(crash, 60, {100, 0, 20, false}, {20, 0, 20, false}, random);
+        add_intervals(crash, 60, {100, 0, 20, false}, {20, 0, 20, false}, random);
         BOOST_TEST((judge_evidence(crash).m_verdict != evidence_verdict::bad), "crash " << i);
     }
 }
 
-// Guards against a route without traffic of the old version that nobody judges.
+// Guards against a route without traffic of the old version whose failures are never evaluated.
 BOOST_AUTO_TEST_CASE(new_routes_are_judged_by_their_failure_share) {
     random_source random(first_seed());
     for (const double failure_share : {0.04, 0.4}) {
@@ -186,9 +190,10 @@
         int intervals = 0;
         bool bad = false;
         while (!bad && intervals++ < 300) {
-            const std::array reports{report("v1", "/a", {80, 0, 20, false}, random),
-                                     report("v2", "/a", {20, 0, 20, false}, random),
-                                     report("v2", "/new", {20, failure_share, 20, false}, random)};
+            const std::array reports{
+                make_report("v1", "/a", {80, 0, 20, false}, random),
+                make_report("v2", "/a", {20, 0, 20, false}, random),
+                make_report("v2", "/new", {20, failure_share, 20, false}, random)};
             add_evidence(evidence, reports, "v1", "v2");
             bad = judge_evidence(evidence).m_verdict == evidence_verdict::bad;
         }
@@ -197,8 +202,8 @@
     }
 }
 
-// Guards against a node that can't suspend by itself, or suspends where the old version is no
-// better, or where an overload of both can't be told from badness.
+// Guards against a node that can't suspend a version by itself, or that suspends it although the
+// old version is no better or an overload of both can't be distinguished from a defect.
 BOOST_AUTO_TEST_CASE(local_test_suspends_on_own_evidence) {
     random_source random(first_seed());
     std::string reason;
@@ -206,9 +211,9 @@
         move_evidence own;
         for (int i = 1; i <= 300; ++i) {
             std::vector<evidence_report> reports{
-                report("v2", "/a", {10, failure_share, 20, false}, random)};
+                make_report("v2", "/a", {10, failure_share, 20, false}, random)};
             if (with_old) {
-                reports.push_back(report("v1", "/a", {50, old_share, 20, false}, random));
+                reports.push_back(make_report("v1", "/a", {50, old_share, 20, false}, random));
             }
             add_evidence(own, reports, "v1", "v2");
             if (is_locally_bad(own, reason)) {
@@ -232,18 +237,18 @@
         move_record record = first_record();
         move_evidence evidence;
         std::uint32_t largest = 0;
-        for (int second = 1; second <= 301; ++second) {
+        for (int elapsed_s = 1; elapsed_s <= 301; ++elapsed_s) {
             const double share = record.m_weight_permille / 1000.0;
             std::vector<evidence_report> reports{
-                report("v1", "/a", {70 * (1 - share), 0, 20, false}, random),
-                report("v2", "/a", {70 * share, 0, 20, false}, random),
-                report("v1", "/b", {30 * (1 - share), 0, 20, false}, random)};
+                make_report("v1", "/a", {70 * (1 - share), 0, 20, false}, random),
+                make_report("v2", "/a", {70 * share, 0, 20, false}, random),
+                make_report("v1", "/b", {30 * (1 - share), 0, 20, false}, random)};
             if (served) {
-                reports.push_back(report("v2", "/b", {30 * share, 0, 20, false}, random));
+                reports.push_back(make_report("v2", "/b", {30 * share, 0, 20, false}, random));
             }
             add_evidence(evidence, reports, "v1", "v2");
             const move_step step =
-                step_move(record, evidence, false, s_start + std::chrono::seconds(second));
+                step_move(record, evidence, false, s_start + std::chrono::seconds(elapsed_s));
             if (step.m_kind == move_step::kind::write) {
                 BOOST_TEST(step.m_record.m_stage <= record.m_stage + 1);
                 if (step.m_record.m_stage != record.m_stage) {
@@ -252,7 +257,7 @@
                 record = step.m_record;
                 largest = std::max(largest, record.m_weight_permille);
                 if (served && record.m_weight_permille == 1000) {
-                    BOOST_TEST(second <= 200); // two thirds of the time given
+                    BOOST_TEST(elapsed_s <= 200); // two thirds of the time given
                 }
             }
         }
@@ -261,7 +266,8 @@
     }
 }
 
-// Guards against a raise or a wrong verdict when the store comes back after the deadline.
+// Guards against a raise or a wrong verdict when the store becomes available again after the
+// deadline.
 BOOST_AUTO_TEST_CASE(deadline_during_a_store_outage_is_decided_by_the_record) {
     random_source random(first_seed());
     for (std::uint32_t stage = 0; stage < stage_weights_permille.size(); ++stage) {
@@ -270,7 +276,7 @@
         record.m_weight_permille = stage_weights_permille[stage];
         record.m_raised_ms = unix_ms(s_start + std::chrono::seconds(250));
         move_evidence evidence;
-        feed(evidence, 100, {50, 0, 20, false}, {50, 0, 20, false}, random);
+        add_intervals(evidence, 100, {50, 0, 20, false}, {50, 0, 20, false}, random);
         const bool full = record.m_weight_permille == 1000;
         for (const int late : {0, 1, 100}) {
             const move_step step = step_move(take_over_move(record, "next"), evidence, false,
@@ -280,16 +286,17 @@
                 (step.m_record.m_state == (full ? move_state::done : move_state::taken_back)));
             BOOST_TEST(step.m_record.m_weight_permille == (full ? 1000U : 0U));
         }
-        // Suspended while the store was away: taken back even at full weight.
+        // Suspended during the outage of the store: taken back even at full weight.
         const move_step step = step_move(record, evidence, true, s_start + s_given);
         BOOST_TEST((step.m_record.m_state == move_state::taken_back));
     }
-    const move_record past = start_move("m", "s", "v1", "v2", s_start, "h", s_start);
-    BOOST_TEST((past.m_state == move_state::taken_back && past.m_weight_permille == 0));
+    const move_record expired = start_move("m", "s", "v1", "v2", s_start, "h", s_start);
+    BOOST_TEST((expired.m_state == move_state::taken_back && expired.m_weight_permille == 0));
 }
 
-// Guards against two holders that both act on stale records: the final state is written once and
-// the weight never falls before it. Writes may take effect although the writer sees a failure.
+// Guards against two holders that both act on stale records: the final state must be written once,
+// and the weight must not fall before it. A write may take effect although the writer sees a
+// failure.
 BOOST_AUTO_TEST_CASE(racing_holders_write_the_final_state_once) {
     const std::uint64_t first = first_seed();
     for (std::uint64_t seed = first; seed < first + 300; ++seed) {
@@ -305,30 +312,32 @@
         int final_writes = 0;
         std::uint32_t weight = 0;
         const bool bad = random.below(2) == 0;
-        for (int second = 1; second < 400; ++second) {
-            const wall_time now = s_start + std::chrono::seconds(second);
-            for (holder& one : holders) {
-                feed(one.m_evidence, 1, {20, 0, 20, false}, {20, bad ? 0.2 : 0, 20, false}, random);
+        for (int elapsed_s = 1; elapsed_s < 400; ++elapsed_s) {
+            const wall_time now = s_start + std::chrono::seconds(elapsed_s);
+            for (holder& current : holders) {
+                add_intervals(current.m_evidence, 1, {20, 0, 20, false},
+                              {20, bad ? 0.2 : 0, 20, false}, random);
                 if (random.below(4) == 0) {
                     continue; // paused
                 }
-                if (!one.m_read || random.below(20) == 0) {
-                    // Thinks it has the lease: reads, and writes its name first.
-                    one.m_read = decode_move(stored, revision);
-                    BOOST_REQUIRE(one.m_read.has_value());
-                    if (one.m_read->m_state != move_state::running) {
+                if (!current.m_read || random.below(20) == 0) {
+                    // Assumes that it holds the lease: reads the record and writes its own name
+                    // first.
+                    current.m_read = decode_move(stored, revision);
+                    BOOST_REQUIRE(current.m_read.has_value());
+                    if (current.m_read->m_state != move_state::running) {
                         continue;
                     }
-                    stored = encode_move(take_over_move(*one.m_read, one.m_name));
-                    one.m_read = decode_move(stored, ++revision);
+                    stored = encode_move(take_over_move(*current.m_read, current.m_name));
+                    current.m_read = decode_move(stored, ++revision);
                 }
                 const move_step step =
-                    step_move(*one.m_read, one.m_evidence, random.below(2'000) == 0, now);
+                    step_move(*current.m_read, current.m_evidence, random.below(2'000) == 0, now);
                 if (step.m_kind != move_step::kind::write) {
                     continue;
                 }
                 if (step.m_record.m_revision != revision) {
-                    one.m_read.reset(); // fenced by the compare-and-swap
+                    current.m_read.reset(); // fenced by the compare-and-swap
                     continue;
                 }
                 stored = encode_move(step.m_record);
@@ -339,12 +348,12 @@
                     BOOST_TEST(step.m_record.m_weight_permille >= weight);
                     weight = step.m_record.m_weight_permille;
                 }
-                one.m_read = step.m_record;
-                one.m_read->m_revision = revision;
+                current.m_read = step.m_record;
+                current.m_read->m_revision = revision;
                 if (random.below(4) == 0) {
-                    one.m_read.reset(); // the response was lost: reads the record again
+                    current.m_read.reset(); // the response was lost, so it reads the record again
                 } else {
-                    begin_stage(one.m_evidence);
+                    begin_stage(current.m_evidence);
                 }
             }
         }
@@ -356,7 +365,8 @@
     }
 }
 
-// Guards against a record that another node reads differently, and against accepting a broken one.
+// Guards against a record that another node decodes differently, and against accepting a malformed
+// one.
 BOOST_AUTO_TEST_CASE(record_text_round_trips) {
     move_record record = first_record();
     record.m_reason = "quote \" and newline \n";
@@ -382,17 +392,17 @@
     BOOST_TEST(!decode_move(R"({"weight_permille":1001})", 1).has_value());
 }
 
-// Guards against a good version that is late, and so taken back, because a route with a third of a
+// Guards against rolling back a good version whose move runs late because a route with a third of a
 // small service's calls had 3 calls at 40 permille.
 BOOST_AUTO_TEST_CASE(few_calls_at_a_small_weight_do_not_hold_up_a_move) {
     random_source random(first_seed());
     move_evidence evidence;
     for (int i = 0; i < 10; ++i) {
         const double new_calls = i < 3 ? 1 : 0;
-        const std::array reports{report("v1", "/a", {24, 0, 20, false}, random),
-                                 report("v1", "/b", {11, 0, 20, false}, random),
-                                 report("v2", "/a", {2, 0, 20, false}, random),
-                                 report("v2", "/b", {new_calls, 0, 20, false}, random)};
+        const std::array reports{make_report("v1", "/a", {24, 0, 20, false}, random),
+                                 make_report("v1", "/b", {11, 0, 20, false}, random),
+                                 make_report("v2", "/a", {2, 0, 20, false}, random),
+                                 make_report("v2", "/b", {new_calls, 0, 20, false}, random)};
         add_evidence(evidence, reports, "v1", "v2");
     }
     BOOST_TEST(stage_passed(evidence, 1, true));
@@ -400,15 +410,15 @@
     BOOST_TEST(!stage_passed(evidence, 2, true));
 }
 
-// Guards against a good version taken back at full weight for a route whose calls always failed,
-// with the old version too: 4 of 4 failed on one restarted node, which had no old calls to compare
-// with.
+// Guards against rolling back a good version at full weight because of a route whose calls always
+// failed, with the old version too: 4 of 4 failed at one restarted node, which had no old calls to
+// compare with.
 BOOST_AUTO_TEST_CASE(routes_that_always_failed_are_not_evidence) {
     random_source random(first_seed());
     move_evidence holder;
-    feed(holder, 20, {10, 1, 20, false}, {1, 1, 20, false}, random);
+    add_intervals(holder, 20, {10, 1, 20, false}, {1, 1, 20, false}, random);
     begin_stage(holder);
-    BOOST_TEST(feed(holder, 40, {0, 0, 20, false}, {4, 1, 20, false}, random) == 40);
+    BOOST_TEST(add_intervals(holder, 40, {0, 0, 20, false}, {4, 1, 20, false}, random) == 40);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
