--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -230,8 +230,7 @@
     const auto remaining = std::chrono::duration_cast<milliseconds>(
         role.m_latest_text_seen_at + submitted_delta_wait - state.now());
     state.m_store->watch_keys(
-        text_store_key, role.m_listed_revision,
-                              std::max(remaining, milliseconds{1}),
+        text_store_key, role.m_listed_revision, std::max(remaining, milliseconds{1}),
         [&state](const store_reply& reply) {
             if (reply.m_kind != error_kind::none) {
                 reset_accepter(state.m_accepter, state.now() + store_retry_pause);
@@ -252,7 +251,8 @@
     const std::uint64_t decided_revision =
         std::max(role.m_refused_revision, role.m_accepted ? role.m_accepted->m_source_revision : 0);
     switch (choose_text_source(submitted, role.m_text_revision, decided_revision,
-                               role.m_unusable_delta_revision, state.now() - role.m_latest_text_seen_at)) {
+                               role.m_unusable_delta_revision,
+                               state.now() - role.m_latest_text_seen_at)) {
     case text_source::nothing:
         role.m_call_pending = false;
         break;
--- a/src/node/join.cpp
+++ b/src/node/join.cpp
@@ -164,7 +164,8 @@
     const bool local_attempts_failed = join.m_failures > local_attempts;
     const std::string_view preferred_data_centre =
         local_attempts_failed ? "" : state.m_settings.m_data_centre;
-    const std::vector<ip_endpoint> addresses = join_entry_points(join.m_entry_points, preferred_data_centre);
+    const std::vector<ip_endpoint> addresses =
+        join_entry_points(join.m_entry_points, preferred_data_centre);
     targets.insert(targets.end(), addresses.begin(), addresses.end());
     join_through_random(state, std::move(targets));
 }
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -151,7 +151,8 @@
             apply_items(state);
         }
     };
-    state.m_store->watch(state.m_adapter.m_operator_prefix, watch.m_watch_revision, watch_timeout, on_reply);
+    state.m_store->watch(state.m_adapter.m_operator_prefix, watch.m_watch_revision, watch_timeout,
+                         on_reply);
 }
 
 // Reads the records of all moves once, so that a node that starts after the end of a move knows the
@@ -230,7 +231,8 @@
         return same_data_centre(m) && !m.m_store_lost;
     };
     // A node that knows no other member yet would rank itself first in its data centre.
-    const bool membership_known = state.m_join.m_complete || now >= watch.m_start_at + max_alone_time;
+    const bool membership_known =
+        state.m_join.m_complete || now >= watch.m_start_at + max_alone_time;
     const std::size_t watchers = watchers_per_data_centre(state.m_members.m_groups.size());
     const bool candidate =
         membership_known &&
--- a/src/node/resync.cpp
+++ b/src/node/resync.cpp
@@ -59,9 +59,8 @@
         request_updates(state);
     }
     const bool up_to_date = state.m_distribution.m_applied >= state.m_distribution.m_highest_known;
-    const bool finished =
-        !resync.m_refuse_until || (resync.m_peer_synced && up_to_date) ||
-                      now >= *resync.m_refuse_until;
+    const bool finished = !resync.m_refuse_until || (resync.m_peer_synced && up_to_date) ||
+                          now >= *resync.m_refuse_until;
     if (!finished) {
         return;
     }
--- a/src/node/store_roles.cpp
+++ b/src/node/store_roles.cpp
@@ -109,7 +109,7 @@
                 return;
             }
             role.m_watch_revision = std::max(role.m_watch_revision, reply.m_revision);
-                             apply_state_entries(state, reply.m_entries);
+            apply_state_entries(state, reply.m_entries);
         });
 }
 
--- a/src/traffic/traffic_context.hpp
+++ b/src/traffic/traffic_context.hpp
@@ -61,9 +61,10 @@
     std::map<std::string, arm_counts, std::less<>> m_evidence; // by route
 
     std::mutex m_entry_mutex;
-    std::unordered_map<std::string, entry_state> m_entries;     // by service
-    std::unordered_map<std::string, weighted_round_robin> m_partitions; // by host and path of the route
-    std::unordered_map<std::string, caller_history> m_callers;  // by host and path of the route
+    std::unordered_map<std::string, entry_state> m_entries; // by service
+    std::unordered_map<std::string, weighted_round_robin>
+        m_partitions;                                          // by host and path of the route
+    std::unordered_map<std::string, caller_history> m_callers; // by host and path of the route
 
     exchange_limits limits() const {
         return {m_settings.m_max_header_bytes, m_settings.m_max_answer_bytes};
--- a/tests/node_schedule.hpp
+++ b/tests/node_schedule.hpp
@@ -173,10 +173,10 @@
             break;
         }
         case kind::version_reported:
-            run_actions(schedule, index,
-                      distribution_peer_version(node.m_config, action.m_instance,
-                                           action.m_config_version,
-                                                live_member_count(node.m_members), schedule.m_now));
+            run_actions(
+                schedule, index,
+                distribution_peer_version(node.m_config, action.m_instance, action.m_config_version,
+                                          live_member_count(node.m_members), schedule.m_now));
             break;
         case kind::facts_received:
             for (const suspension& suspended : action.m_packet.m_suspensions) {
@@ -249,11 +249,11 @@
                                 distribution_fetch_failed(asker.m_config, later.m_now));
                     return;
                 }
-                run_actions(later, index,
-                          distribution_text_received(asker.m_config, action.m_instance,
-                                                     holder_node.m_config.m_texts.rbegin()->second,
-                                                     live_member_count(asker.m_members),
-                                                     later.m_now));
+                run_actions(
+                    later, index,
+                    distribution_text_received(asker.m_config, action.m_instance,
+                                               holder_node.m_config.m_texts.rbegin()->second,
+                                               live_member_count(asker.m_members), later.m_now));
             });
             break;
         }
@@ -368,10 +368,10 @@
                 membership_merge(node.m_members, members_in_buckets(member_node.m_members, buckets),
                                  schedule.m_now));
     run_actions(schedule, index,
-              distribution_join_reply(node.m_config, node_name(other),
-                                      held_version(member_node.m_config),
-                                      highest_version_of(member_node.m_members, node_name(index)),
-                                      live_member_count(node.m_members), schedule.m_now));
+                distribution_join_reply(node.m_config, node_name(other),
+                                        held_version(member_node.m_config),
+                                        highest_version_of(member_node.m_members, node_name(index)),
+                                        live_member_count(node.m_members), schedule.m_now));
 }
 
 // Starts count nodes that know each other. Link delays and losses follow from the seed.
