--- a/src/decide/membership.cpp
+++ b/src/decide/membership.cpp
@@ -18,8 +18,8 @@
 // Minimum interval between reports of differing facts; one fetch repairs several differences.
 constexpr milliseconds facts_differ_interval{1'000};
 
-// Requests the sender's entry by a ping, which includes this node's entry for the sender if the
-// sender has to refute it.
+// Requests the sender's entry by a ping. The ping includes the entry held here of the sender if the
+// packet's incarnation is not above it, so that the sender can refute it.
 void request_sender_entry(membership_table& table, const packet& received, const ip_endpoint& from,
                           const tracked_member* sender, time_point now, actions& out) {
     if (!take_token(table, table.m_reply_tokens, now)) {
@@ -103,6 +103,7 @@
 // first know only a few others.
 constexpr milliseconds initial_comparison_interval{500};
 
+// Requests a comparison of tables with the member.
 void request_comparison(const tracked_member& with, actions& out) {
     membership_action action;
     action.m_kind = membership_action::kind::compare_tables;
--- a/src/decide/membership_groups.cpp
+++ b/src/decide/membership_groups.cpp
@@ -16,6 +16,7 @@
 // Maximum number of non-live entries inspected in a search for a live one.
 constexpr int max_tries = 64;
 
+// Key of the rendezvous hash that selects the gateways; all nodes must use the same one.
 constexpr std::string_view gateway_role = "carrier";
 
 // Recomputes whether this data centre is a group and this node one of its gateways. Suspect members
@@ -51,6 +52,7 @@
     return groups;
 }
 
+// Returns the number of instances in all probe orders.
 std::size_t total_size(const std::vector<member_group*>& groups) {
     std::size_t total = 0;
     for (const member_group* group : groups) {
@@ -59,6 +61,7 @@
     return total;
 }
 
+// Returns the instance at a position in the concatenated probe orders.
 const std::string& instance_at(const std::vector<member_group*>& groups, std::size_t position) {
     std::size_t group = 0;
     while (position >= groups[group]->m_order.size()) {
@@ -106,6 +109,7 @@
     return nullptr;
 }
 
+// Returns the next live member of the groups, or null if none is found within max_tries.
 tracked_member* next_target_of(membership_table& table, std::span<member_group* const> groups) {
     for (int tries = 0; tries < max_tries; ++tries) {
         tracked_member* target = draw_from_round(table, groups);
--- a/src/decide/membership_packet_size.cpp
+++ b/src/decide/membership_packet_size.cpp
@@ -3,6 +3,7 @@
 namespace caraway {
 namespace {
 
+// Returns the size of a number as a Protocol Buffers varint.
 std::size_t varint_bytes(std::uint64_t value) {
     std::size_t bytes = 1;
     while (value >= 0x80U) {
@@ -23,6 +24,7 @@
     return bytes_field(bytes_field(value.m_address.size()) + number_field(value.m_port));
 }
 
+// Negative numbers are encoded as their two's complement in 64 bits.
 std::size_t signed_field(std::int64_t value) {
     return number_field(static_cast<std::uint64_t>(value));
 }
--- a/src/decide/membership_packets.hpp
+++ b/src/decide/membership_packets.hpp
@@ -55,8 +55,8 @@
 // Adds this node's entry. Returns false if it does not fit or is already present.
 bool add_self(const membership_table& table, packet_filler& filler);
 
-// Returns whether this node's entry goes into every packet, since most receivers do not have it
-// yet.
+// Returns whether this node's entry goes into every packet, since most receivers do not have its
+// latest state yet.
 bool is_announcing_self(const membership_table& table, time_point now);
 
 // Fills the remaining space with due updates, in turn.
--- a/src/decide/membership_probes.cpp
+++ b/src/decide/membership_probes.cpp
@@ -30,9 +30,10 @@
 constexpr std::size_t max_restart_scan = 512;
 // Entries inspected per search for a dead member.
 constexpr std::size_t max_dead_scan = 64;
-// If at least one in this many members is dead, the table may be one side of a partition.
+// If at least one in this many members is dead, and at least min_mass_loss members are, the table
+// may be one side of a partition.
 constexpr std::size_t mass_loss_share = 10;
-constexpr std::size_t least_mass_loss = 2;
+constexpr std::size_t min_mass_loss = 2;
 // Interval between retention checks of a dead member that is kept longer because many are dead.
 constexpr milliseconds retention_check{60'000};
 // Probes per interval of a data centre in which a member did not answer, and the time for which
@@ -139,7 +140,7 @@
 
 // Returns how long a dead or left member is kept. Dead ones are kept longer while many are dead.
 duration retention_time(const membership_table& table, const tracked_member& tracked) {
-    const bool mass_loss = table.m_dead >= least_mass_loss &&
+    const bool mass_loss = table.m_dead >= min_mass_loss &&
                            table.m_dead * mass_loss_share >= table.m_live + 1 + table.m_dead;
     return mass_loss && tracked.m_counted_dead ? table.m_options.m_mass_loss_retention
                                                : table.m_options.m_dead_retention;
--- a/src/decide/membership_probes.hpp
+++ b/src/decide/membership_probes.hpp
@@ -8,7 +8,7 @@
 namespace caraway::swim {
 
 // Detects a pause of this process. After one it drops this node's own probes and declares nobody
-// dead until the packets that wait in the socket have been read.
+// dead for two probe intervals, so that the packets that wait in the socket are read first.
 void detect_pause(membership_table& table, time_point now);
 
 // Requests indirect probes where no ack arrived in time, and ends expired probes.
--- a/src/decide/membership_rumours.cpp
+++ b/src/decide/membership_rumours.cpp
@@ -71,6 +71,7 @@
     return hash_bytes(value.m_move_id, 1);
 }
 
+// A move record is identified by its service and revision.
 std::uint64_t fact_hash(const move_record& value) {
     return hash_bytes(value.m_service, value.m_revision + 2);
 }
--- a/src/decide/membership_table.cpp
+++ b/src/decide/membership_table.cpp
@@ -30,6 +30,7 @@
     return milliseconds(static_cast<std::int64_t>(static_cast<double>(value.count()) * factor));
 }
 
+// Returns the part of an entry in its bucket hash, see member_bucket_hashes.
 std::uint64_t entry_hash(const member& value) {
     const std::array<std::uint64_t, 2> starts{value.m_incarnation, value.m_first_incarnation};
     std::array<char, sizeof(starts)> bytes{};
--- a/tests/entry_points_test.cpp
+++ b/tests/entry_points_test.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+// Returns the entry point of a node under the given slot.
 entry_point entry_of(std::size_t index, const std::string& slot) {
     return {"dc-" + std::to_string(index % 4), slot, node_entry(index, 1).m_bulk};
 }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -71,6 +71,7 @@
     };
 }
 
+// Returns an entry of node 9 whose configuration version equals its incarnation.
 member entry_with_state(member_state state, std::uint64_t incarnation) {
     member entry = node_entry(9, incarnation);
     entry.m_state = state;
--- a/tests/node_schedule.hpp
+++ b/tests/node_schedule.hpp
@@ -26,6 +26,7 @@
     return {version, hash_bytes(*text), text};
 }
 
+// A simulated node: the state of its decision code and of its process.
 struct scheduled_node {
     membership_table m_members;
     distribution_state m_config;
@@ -36,6 +37,8 @@
     time_point m_paused_until;           // the process is stopped until then; packets wait
 };
 
+// All simulated nodes, the links between them and the queue of events. Nodes are addressed by
+// index.
 struct node_schedule {
     // Returns the delay of a packet or request between two nodes, or nothing if it is lost.
     using link = std::function<std::optional<duration>(std::size_t from, std::size_t to)>;
@@ -55,6 +58,7 @@
     std::function<void(std::size_t observer, const std::string& instance)> m_on_change;
     std::function<void(const packet&)> m_on_send;
 
+    // A function to run at a time; events of the same time run in the order of m_order.
     struct event {
         time_point m_at;
         std::uint64_t m_order = 0;
@@ -68,17 +72,21 @@
     std::uint64_t m_next_order = 0;
 };
 
+// Interval of the ticks of each node.
 constexpr milliseconds schedule_tick{50};
 
+// Returns the instance name of a node, with five digits.
 inline std::string node_name(std::size_t index) {
     std::string digits = std::to_string(index);
     return "node-" + std::string(5 - std::min<std::size_t>(5, digits.size()), '0') + digits;
 }
 
+// Returns the index of the node that uses the address, from its port.
 inline std::size_t node_index(const ip_endpoint& endpoint) {
     return endpoint.m_port - 1U;
 }
 
+// Returns the entry of a node, in one of four data centres by its index.
 inline member node_entry(std::size_t index, std::uint64_t incarnation) {
     member self;
     self.m_instance = node_name(index);
@@ -104,6 +112,7 @@
     };
 }
 
+// Schedules a function.
 inline void at(node_schedule& schedule, time_point when, std::function<void(node_schedule&)> run) {
     schedule.m_events.push({when, schedule.m_next_order++, 0, std::move(run)});
 }
@@ -114,6 +123,7 @@
                  std::vector<membership_action> actions);
 void exchange_tables(node_schedule& schedule, std::size_t index, std::size_t other);
 
+// Returns the delay of a bulk request between two nodes, or nothing if it is lost.
 inline std::optional<duration> bulk_delay(const node_schedule& schedule, std::size_t from,
                                           std::size_t to) {
     return schedule.m_bulk ? schedule.m_bulk(from, to) : schedule.m_link(from, to);
@@ -314,6 +324,7 @@
                 membership_merge(schedule.m_nodes[other].m_members, sent, schedule.m_now));
 }
 
+// Ticks the node and schedules its next tick, unless it has stopped or restarted since.
 inline void tick_node(node_schedule& schedule, std::size_t index, std::uint64_t started) {
     scheduled_node& node = schedule.m_nodes[index];
     if (!node.m_up || node.m_started != started) {
@@ -433,6 +444,7 @@
     return true;
 }
 
+// Returns whether every running node has applied the version or a later one.
 inline bool all_applied(const node_schedule& schedule, std::uint64_t version) {
     for (const scheduled_node& node : schedule.m_nodes) {
         if (node.m_up && node.m_config.m_applied < version) {
