--- a/tests/entry_points_test.cpp
+++ b/tests/entry_points_test.cpp
@@ -64,7 +64,7 @@
 
 // Guards against calls to the store that grow with the number of data centres, and against so few
 // watchers that the store rejects all of them.
-BOOST_AUTO_TEST_CASE(watchers_per_data_centre_shrink_with_their_number) {
+BOOST_AUTO_TEST_CASE(watchers_are_few_but_enough_in_total) {
     BOOST_TEST(watchers_per_data_centre(1) == 6U);
     BOOST_TEST(watchers_per_data_centre(3) == 2U);
     BOOST_TEST(watchers_per_data_centre(4) == 2U);
