--- a/src/decide/acceptance.cpp
+++ b/src/decide/acceptance.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Reads an unsigned JSON number. The parser yields int64 for small values and uint64 for large
-// ones; a negative number is refused.
+// ones. A negative number is rejected.
 std::optional<std::uint64_t> unsigned_field(const boost::json::object& object,
                                             std::string_view name) {
     const boost::json::value* value = object.if_contains(name);
@@ -28,13 +28,13 @@
     return std::nullopt;
 }
 
-// Reads a string field, or returns null.
+// Returns a string field, or null if it is missing or not a string.
 const boost::json::string* string_field(const boost::json::object& object, std::string_view name) {
     const boost::json::value* value = object.if_contains(name);
     return value == nullptr ? nullptr : value->if_string();
 }
 
-// Reads the whole text as one hexadecimal number of at most 64 bits.
+// Parses the whole text as one hexadecimal number of at most 64 bits.
 std::optional<std::uint64_t> parse_hex(std::string_view text) {
     std::uint64_t value = 0;
     const char* end = text.data() + text.size();
@@ -45,20 +45,22 @@
     return value;
 }
 
-// A whole text is written at least every so many versions, so that nodes, which keep as many texts,
-// mostly hold the base of a new delta.
+// A full text is written at least once in this many versions. Nodes keep the same number of texts,
+// so they mostly hold the base of a new delta.
 constexpr std::uint64_t full_text_interval = 8;
 
-// Versions before the latest whole text whose values are kept for readers that are late.
+// Versions before the latest full text whose values are kept for slow readers.
 constexpr std::uint64_t versions_kept_before_full = 8;
 
-// A delta of up to this many bytes, or this share of the text, is small. The differences since the
-// last whole text are contained in each following delta; beyond this size seven of them cost more
-// than a compressed whole text, which takes a twelfth of the text with names that hardly compress.
+// A delta is small up to this many bytes, or up to the text size divided by the divisor. Each delta
+// contains the changes of all earlier ones since the last full text. Beyond this size, seven deltas
+// cost more than a compressed full text, which takes a twelfth of the text's size with names that
+// hardly compress.
 constexpr std::size_t small_delta_bytes = 4'096;
 constexpr std::size_t small_delta_divisor = 64;
 
-// Names the base in the record; absent for texts stored whole.
+// Reads the id of the base from a record. Returns an id of version 0 if the text is stored in full,
+// and nothing if the base is invalid.
 std::optional<text_id> parse_base(const boost::json::object& object) {
     if (!object.contains("base_version")) {
         return text_id{};
@@ -80,7 +82,7 @@
     boost::json::object object;
     object["version"] = record.m_version;
     object["source_revision"] = record.m_source_revision;
-    // A string, since JSON readers elsewhere lose the low bits of 64-bit numbers.
+    // Written as a string because other JSON readers lose the low bits of 64-bit numbers.
     object["hash"] = fmt::format("{:016x}", record.m_hash);
     object["accepter"] = record.m_accepter;
     object["accepted_ms"] = record.m_accepted_ms;
@@ -126,7 +128,8 @@
     }
     const auto base = parse_base(object);
     if (!base || base->m_version >= *version) {
-        return fail(reason, error_kind::invalid_text, "accepted record: base wrong");
+        return fail(reason, error_kind::invalid_text,
+                    "accepted record: base_version or base_hash invalid");
     }
     accepted_record record;
     record.m_base = *base;
@@ -160,8 +163,8 @@
            !is_small_delta(delta_bytes, text_bytes);
 }
 
-// The base of the committed record never falls, so a value that is not needed now is never needed
-// again. An accepter that was paused past its lease knows an older record and removes less.
+// The base version of committed records never decreases, so a value that is not needed now is never
+// needed again. An accepter that was paused past its lease knows an older record and removes less.
 bool is_obsolete_key(std::string_view key, const accepted_record& committed) {
     const std::size_t begin = key.rfind('/') + 1;
     std::uint64_t version = 0;
@@ -185,8 +188,9 @@
     return wait_elapsed < submitted_delta_wait ? text_source::wait : text_source::whole;
 }
 
-// A revision is judged once: it is skipped when it was refused, or when it is not newer than the
-// source of the accepted version. Everything else is accepted whole or refused with every fault.
+// Each revision is evaluated once: it is skipped if it was refused, or if it is not newer than the
+// source of the accepted version. Any other text is accepted as a whole or refused with all its
+// faults.
 acceptance_decision decide_acceptance(std::string_view text, std::uint64_t text_revision,
                                       const std::optional<accepted_record>& accepted,
                                       const mesh* accepted_mesh, std::uint64_t refused_revision,
--- a/src/decide/claim.cpp
+++ b/src/decide/claim.cpp
@@ -8,15 +8,15 @@
 namespace caraway {
 namespace {
 
-// Entries looked at by one call of expire_claims; bounds the pause of the thread that calls it.
+// Hash buckets examined by one call of expire_claims. Bounds the pause of the calling thread.
 constexpr std::size_t expire_buckets_per_call = 1'024;
-// A withdrawn attempt is remembered this long, so that nodes that were sent to the claimant learn
-// that it did not run.
+// A withdrawn attempt is kept for this long, so that nodes that were referred to the claimant can
+// find out that it did not run.
 constexpr milliseconds withdrawn_retention{10'000};
 
-// True if every claim of this key that was ever made here is still in the table. A key without a
-// first-sent time is trusted only once the table is older than the retention time; one that was
-// first sent longer ago than that may have been claimed and forgotten.
+// Returns whether every claim of this key that was ever made here is still in the table. A key
+// without a first-sent time is trusted only once the table is older than the retention time. A key
+// first sent longer ago than the retention time may have been claimed and forgotten.
 bool has_complete_history(const claim_table& table, const claim_request& request, time_point now,
                           wall_time wall_now, std::optional<wall_time> promoted) {
     if (!request.m_first_sent_ms) {
@@ -34,20 +34,23 @@
     return first_sent > unix_ms(table.m_started_wall) + skew;
 }
 
-// The latest first start of a name that every ready node knew before the caller first sent the key.
+// Returns the cutoff before which an instance must have first started to be known to every ready
+// node when the caller first sent the key.
 std::int64_t settled_name_cutoff(std::int64_t first_sent_ms) {
     constexpr auto allowance =
         (clock_skew_allowance + membership_convergence_allowance + suspicion_allowance).count();
     return std::max(first_sent_ms, allowance) - allowance;
 }
 
-// A name without a known first start doesn't count.
+// Returns whether the instance first started before the cutoff. An instance without a known first
+// start doesn't count.
 bool is_started_before(const known_instance& instance, std::int64_t cutoff_ms) {
     const std::uint64_t first = instance.m_first_incarnation;
     return first != 0 && first < static_cast<std::uint64_t>(std::max<std::int64_t>(cutoff_ms, 0));
 }
 
-// The registrars among the names first started before the cutoff, or among all without one.
+// Returns the registrars among the instances first started before the cutoff, or among all
+// instances without a cutoff.
 std::vector<std::string> registrars_before(std::string_view service, std::string_view key,
                                            std::span<const known_instance> instances,
                                            std::optional<std::int64_t> cutoff_ms) {
@@ -71,6 +74,7 @@
     return registrars;
 }
 
+// As above; returns nothing without a first-sent time.
 std::optional<std::int64_t> settled_cutoff(std::optional<std::int64_t> first_sent_ms) {
     return first_sent_ms ? std::optional(settled_name_cutoff(*first_sent_ms)) : std::nullopt;
 }
@@ -79,13 +83,14 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// The registrars among the names first started before a time.
+// The registrars among the instances first started before a cutoff.
 struct registrar_snapshot {
-    std::optional<std::int64_t> m_cutoff_ms; // absent: all names
+    std::optional<std::int64_t> m_cutoff_ms; // absent if all instances count
     std::vector<std::string> m_names;
 };
 
-// The registrars as of the first time and after each name that changed them, up to the last time.
+// Returns the registrars as of from_ms and after every later instance that changes them, up to
+// until_ms.
 std::vector<registrar_snapshot> registrars_between(std::string_view service, std::string_view key,
                                                    std::span<const known_instance> instances,
                                                    std::int64_t from_ms,
@@ -112,9 +117,10 @@
     return snapshots;
 }
 
-// All sets of registrars that a claim needs. Names that joined after the key was first sent change
-// nothing, nor does a loss after which no name counts. Of the sets from before names that joined
-// lately an empty one means a new service and is left out; before a loss it means doubt and stays.
+// Returns all registrar sets that a claim needs. Instances that joined after the key was first sent
+// don't change the result, nor does a loss after which no instance counts. An empty set from before
+// recent joins means that the service is new, and is left out. An empty set from before a loss
+// means that the registrars are uncertain, and is kept.
 std::vector<registrar_snapshot> registrars_since(std::string_view service, std::string_view key,
                                                  std::span<const known_instance> instances,
                                                  std::optional<std::int64_t> first_sent_ms,
@@ -138,8 +144,8 @@
     return snapshots;
 }
 
-// Takes the departed members back in, the latest first, until this instance is no longer among the
-// registrars: that departure made it one.
+// Adds the departed members back, the latest first, until this instance is no longer among the
+// registrars. That departure promoted it.
 std::optional<wall_time> promotion_time_at_cutoff(std::string_view service, std::string_view key,
                                                   std::optional<std::int64_t> cutoff_ms,
                                                   std::string_view self,
@@ -171,7 +177,8 @@
     std::string combined;
     combined.reserve(service.size() + 1 + key.size());
     combined.append(service);
-    combined.push_back('\0'); // in neither part, so that two pairs never give the same string
+    // Occurs in neither part, so that two different pairs never give the same string.
+    combined.push_back('\0');
     combined.append(key);
     return combined;
 }
@@ -244,10 +251,10 @@
                                          self, instances, departures);
 }
 
-// A registrar that would not choose itself is not asked by the nodes that share its view: on a side
-// that lost no member, claims pass by the registrars from before the other side's loss. A name from
-// before the loss is known on both sides. A newer one may count only if the claimant
-// asks the registrars from before the loss, too.
+// A registrar that would not select itself isn't asked by the nodes that share its view: on a side
+// that lost no member, claims bypass the registrars from before the other side's loss. An instance
+// first started before the loss is known on both sides. A newer one may count only if the claimant
+// also asks the registrars from before the loss.
 bool is_partition_safe(const claim_request& request, std::string_view self,
                        std::span<const known_instance> instances,
                        std::span<const member_loss> losses) {
@@ -305,8 +312,8 @@
     }
 }
 
-// Walks a bounded number of hash buckets and continues there next time. A rehash in between only
-// makes the walk meet some buckets earlier or later.
+// Examines a bounded number of hash buckets and continues there in the next call. A rehash in
+// between only changes the order in which buckets are examined.
 void expire_claims(claim_table& table, time_point now) {
     auto& entries = table.m_entries;
     std::vector<std::string> expired;
@@ -325,9 +332,10 @@
 }
 
 // Any earlier attempt that ran had grants from a majority of the registrars. If a majority now
-// says, with a complete history, that it knows no claim, one registrar would be in both majorities;
+// replies, with a complete history, that it knows no claim, the two majorities share a registrar,
 // so the key did not run. One registrar with a complete history is not enough: it may have been
-// cut off, and counted as dead, while the other two granted, and these two may have restarted.
+// partitioned away and considered dead while the other two granted the claim, and these two may
+// have restarted since.
 claim_decision decide_claim(std::span<const claim_reply> replies) {
     claim_decision decision;
     std::size_t granted = 0;
@@ -432,8 +440,7 @@
     table.m_total_bytes += body.size();
 }
 
-// Keeps the entry for a short while, see withdrawn_retention; reserve_result may replace it at
-// once.
+// Keeps the entry for withdrawn_retention. reserve_result may replace it at once.
 void withdraw_result(result_table& table, std::string_view combined_key) {
     const auto found = table.m_results.find(std::string(combined_key));
     if (found == table.m_results.end() || found->second.m_state != result_state::running) {
@@ -448,7 +455,7 @@
     return found == table.m_results.end() ? nullptr : &found->second;
 }
 
-// Entries of running requests stay: their outcome is still to come.
+// Entries of running requests are kept because their outcome isn't known yet.
 void expire_results(result_table& table, time_point now) {
     std::erase_if(table.m_results, [&](const auto& item) {
         const stored_result& result = item.second;
--- a/src/decide/claim.hpp
+++ b/src/decide/claim.hpp
@@ -1,5 +1,5 @@
-// Idempotency keys: a non-idempotent request runs at most once although it is sent again. The
-// executing node claims the key at its registrars before the request runs.
+// Idempotency keys make a non-idempotent request run at most once although the caller may retry it.
+// Before the request runs, the executing node claims the key at the key's registrars.
 #pragma once
 
 #include <cstdint>
@@ -15,155 +15,174 @@
 
 namespace caraway {
 
+// Number of registrars of a key.
 constexpr std::size_t registrar_count = 3;
-// Difference allowed between the clocks of a caller and a node.
+// Largest tolerated difference between the clocks of a caller and a node.
 constexpr milliseconds clock_skew_allowance{2'000};
-// A new name is a registrar only for keys first sent at least this much later than its start, so
-// that every ready node knows the name by then. Executing nodes that differ in the names they know
-// could take different registrars for the same key, and both get a majority. In schedules of up to
-// 1,000 nodes, 4.5 s passed until all knew 20 instances that started at once.
+// A new instance becomes a registrar only for keys first sent at least this long after its start,
+// so that every ready node knows it by then. Executing nodes with different views of the membership
+// could otherwise select different registrars for the same key, and both obtain a majority. In
+// schedules of up to 1,000 nodes, all nodes knew 20 simultaneously started instances after 4.5 s.
 constexpr milliseconds membership_convergence_allowance{5'000};
-// A name counts this much later still, so that a partition that hid it from others has shown itself
-// as the suspicion of a member by the time the name counts.
+// Added to the allowance above. A partition that hides a new instance from other nodes has caused a
+// member to be suspected by the time the instance counts as a registrar.
 constexpr milliseconds suspicion_allowance{5'000};
-// The member table before a loss is taken this much earlier than the first suspicion: by then every
-// node on either side of a partition knew the same names, although each noticed it at another time.
-// In a schedule of 400 nodes cut in halves, 54 s passed until each suspected all of the other half.
+// The member table before a loss is taken as of this long before the first suspicion. Nodes on both
+// sides of a partition knew the same instances at that time, although they detect the partition at
+// different times. In a schedule of 400 nodes split into halves, it took 54 s until each node
+// suspected all members of the other half.
 constexpr milliseconds loss_detection_allowance{75'000};
-// Names first started within this time before the key was sent need the majority of the earlier
-// ones besides, since a partition may not have been noticed yet.
+// If instances started within this time before the key was first sent, a majority of the registrars
+// without them is required as well, since a partition may not have been detected yet.
 constexpr milliseconds recent_join_window{60'000};
-// Views of the start of one loss differ by less than this; it is a part of the allowance above.
+// Upper bound of the difference between two nodes' estimates of the start of the same loss. It is
+// part of loss_detection_allowance.
 constexpr milliseconds max_loss_start_difference{10'000};
-// After a lost member is back, names of the other side are known everywhere within this time: two
-// rounds of the comparison of member tables.
+// After a lost member returns, instances of the other side are known everywhere within this time,
+// which covers two rounds of member table comparison.
 constexpr milliseconds heal_convergence_allowance{60'000};
+// Maximum length of an idempotency key.
 constexpr std::size_t max_key_bytes = 256;
 
-// An instance of a service as a possible registrar.
+// An instance of a service that can be a registrar.
 struct known_instance {
     std::string m_instance;
-    // Unix milliseconds of the start of the first process seen under this name.
+    // Start time of the first process known under this name, in Unix milliseconds; 0 if unknown.
     std::uint64_t m_first_incarnation = 0;
     friend bool operator==(const known_instance&, const known_instance&) = default;
 };
 
-// A time in which a member of the service was suspected or dead, in Unix milliseconds. It may have
-// been cut off with others, and names first started meanwhile may be known on one side only.
+// A period during which a member of the service was suspected or dead, in Unix milliseconds. The
+// member may have been partitioned together with others, and instances first started during the
+// period may be known on one side only.
 struct member_loss {
     std::int64_t m_from_ms = 0;
-    std::optional<std::int64_t> m_until_ms; // absent: still lost
+    std::optional<std::int64_t> m_until_ms; // absent while the member is still lost
     friend bool operator==(const member_loss&, const member_loss&) = default;
 };
 
-// Names first started before the returned time (Unix milliseconds) are known on both sides of every
-// partition that a caller's key may have met: before the earliest loss that was in effect when the
-// key was first sent or later. Nothing without such a loss. Without a first-sent time all losses
-// count.
+// Returns the cutoff, in Unix milliseconds, before which an instance must have first started to be
+// known on both sides of every partition that can affect the key. The cutoff lies before the
+// earliest loss that was in effect when the key was first sent or later. Returns nothing if there
+// is no such loss. Without a first-sent time, all losses count.
 std::optional<std::int64_t> loss_cutoff_ms(std::optional<std::int64_t> first_sent_ms,
                                            std::span<const member_loss> losses);
 
-// The first registrars of a key: of the known instances of the service (dead ones included until
-// they are forgotten) those with the highest rendezvous weights. With a first-sent time, only names
-// first started before it minus both allowances count, so that instances that join under new names
-// leave the registrars of earlier keys as they are; the result may be empty.
+// Selects the registrars of a key: the known instances of the service with the highest rendezvous
+// weights. Dead instances are included until they are forgotten. With a first-sent time, only
+// instances first started before that time minus clock_skew_allowance,
+// membership_convergence_allowance and suspicion_allowance count, so that instances joining under
+// new names don't change the registrars of earlier keys. The result may be empty.
 std::vector<std::string> select_registrars(std::string_view service, std::string_view key,
                                            std::span<const known_instance> instances,
                                            std::optional<std::int64_t> first_sent_ms);
 
-// The nodes to ask for a key. Without a loss there is one set, the present registrars. After a loss
-// the sets are those as of every time from before the loss up to now, and a majority of each must
-// grant: the two sides of a partition share the set as of its start, whenever each noticed it, and
-// attempts before and after a loss share the present one.
+// The nodes to ask for a key. Without a loss there is usually one set, the current registrars;
+// instances that started within recent_join_window add the earlier sets. After a loss the sets
+// cover every time from before the loss up to now, and a majority of each set must grant the claim.
+// The two sides of a partition share the set as of its start, whenever each of them detected it,
+// and attempts before and after a loss share the current set.
 struct registrar_sets {
     std::vector<std::string> m_names;
-    std::vector<std::vector<std::size_t>> m_sets; // places in m_names; the last one is the present
-    std::optional<std::int64_t> m_cutoff_ms;      // of the loss
+    // Indices into m_names; the last set is the current one.
+    std::vector<std::vector<std::size_t>> m_sets;
+    std::optional<std::int64_t> m_cutoff_ms; // see loss_cutoff_ms
 };
+
+// Selects the registrar sets of a key, given the losses that this node knows.
 registrar_sets select_registrar_sets(std::string_view service, std::string_view key,
                                      std::span<const known_instance> instances,
                                      std::optional<std::int64_t> first_sent_ms,
                                      std::span<const member_loss> losses);
 
-// One key as its registrar knows it.
+// A claim stored by a registrar.
 struct claim_entry {
     std::string m_claimant;       // instance that may run the request
-    std::uint64_t m_claim_id = 0; // the claimant's number for this attempt
+    std::uint64_t m_claim_id = 0; // the claimant's id of this attempt
     time_point m_expires;
 };
 
-// The registrar's table.
+// The claims stored by one registrar.
 struct claim_table {
-    std::unordered_map<std::string, claim_entry> m_entries; // by service and key
-    time_point m_started;                                   // table complete from here on
+    std::unordered_map<std::string, claim_entry> m_entries; // by claim_key
+    time_point m_started; // no claim made since this time is missing
     wall_time m_started_wall;
     milliseconds m_retention{600'000};
     std::size_t m_max_entries = 100'000;
-    std::size_t m_next_bucket = 0; // where expire_claims goes on
+    std::size_t m_next_bucket = 0; // bucket at which expire_claims continues
 };
 
+// A claim as the executing node sends it to a registrar.
 struct claim_request {
     std::string m_service;
     std::string m_key;
     std::string m_claimant;
     std::uint64_t m_claim_id = 0;
-    std::optional<std::int64_t> m_first_sent_ms; // Unix milliseconds of the caller's first try
-    std::optional<std::int64_t> m_cutoff_ms = std::nullopt; // of the loss allowed for
+    // First attempt of the caller, in Unix milliseconds.
+    std::optional<std::int64_t> m_first_sent_ms;
+    // Cutoff of the losses that the claimant took into account, see loss_cutoff_ms.
+    std::optional<std::int64_t> m_cutoff_ms = std::nullopt;
 };
 
-// dead: known dead by the member table, not asked. unreachable: believed alive, no reply.
+// dead: the member table says that the registrar is dead, so it isn't asked. unreachable: the
+// registrar is believed alive but didn't reply.
 enum class claim_status : std::uint8_t { granted, held, full, unreachable, dead };
 
+// A registrar's reply to a claim.
 struct claim_reply {
     claim_status m_status = claim_status::unreachable;
-    std::string m_claimant; // held: who has it
+    std::string m_claimant; // held: the instance that holds the claim
     std::uint64_t m_claim_id = 0;
     bool m_history_complete = false; // no claim of this key can have been forgotten here
 };
 
-// A member that left by itself and when this node learned of it; kept for the retention time.
+// A member that left voluntarily, with the time at which this node was informed of it. Departures
+// are kept for the retention time.
 struct departure {
     known_instance m_instance;
     wall_time m_left;
 };
 
-// When this instance became a registrar of the key because registrars before it left: its table
-// can't know claims made earlier. Nothing if it was one all along.
+// Returns the time at which this instance became a registrar of the key because an earlier
+// registrar left. Its table can't contain claims made before that time. Returns nothing if it has
+// been a registrar all along.
 std::optional<wall_time> promotion_time(std::string_view service, std::string_view key,
                                         std::optional<std::int64_t> first_sent_ms,
                                         std::string_view self,
                                         std::span<const known_instance> instances,
                                         std::span<const departure> departures);
-// The same for all sets of registrars since the loss that the claimant allowed for; the latest
-// time.
+// As above, for all registrar sets since the loss that the claimant took into account. Returns the
+// latest time.
 std::optional<wall_time> promotion_time(const claim_request& request, std::string_view self,
                                         std::span<const known_instance> instances,
                                         std::span<const departure> departures);
 
-// False if nodes with this registrar's view would not ask it, or if its own name may be unknown on
-// the other side of a partition that the claimant has not allowed for: the claim could then be
-// granted on both sides.
+// Returns whether a grant by this registrar is safe under partitions. Returns false if nodes with
+// this registrar's view would not ask it, or if its own name may be unknown on the other side of a
+// partition that the claimant did not take into account: the claim could then be granted on both
+// sides.
 bool is_partition_safe(const claim_request& request, std::string_view self,
                        std::span<const known_instance> instances,
                        std::span<const member_loss> losses);
 
-// The registrar's answer. The same claimant and claim id is granted again (a lost reply). promoted
-// is the result of promotion_time.
+// Handles a claim at the registrar. A repeated request with the same claimant and claim id is
+// granted again, since the reply may have been lost. promoted is the result of promotion_time.
 claim_reply grant_claim(claim_table& table, const claim_request& request, time_point now,
                         wall_time wall_now, std::optional<wall_time> promoted = std::nullopt);
 
-// Withdraws a claim that did not run; only the claim with the same claimant and id is removed.
+// Withdraws the claim of a request that did not run. Only a claim with the same claimant and id is
+// removed.
 void withdraw_claim(claim_table& table, const claim_request& request);
 
-// Drops expired entries; bounded work per call.
+// Drops expired entries. Each call does a bounded amount of work.
 void expire_claims(claim_table& table, time_point now);
 
-// What the executing node does with the replies of all registrars.
+// What the executing node does after it has the replies of all registrars.
 struct claim_decision {
     enum class kind : std::uint8_t {
-        run,          // all live ones granted, a majority did, a majority's history is complete
-        ask_claimant, // another node has the key: ask it for the result
-        refuse,       // not claimed anywhere for sure: withdraw and answer not run (m_reason)
+        run, // all live registrars granted, and a majority of all; a majority's history is complete
+        ask_claimant, // another node holds the key: ask it for the result
+        refuse,       // certainly not run before: withdraw and answer not run (m_reason)
         unknown,      // may have run before: withdraw own grants and answer unknown (m_reason)
     };
     kind m_kind = kind::unknown;
@@ -171,12 +190,14 @@
     std::uint64_t m_claim_id = 0;
     error_kind m_reason = error_kind::none;
 };
+// Decides on a claim from one reply for each registrar of a set.
 claim_decision decide_claim(std::span<const claim_reply> replies);
-// The same for several sets of registrars: all must allow the run.
+// As above, for several registrar sets. All of them must allow the run.
 claim_decision decide_claim(const registrar_sets& registrars, std::span<const claim_reply> replies);
 
-// Results kept by the claimant for requests sent again.
+// State of a request's result, which the claimant keeps to answer retries.
 enum class result_state : std::uint8_t { running, stored, too_large, withdrawn };
+// The result of one request.
 struct stored_result {
     result_state m_state = result_state::running;
     std::uint64_t m_claim_id = 0;
@@ -185,28 +206,33 @@
     std::string m_body;
     time_point m_expires;
 };
+// The results kept by one claimant.
 struct result_table {
-    std::unordered_map<std::string, stored_result> m_results; // by service and key
+    std::unordered_map<std::string, stored_result> m_results; // by claim_key
     milliseconds m_retention{600'000};
     std::size_t m_max_entries = 10'000;
-    std::size_t m_max_bytes = 64U << 10U;       // of one stored body
-    std::size_t m_max_total_bytes = 64U << 20U; // of all; above it, answers are not kept
+    std::size_t m_max_bytes = 64U << 10U;       // limit of one stored body
+    std::size_t m_max_total_bytes = 64U << 20U; // limit of all bodies; further ones are not kept
     std::size_t m_total_bytes = 0;
 };
 
-// The combined key of both tables.
+// Returns the key under which both tables store a service's idempotency key.
 std::string claim_key(std::string_view service, std::string_view key);
 
-// Reserves a place before the claim; false when the table is full (answer: queue_full, not run) or
-// when this node already has the key (look it up with find_result).
+// Reserves an entry before the key is claimed. Returns false if the table is full, in which case
+// the request is answered with queue_full and was not run, or if this node already has the key, in
+// which case find_result returns its entry.
 bool reserve_result(result_table& table, std::string_view combined_key, std::uint64_t claim_id,
                     time_point now);
-// Stores the whole answer, or that it was too large to keep.
+// Stores the complete response, or records that it was too large to keep. Does nothing unless the
+// request is running.
 void store_result(result_table& table, std::string_view combined_key, std::uint16_t status,
                   std::string_view content_type, std::string_view body, time_point now);
-// The request did not run; the key is free again.
+// Marks a running request as not run. The key can be reserved again at once.
 void withdraw_result(result_table& table, std::string_view combined_key);
+// Returns the entry of a key, or null. The pointer is valid until the entry is removed.
 const stored_result* find_result(const result_table& table, std::string_view combined_key);
+// Drops expired results. Entries of running requests are kept.
 void expire_results(result_table& table, time_point now);
 
 } // namespace caraway
--- a/src/decide/distribution.cpp
+++ b/src/decide/distribution.cpp
@@ -11,19 +11,21 @@
 using actions = std::vector<distribution_action>;
 using kind = distribution_action::kind;
 
-// A failed fetch is tried again with another holder after 50 ms, doubling up to 2 s, so that one
-// dead holder costs little of the 18 s and an overloaded one is not pressed.
+// A failed fetch is retried with another holder after 50 ms, doubling up to 2 s. One dead holder
+// then costs little of the 18 s within which a version must be in force, and an overloaded holder
+// gets fewer requests.
 constexpr milliseconds first_fetch_backoff{50};
 constexpr milliseconds max_fetch_backoff{2'000};
-// Peers looked at per search for a holder; bounds the work of one event in a large mesh.
+// Peers examined per search for a holder. Bounds the work of one event in a large mesh.
 constexpr std::size_t max_holders_scanned = 256;
 // Before it is ready, a node skips a version while it knows of a higher one, unless this many
-// fetches have failed. A restarted node then doesn't apply a version below its predecessor's just
-// because a peer that lags was the first to reply.
+// fetches have failed. A restarted node therefore doesn't apply a version below its predecessor's
+// only because a lagging peer replied first.
 constexpr std::uint32_t failures_before_older = 6;
-// Failed holders remembered; in a mesh with more holders a repeated choice is unlikely.
+// Number of failed holders remembered. In a mesh with more holders a repeated choice is unlikely.
 constexpr std::size_t max_failed_holders = 16;
 
+// Sets the version that a peer holds and updates the holder counts; 0 removes the peer.
 void set_peer_version(distribution_state& state, std::string_view instance, std::uint64_t version) {
     auto found = state.m_peer_versions.find(instance);
     if (found == state.m_peer_versions.end()) {
@@ -49,8 +51,8 @@
     ++state.m_holder_counts[version];
 }
 
-// Whether enough peers hold the version or a later one: a node that restarts while the store is
-// down then learns at least this version from one of them.
+// Returns whether enough peers hold the version or a later one, so that a node that restarts while
+// the store is down gets at least this version from one of them.
 bool has_replicas(const distribution_state& state, std::uint64_t version,
                   std::size_t live_members) {
     const std::size_t needed = std::min(state.m_required_replicas, live_members);
@@ -62,8 +64,9 @@
     return holders >= needed;
 }
 
-// Whether the node knows a version below which it must not go. Without the store it has asked at
-// least join_replies_before_apply members, or all it knows if these are fewer.
+// Returns whether the node knows the version below which it must not go. Without the store, it must
+// have replies from at least join_replies_before_apply members, or from all it knows if these are
+// fewer.
 bool is_min_version_known(const distribution_state& state, std::size_t live_members) {
     if (state.m_store_read) {
         return true;
@@ -72,7 +75,8 @@
            state.m_join_replies.size() >= std::min(join_replies_before_apply, live_members);
 }
 
-// Applies the highest candidate that may be applied, and becomes ready with it.
+// Applies the highest candidate that may be applied, and marks the node ready once a version at or
+// above the minimum is applied.
 void try_apply(distribution_state& state, std::size_t live_members, actions& out) {
     if (!is_min_version_known(state, live_members)) {
         return;
@@ -104,8 +108,9 @@
     }
 }
 
-// Finds a peer that holds a version above the one held here: the peer that announced it if it is
-// still known, else one found by a bounded search that continues where the last one ended.
+// Finds a peer that holds a version above the one held here. Prefers the peer that announced it if
+// that peer is still known; otherwise runs a bounded search that continues where the last one
+// ended, with failed holders last.
 std::optional<std::string> choose_holder(distribution_state& state, std::uint64_t held) {
     const auto& peers = state.m_peer_versions;
     if (!state.m_preferred_holder.empty()) {
@@ -148,6 +153,7 @@
     return best == nullptr ? std::nullopt : std::optional(*best);
 }
 
+// Starts a fetch if a higher version is known, a holder is found and no fetch is pending.
 void try_fetch(distribution_state& state, time_point now, actions& out) {
     const std::uint64_t held = held_version(state);
     if (state.m_fetch_from || now < state.m_next_fetch || state.m_highest_known <= held) {
@@ -162,7 +168,7 @@
     out.push_back({kind::fetch, std::move(*from), held});
 }
 
-// Notes a failed fetch and waits before the next one.
+// Records a failed fetch and delays the next one.
 void back_off(distribution_state& state, time_point now) {
     if (!state.m_fetch_from) {
         return;
@@ -179,8 +185,8 @@
     state.m_next_fetch = now + duration(wait) / 2 + jitter;
 }
 
-// Keeps a verified text and drops the oldest ones. The text in force is kept whatever its age,
-// since peers ask for deltas against it.
+// Stores a verified text and drops the oldest ones. The text in force is kept whatever its age,
+// since peers request deltas against it.
 void keep_text(distribution_state& state, const config_text& text) {
     state.m_texts.insert_or_assign(text.m_version, text);
     state.m_highest_known = std::max(state.m_highest_known, text.m_version);
@@ -195,12 +201,14 @@
     }
 }
 
-// Has a kept text announced and parsed; the last actions of an event.
+// Adds the actions that announce and parse a stored text. They must be the last actions of an
+// event.
 void announce_and_parse(std::uint64_t version, actions& out) {
     out.push_back({kind::announce, {}, version});
     out.push_back({kind::parse, {}, version});
 }
 
+// Returns whether the text is present and its hash is correct.
 bool is_verified(const config_text& text) {
     return text.m_version > 0 && text.m_text != nullptr && hash_bytes(*text.m_text) == text.m_hash;
 }
@@ -210,7 +218,7 @@
 distribution_state make_distribution(std::string instance, milliseconds fetch_timeout,
                                      std::uint64_t seed) {
     distribution_state state;
-    // Each node starts its search elsewhere, which spreads the load over the holders.
+    // Each node starts its search at another peer, which spreads the load over the holders.
     state.m_scan_start = instance;
     state.m_instance = std::move(instance);
     state.m_fetch_timeout = fetch_timeout;
@@ -249,7 +257,7 @@
     const bool answers_fetch = state.m_fetch_from && *state.m_fetch_from == instance;
     if (!is_verified(text) || text.m_version <= held_version(state)) {
         if (answers_fetch) {
-            // A peer that holds nothing newer than announced has restarted.
+            // A peer that holds nothing newer although it announced a higher version has restarted.
             if (is_verified(text)) {
                 set_peer_version(state, instance, text.m_version);
             }
@@ -300,7 +308,7 @@
     const bool replaces = kept == state.m_texts.end() || kept->second.m_hash != text->m_hash;
     const bool wanted = text->m_version > state.m_applied && replaces;
     if (wanted) {
-        // What was parsed of another text of this version doesn't count.
+        // The parse result of another text of this version doesn't count.
         state.m_candidates.erase(text->m_version);
         keep_text(state, *text);
     }
@@ -347,7 +355,7 @@
     }
     try_fetch(state, now, out);
     state.m_store_wait_over = now - state.m_store_version_read_at >= store_replica_wait;
-    // The number of live members may have fallen, or the last fetch failed.
+    // The number of live members may have decreased, or the last fetch may have failed.
     if (!state.m_candidates.empty()) {
         try_apply(state, live_members, out);
     }
--- a/src/decide/facts.cpp
+++ b/src/decide/facts.cpp
@@ -9,22 +9,22 @@
 namespace caraway {
 namespace {
 
-// Order of suspensions of the same move. Every field takes part, so that two different reports
-// never compare equal and the smaller one wins in every order of arrival.
+// Order of suspensions of the same move. All fields are compared, so that two different reports
+// never compare equal and the smaller one is kept in every order of arrival.
 auto suspension_order(const suspension& value) {
     return std::tie(value.m_at_ms, value.m_instance, value.m_service, value.m_version,
                     value.m_reason);
 }
 
-// Order of records of the same service: the revision decides. The other fields only break ties
-// between records that claim the same revision, which a correct store never produces.
+// Order of records of the same service, by revision. The other fields only break ties between
+// records with the same revision, which a correct store never produces.
 auto record_order(const move_record& value) {
     return std::tie(value.m_revision, value.m_state, value.m_move_id, value.m_stage,
                     value.m_weight_permille, value.m_from, value.m_to, value.m_started_ms,
                     value.m_raised_ms, value.m_deadline_ms, value.m_holder, value.m_reason);
 }
 
-// Appends a field to the bytes of a digest; the separator keeps adjacent fields apart.
+// Appends a field to the input of a digest. The separator keeps adjacent fields apart.
 void append_field(std::string& bytes, std::string_view text) {
     bytes += text;
     bytes += '\0';
@@ -34,13 +34,14 @@
     append_field(bytes, std::to_string(number));
 }
 
-// Only the move counts: which of several reports of the same move a node keeps makes no difference
-// to calls, and must not make all nodes fetch facts from each other.
+// Hashes only the move id. Which of several reports of the same move a node keeps has no effect on
+// calls, and must not make all nodes fetch facts from each other.
 std::uint64_t suspension_hash(const suspension& value) {
     return hash_bytes(value.m_move_id, 1);
 }
 
-// The service, move and revision identify a record; the store fixes the rest.
+// Hashes the service, move and revision, which identify a record, and its state and weight. The
+// store determines the other fields.
 std::uint64_t record_hash(const move_record& value) {
     std::string bytes;
     append_field(bytes, value.m_service);
@@ -93,7 +94,7 @@
     return false;
 }
 
-// A sum of hashes, so that the digest doesn't depend on order and an empty table gives zero.
+// The digest is a sum of hashes, so that it doesn't depend on order and is zero for an empty table.
 std::uint64_t facts_digest(const fact_table& facts) {
     std::uint64_t digest = 0;
     for (const auto& [move_id, value] : facts.m_suspensions) {
--- a/src/decide/facts.hpp
+++ b/src/decide/facts.hpp
@@ -1,5 +1,6 @@
-// Facts that spread between nodes while the store is unreachable. Each kind merges in any order:
-// suspensions by union, move records by the higher store revision.
+// Facts about version moves, which nodes exchange directly so that they spread while the store is
+// unreachable. Facts merge in any order: suspensions by union, move records by the higher store
+// revision.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +13,14 @@
 
 namespace caraway {
 
+// State of a version move. taken_back means that the old version receives all calls again.
 enum class move_state : std::uint8_t { running, done, taken_back };
 
-// Returns the word for a state in the store, logs and reports.
+// Returns the name of a state in the store, in logs and in reports.
 std::string_view move_state_name(move_state value);
 
-// The store's record of one move. Only the holder writes it, by compare-and-swap.
+// The store's record of one version move. Only the holder of the move's lease writes it, by
+// compare-and-swap.
 struct move_record {
     std::string m_move_id;
     std::string m_service;
@@ -25,56 +28,63 @@
     std::string m_to;
     move_state m_state = move_state::running;
     std::uint32_t m_stage = 0;
-    std::uint32_t m_weight_permille = 0; // share of the service's calls that the new version gets
-    std::int64_t m_started_ms = 0;       // Unix milliseconds
-    std::int64_t m_raised_ms = 0;        // when the weight was last raised
-    std::int64_t m_deadline_ms = 0;
-    std::string m_holder;         // instance that wrote it last
-    std::string m_reason;         // why the state or weight is what it is
-    std::uint64_t m_revision = 0; // store revision of this record; not part of the stored value
+    // Share of the service's calls that the new version receives.
+    std::uint32_t m_weight_permille = 0;
+    std::int64_t m_started_ms = 0;  // Unix milliseconds
+    std::int64_t m_raised_ms = 0;   // when the weight was last raised, Unix milliseconds
+    std::int64_t m_deadline_ms = 0; // Unix milliseconds
+    std::string m_holder;           // instance that wrote the record last
+    std::string m_reason;           // reason for the state and weight
+    std::uint64_t m_revision = 0;   // store revision of this record; not part of the stored value
     friend bool operator==(const move_record&, const move_record&) = default;
 };
 
-// A version that must receive nothing for now. Set by any node that sees badness; never unset.
+// A version that must receive no calls. Any node that detects failures or high latency of the
+// version sets it; it is never unset.
 struct suspension {
     std::string m_move_id;
     std::string m_service;
     std::string m_version;
-    std::string m_instance; // the node that saw it first
+    std::string m_instance; // the node that detected the fault first
     std::string m_reason;
     std::int64_t m_at_ms = 0; // Unix milliseconds
     friend bool operator==(const suspension&, const suspension&) = default;
 };
 
+// The facts that a node knows.
 struct fact_table {
     std::map<std::string, suspension, std::less<>> m_suspensions; // by move id
     std::map<std::string, move_record, std::less<>> m_records;    // by service
-    // Service of each record by move id, so that is_suspended needs no scan.
+    // Service of each record by move id, so that is_suspended doesn't scan m_records.
     std::map<std::string, std::string, std::less<>> m_service_by_move;
 };
 
-// Upper bound of either map; the entries of moves that left the text are dropped by prune_facts.
+// Upper bound of the number of suspensions and of records. prune_facts drops the facts of moves
+// that are no longer in the configuration.
 constexpr std::size_t max_facts = 10'000;
 
-// Adds a suspension. Of two for the same move the one with the smaller (time, instance) is kept, so
-// that every order of arrival gives the same table. Returns whether the table changed.
+// Merges a suspension into the table and returns whether the table changed. Of two for the same
+// move the one with the smaller (time, instance) is kept, so that every order of arrival gives the
+// same table. A new move is dropped if the table holds max_facts suspensions.
 bool merge_suspension(fact_table& facts, const suspension& value);
 
-// Adds a move record; the higher revision wins. Returns whether the table changed.
+// Merges a move record into the table and returns whether the table changed. The record with the
+// higher revision is kept. A new service is dropped if the table holds max_facts records.
 bool merge_record(fact_table& facts, const move_record& value);
 
-// Digest of the suspended moves and of the records' revisions; equal tables have equal digests.
+// Returns a digest of the suspended moves and of the records' revisions. Equal tables have equal
+// digests.
 std::uint64_t facts_digest(const fact_table& facts);
 
-// The version's share of a service's calls in permille, as far as this node knows: 0 for a version
-// under suspension or taken back, 1000 for one that is done.
+// Returns the version's share of a service's calls in permille, as far as this node knows: 0 for a
+// version that is suspended, taken back or unknown, 1000 for a finished move.
 std::uint32_t move_weight(const fact_table& facts, std::string_view service,
                           std::string_view move_id);
 
-// True when the version of this move is suspended or taken back.
+// Returns whether the version of this move is suspended or taken back.
 bool is_suspended(const fact_table& facts, std::string_view move_id);
 
-// Drops facts of moves that are not in keep_move_ids (those of the mesh in force).
+// Drops the facts of all moves except keep_move_ids, the moves of the mesh in force.
 void prune_facts(fact_table& facts, const std::vector<std::string>& keep_move_ids);
 
 } // namespace caraway
--- a/src/decide/lease.cpp
+++ b/src/decide/lease.cpp
@@ -6,29 +6,31 @@
 namespace caraway {
 namespace {
 
-// A renewal is due after a third of the period, which leaves room for one lost renewal and its
-// retry before the lease runs out.
+// A renewal is due after a third of the period, which leaves time for one lost renewal and its
+// retry before the lease expires.
 constexpr int renewal_divisor = 3;
-// A failed renewal is tried again after a tenth of the period, so that a short outage of the store
-// doesn't cost the lease.
+// A failed renewal is retried after a tenth of the period, so that a short store outage doesn't end
+// the lease.
 constexpr int retry_divisor = 10;
-// A release without an answer is repeated for two periods; the store has dropped the lease by then.
+// An unanswered release is repeated for two periods. The store has expired the lease by then.
 constexpr int release_periods = 2;
 
-// Failed attempts wait between a quarter and one whole period. The jitter keeps the candidates of a
-// lease from colliding again.
+// Delays the next attempt by between a quarter of the period and the whole period. The jitter keeps
+// the candidates for a lease from colliding again.
 void back_off(lease_keeper& keeper, time_point now) {
     const auto quarter = std::chrono::duration_cast<duration>(keeper.m_period) / 4;
     const auto jitter = std::chrono::duration_cast<duration>(quarter * 3 * keeper.m_random.unit());
     keeper.m_next_attempt = now + quarter + jitter;
 }
 
+// Delays the next attempt by between one and two tenths of the period.
 void schedule_short_retry(lease_keeper& keeper, time_point now) {
     const auto tenth = std::chrono::duration_cast<duration>(keeper.m_period) / retry_divisor;
     const auto jitter = std::chrono::duration_cast<duration>(tenth * keeper.m_random.unit());
     keeper.m_next_attempt = now + tenth + jitter;
 }
 
+// Drops the store lease and everything known about it. The key's other holder is kept.
 void reset_to_idle(lease_keeper& keeper) {
     keeper.m_phase = lease_phase::idle;
     keeper.m_held = false;
@@ -38,7 +40,7 @@
     keeper.m_read_before_retry = false;
 }
 
-// Marks the lease as given up: whatever answer arrives later, it is not held again.
+// Starts the release of the lease. No later reply can make it held again.
 void start_release(lease_keeper& keeper, time_point now) {
     keeper.m_held = false;
     keeper.m_phase = lease_phase::releasing;
@@ -46,6 +48,7 @@
     keeper.m_release_deadline = now + keeper.m_period * release_periods;
 }
 
+// Marks the lease as held and schedules its first renewal.
 void mark_held(lease_keeper& keeper, std::uint64_t revision, time_point now) {
     keeper.m_phase = lease_phase::held;
     keeper.m_held = true;
@@ -56,14 +59,15 @@
     keeper.m_next_attempt = std::max(now, granted + keeper.m_period / renewal_divisor);
 }
 
-// Another holder has the key. The own store lease has no key and is left to expire, which costs no
-// further call.
+// Handles a claim that failed because another holder has the key. The own store lease has no key
+// and is left to expire, which needs no further request.
 void handle_claim_conflict(lease_keeper& keeper, time_point now) {
     reset_to_idle(keeper);
     keeper.m_read_before_retry = true;
     back_off(keeper, now);
 }
 
+// Marks the request as pending and returns it.
 lease_request begin_request(lease_keeper& keeper, lease_request request, time_point now) {
     keeper.m_pending_request = request;
     keeper.m_request_sent = now;
@@ -72,7 +76,7 @@
 
 void handle_create_reply(lease_keeper& keeper, const lease_reply& reply, time_point now) {
     if (reply.m_kind != error_kind::none) {
-        // A lease created without our knowing carries no key and expires.
+        // A lease whose create reply was lost carries no key and expires.
         reset_to_idle(keeper);
         back_off(keeper, now);
         return;
@@ -89,7 +93,7 @@
         mark_held(keeper, reply.m_revision, now);
         return;
     case error_kind::store_conflict:
-        // After a claim without an answer the key may be the one that this lease wrote.
+        // After an unanswered claim the key may be the one that this lease wrote.
         if (keeper.m_claim_outcome_unknown) {
             keeper.m_read_before_retry = true;
             keeper.m_next_attempt = now;
@@ -109,10 +113,11 @@
     }
 }
 
-// Without a lease: the key was another holder's, and a new attempt is worth its calls only when the
-// key is gone. With a lease: compares the key with what the claim would have written. An absent key
-// means that the claim has not taken effect yet; it is sent again under the same lease, and if the
-// first one arrives late, the second one conflicts and leads here again.
+// Without a store lease, the key belonged to another holder, and a new attempt is worth its
+// requests only once the key is gone. With a store lease, the key is compared with what the claim
+// would have written. An absent key means that the claim has not taken effect yet. It is sent again
+// under the same lease; if the first claim arrives late, the second one conflicts and the key is
+// read again.
 void handle_read_reply(lease_keeper& keeper, const lease_reply& reply, time_point now) {
     const bool absent = reply.m_kind == error_kind::store_not_found;
     keeper.m_other_holder_value = reply.m_kind == error_kind::none ? reply.m_value : std::string{};
@@ -137,10 +142,10 @@
     handle_claim_conflict(keeper, now);
 }
 
-// An error of the store is not a lost lease: the lease stays as it is, and lease_held turns false
-// by the own clock when its period is over. Only the store's word that the lease is gone ends it.
-// The holder then claims the key again at once: after an outage of the store it is the only one
-// that needs no takeover, and the other candidates are still backing off.
+// A store error doesn't end the lease: it stays as it is, and lease_held turns false by the local
+// clock when the period is over. Only the store's reply that the lease is gone ends it. The holder
+// then claims the key again at once: after a store outage it is the only candidate that needs no
+// takeover, and the others are still backing off.
 void handle_renew_reply(lease_keeper& keeper, const lease_reply& reply, time_point now) {
     if (reply.m_kind == error_kind::store_lease_lost) {
         reset_to_idle(keeper);
@@ -184,7 +189,7 @@
 lease_request lease_tick(lease_keeper& keeper, bool wanted, time_point now) {
     keeper.m_wanted = wanted;
     if (!wanted && keeper.m_phase != lease_phase::releasing) {
-        // A request under way is waited for: it may still create a lease that needs releasing.
+        // Waits for a pending request, which may still create a lease that must be released.
         keeper.m_held = false;
         if (keeper.m_pending_request != lease_request::none) {
             keeper.m_release_due = true;
@@ -230,9 +235,10 @@
     return lease_request::none;
 }
 
-// Once the wish was withdrawn, the reply only settles the request and the lease is released, also
-// when it is wanted again by now: it is not known as held any more, and a new claim is clean. A
-// reply without a request under way is a duplicate and is ignored.
+// If the lease stopped being wanted while the request was pending, the reply only settles the
+// request, and the lease is released even if it is wanted again by now. It is no longer known to be
+// held, and a new claim starts from a known state. A reply without a pending request is a duplicate
+// and is ignored.
 void lease_receive(lease_keeper& keeper, const lease_reply& reply, time_point now) {
     switch (std::exchange(keeper.m_pending_request, lease_request::none)) {
     case lease_request::none:
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the accepter's decision and of the accepted record.
+// Tests the accepter's decision and the encoding of the accepted record.
 #include <string>
 
 #include "base/hash.hpp"
@@ -12,7 +12,7 @@
 
 constexpr wall_time now{std::chrono::seconds{1'800'000'000}};
 
-// Enough of a text to be valid.
+// A minimal valid text.
 const std::string valid_text = R"(format = 1
 name = "nilegrid"
 
@@ -37,7 +37,8 @@
 
 BOOST_AUTO_TEST_SUITE(acceptance)
 
-// Guards against a record that loses bits of the hash, and against a damaged one taken as valid.
+// Guards against a record that loses bits of the hash, and against a damaged record that is decoded
+// as valid.
 BOOST_AUTO_TEST_CASE(record_round_trips_and_refuses_damage) {
     const accepted_record record = sample_record();
     const std::string encoded = encode_accepted(record);
@@ -66,7 +67,7 @@
     }
 }
 
-// Guards against a text accepted in part, judged twice, or older than the one in force.
+// Guards against a text that is accepted in part, evaluated twice, or older than the one in force.
 BOOST_AUTO_TEST_CASE(text_is_accepted_whole_or_refused_once) {
     using kind = acceptance_decision::kind;
     std::vector<text_fault> faults;
@@ -93,8 +94,8 @@
     BOOST_TEST(!refused.m_faults.empty());
 }
 
-// Guards against the removal of a value that the committed text is restored from, or that a reader
-// one version behind still fetches, whichever versions were stored whole.
+// Guards against the removal of a value that is needed to restore the committed text, or that a
+// reader one version behind still fetches, whichever versions were stored in full.
 BOOST_AUTO_TEST_CASE(values_that_restore_a_late_readers_text_are_kept) {
     constexpr std::size_t text_bytes = 1'000'000;
     random_source random(7);
@@ -122,8 +123,8 @@
     BOOST_TEST(!is_obsolete_key("caraway/accepted-text/x", committed));
 }
 
-// Guards against a raw text that is never judged or judged by another text's difference, and
-// against a text that is read again.
+// Guards against a text without a delta that is never evaluated or is evaluated with another text's
+// delta, and against a text that is read twice.
 BOOST_AUTO_TEST_CASE(submitted_text_is_read_once_and_whole_only_without_its_delta) {
     using std::chrono::milliseconds;
     BOOST_TEST((choose_text_source({}, 0, 0, 0, {}) == text_source::nothing));
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -1,4 +1,4 @@
-// Tests of idempotency keys: seeded schedules of failing registrars, and the result table.
+// Tests idempotency keys under seeded schedules of failing registrars, and the result table.
 #include <algorithm>
 #include <array>
 #include <cstdlib>
@@ -14,21 +14,22 @@
 
 namespace {
 
-constexpr milliseconds detection_time{5'000}; // until a dead or cut off member is believed dead
+constexpr milliseconds detection_time{5'000}; // until a dead or partitioned member is believed dead
 constexpr milliseconds retention{600'000};
 constexpr milliseconds loss_rule_retention{7'200'000};
 constexpr milliseconds max_view_delay{4'999}; // until a ready node knows a new name
 
-// Which names count as registrars.
+// Which instances count as registrars.
 enum class registrar_selection : std::uint8_t {
-    losses,             // the rule in force: as below, and from before a loss
-    shared_first_start, // by the first start that all agree on
-    own_first_seen,     // by the time at which the executing node itself saw the name first
-    all_names,          // without regard to the first start
+    losses,             // the rule of the implementation: shared first start, and before a loss
+    shared_first_start, // by the first start that all nodes agree on
+    own_first_seen,     // by the time at which the executing node itself first saw the name
+    all_names,          // regardless of the first start
 };
-// partitions: as all, and names join during a partition or right before it. long_partitions: as
-// partitions, up to two hours long, with callers that use a first-sent time. replacements: one
-// death, restart, departure or join every 20 minutes, 120 times the 0.6 a day of a service.
+// partitions: as all, and instances join during a partition or right before it. long_partitions: as
+// partitions, but up to two hours long and with callers that use a first-sent time. replacements:
+// one death, restart, departure or join every 20 minutes, which is 120 times the 0.6 a day of a
+// service.
 enum class fault_profile : std::uint8_t {
     all,
     joins_only,
@@ -37,9 +38,9 @@
     replacements
 };
 
-// One service with its members. Members die, restart with an empty table, leave, join under new
-// names several at once, are forgotten and come back, and are cut off in two groups. Each node
-// learns and forgets a name at another moment. Callers send their keys again to any node that they
+// Simulates one service with its members. Members die, restart with an empty table, leave, join
+// under new names several at once, are forgotten and return, and are partitioned into two groups.
+// Nodes add and forget a name at different times. Callers retry their keys at any node that they
 // reach.
 class claim_simulation {
 public:
@@ -53,7 +54,7 @@
     }
 
     void run() {
-        // Older than the time before a loss from which registrars must be known.
+        // Makes the first members older than the cutoff of the first loss.
         m_now += milliseconds(m_fault_profile == fault_profile::replacements ? 120'000 : 30'000);
         for (int step = 0; step < 1'200; ++step) {
             m_now += milliseconds(
@@ -68,7 +69,7 @@
             }
             if (m_fault_profile != fault_profile::joins_only &&
                 m_fault_profile != fault_profile::replacements && m_random.below(100) == 0) {
-                m_now += milliseconds(m_random.below(700'000)); // past the retention time
+                m_now += milliseconds(m_random.below(700'000)); // may exceed the retention time
                 for (member& node : m_members) {
                     expire_claims(node.m_table, m_now);
                 }
@@ -95,14 +96,14 @@
         bool m_alive = true;
         bool m_left = false;
         int m_group = 0;
-        time_point m_changed; // last time it died, came back or changed its group
+        time_point m_changed; // last time it died, returned or changed its group
         std::uint64_t m_incarnation = 0;
         time_point m_first_start;
-        std::optional<time_point> m_died;     // the latest time
-        std::optional<time_point> m_returned; // from the latest death
+        std::optional<time_point> m_died;     // latest death
+        std::optional<time_point> m_returned; // return from the latest death
         std::vector<time_span> m_deaths;
     };
-    // One partition, with the group of every member that was there.
+    // One partition, with the group of every member that existed then.
     struct network_partition {
         time_span m_time;
         std::map<const std::string, int> m_groups;
@@ -176,7 +177,7 @@
         }
     }
 
-    // Whether the partition is between the two.
+    // Returns whether the partition separates the two members.
     static bool are_separated(const network_partition& between, const member& a, const member& b) {
         const auto first = between.m_groups.find(a.m_name);
         const auto second = between.m_groups.find(b.m_name);
@@ -184,8 +185,8 @@
                first->second != second->second;
     }
 
-    // Whether the viewer doesn't know the name now because of a partition: it came up too late to
-    // be heard of before, or was forgotten meanwhile.
+    // Returns whether a partition hides the name from the viewer now: the instance joined too late
+    // to be known before the partition, or was forgotten during it.
     bool is_name_unknown(const member& viewer, const member& node) const {
         const milliseconds delay = view_delay(viewer, node);
         const milliseconds kept =
@@ -203,7 +204,7 @@
         return false;
     }
 
-    // When the viewer held the other as lost, as far as it still knows.
+    // Adds the losses of the node that the viewer detected and still remembers.
     void add_losses(const member& viewer, const member& node,
                     std::vector<member_loss>& losses) const {
         const milliseconds delay = view_delay(viewer, node);
@@ -227,7 +228,8 @@
         }
     }
 
-    // A name that came up on the other side is not known, so not missed either.
+    // Returns whether the viewer never knew the node, which joined on the other side, and so can't
+    // detect its loss.
     static bool is_unknown_throughout(const network_partition& between, const member& viewer,
                                       const member& node) {
         return node.m_first_start + max_view_delay > between.m_time.m_from && &viewer != &node;
@@ -247,7 +249,7 @@
         return to.m_alive && from.m_group == to.m_group;
     }
 
-    // Starts the member with an empty table.
+    // Restarts the member with an empty table.
     void restart(member& node) {
         if (node.m_left) {
             return;
@@ -255,7 +257,7 @@
         if (!node.m_alive) {
             node.m_returned = m_now;
             if (m_now > *node.m_died + detection_time + retention + max_view_delay) {
-                node.m_first_start = m_now; // all have forgotten the name
+                node.m_first_start = m_now; // all nodes have forgotten the name
                 node.m_died.reset();
             }
         }
@@ -268,7 +270,7 @@
         start_table(node);
     }
 
-    // Between one and four instances start under new names at once.
+    // Starts between one and four instances under new names at once.
     void add_members() {
         for (std::size_t count = 1 + m_random.below(4); count > 0 && m_members.size() < 24;
              --count) {
@@ -291,7 +293,7 @@
         }
         member& node = m_members[m_random.below(m_members.size())];
         switch (m_random.below(m_fault_profile == fault_profile::replacements ? 9 : 60)) {
-        case 0: // dies
+        case 0: // the member dies
             if (node.m_alive && !node.m_left) {
                 node.m_alive = false;
                 node.m_changed = m_now;
@@ -305,7 +307,7 @@
             restart(node);
             break;
         case 3: // a partition; members that can't reach each other believe the other side dead. One
-                // that comes before a new name is known everywhere is like a join within it.
+                // that begins before a new name is known everywhere is like a join within it.
             if (!partitioned() && m_fault_profile != fault_profile::replacements &&
                 (has_joins_in_partitions() || m_now - m_last_join > max_view_delay)) {
                 begin_partition();
@@ -327,7 +329,7 @@
                 m_next_restart = 0;
             }
             break;
-        case 7: // leaves by itself
+        case 7: // the member leaves voluntarily
             if (node.m_alive && !node.m_left && active_count() > 4) {
                 node.m_alive = false;
                 node.m_left = true;
@@ -338,7 +340,7 @@
         default:
             break;
         }
-        // A partition longer than the retention time would make both sides forget each other.
+        // During a partition longer than the retention time both sides would forget each other.
         const milliseconds longest = m_fault_profile == fault_profile::long_partitions
                                          ? loss_rule_retention - retention
                                          : retention / 2;
@@ -357,14 +359,15 @@
         return static_cast<std::uint64_t>(unix_ms(wall(at)));
     }
 
-    // How much later than others the viewer learns or forgets the name.
+    // Returns how much later than other nodes the viewer adds or forgets the name.
     milliseconds view_delay(const member& viewer, const member& node) const {
         const auto limit = static_cast<std::uint64_t>(max_view_delay.count());
         return milliseconds(hash_bytes(node.m_name, hash_bytes(viewer.m_name, m_seed)) % limit);
     }
 
-    // The name as the viewer knows it now, or nothing. A viewer that has forgotten a name that
-    // others still know takes its return for its first start until it hears better.
+    // Returns the viewer's view of the instance, or nothing if it doesn't know the name. A viewer
+    // that has forgotten a name that others still know takes its return for its first start until
+    // it receives the earlier one.
     std::optional<known_instance> view_of(const member& viewer, const member& node) const {
         const time_point viewer_start = viewer.m_table.m_started;
         const milliseconds delay = view_delay(viewer, node);
@@ -413,7 +416,7 @@
             if (m_fault_profile == fault_profile::joins_only ||
                 m_fault_profile == fault_profile::long_partitions ||
                 m_fault_profile == fault_profile::replacements || m_random.below(5) != 0) {
-                // Callers' clocks differ from the nodes' by up to the allowance.
+                // Callers' clocks differ from the nodes' by up to clock_skew_allowance.
                 const auto skew = static_cast<std::int64_t>(m_random.below(3'999)) - 1'999;
                 key.m_first_sent = unix_ms(wall(m_now)) + skew;
             }
@@ -448,7 +451,8 @@
         m_attempts.push_back(next);
     }
 
-    // Without a first-sent time a key is safe within the retention time only.
+    // Returns whether the caller must have given up the key. Without a first-sent time, a key is
+    // safe only within the retention time.
     bool is_too_old(const key_record& key) const {
         return !key.m_first_sent && m_now - key.m_created_at > retention - detection_time;
     }
@@ -459,7 +463,7 @@
         });
     }
 
-    // Asks one more registrar, or decides once all were asked.
+    // Asks the next registrar, or decides once all were asked.
     void advance_attempt(std::size_t number) {
         attempt& current = m_attempts[number];
         const member& claimant = m_members[current.m_claimant];
@@ -540,7 +544,7 @@
     time_point m_now{};
     std::vector<network_partition> m_partitions;
     time_point m_last_join;
-    std::size_t m_next_restart = SIZE_MAX; // of all members one after another
+    std::size_t m_next_restart = SIZE_MAX; // next member of a restart of all members
     std::vector<member> m_members;
     std::vector<departure> m_departures;
     std::vector<key_record> m_keys;
@@ -560,7 +564,7 @@
 
 BOOST_AUTO_TEST_SUITE(claim)
 
-// Guards against a key that runs twice and against "not run" for a key that ran.
+// Guards against a key that runs twice, and against "not run" for a key that ran.
 BOOST_AUTO_TEST_CASE(no_key_runs_twice_and_refusals_are_true) {
     const std::uint64_t first = first_seed();
     std::uint64_t runs = 0;
@@ -581,9 +585,9 @@
     BOOST_TEST(held > 7'000U);
 }
 
-// Guards against a key that runs on both sides of a partition, or again after it, because names
-// join on one side only or because the partition outlasts the retention time. Without regard to
-// losses the same schedules must show it.
+// Guards against a key that runs on both sides of a partition, or again after it, because instances
+// join on one side only or because the partition outlasts the retention time. The same schedules
+// must show the fault if losses are ignored.
 BOOST_AUTO_TEST_CASE(no_key_runs_on_both_sides_of_a_partition) {
     for (const fault_profile profile :
          {fault_profile::partitions, fault_profile::long_partitions}) {
@@ -613,8 +617,8 @@
     }
 }
 
-// Guards against schedules that would not notice views that differ: registrars by each node's own
-// first-seen times let a key run twice.
+// Guards against schedules that don't detect differing views: if registrars depend on each node's
+// own first-seen times, some keys must run twice.
 BOOST_AUTO_TEST_CASE(own_first_seen_times_run_keys_twice) {
     std::uint64_t ran_twice = 0;
     const std::uint64_t first = first_seed();
@@ -627,7 +631,7 @@
     BOOST_TEST(ran_twice > 0U);
 }
 
-// Guards against unknown answers while instances join under new names.
+// Guards against replies of unknown outcome while instances join under new names.
 BOOST_AUTO_TEST_CASE(joining_names_leave_keys_answerable) {
     const auto unknown_permille = [](registrar_selection rule) {
         std::uint64_t unknown = 0;
@@ -650,7 +654,8 @@
     BOOST_TEST(after < before);
 }
 
-// Guards against keys that become unknown because of ordinary crashes, restarts and replacements.
+// Guards against keys whose outcome becomes unknown because of ordinary crashes, restarts and
+// replacements.
 BOOST_AUTO_TEST_CASE(replacements_leave_keys_answerable) {
     std::array<std::uint64_t, 2> unknown{};
     std::uint64_t decisions = 0;
@@ -671,8 +676,8 @@
     BOOST_TEST(unknown[1] <= unknown[0]);
 }
 
-// Guards against registrars that change when names join, and against names that count too early or
-// with an unknown or absurd time.
+// Guards against registrars that change when instances join, and against instances that count too
+// early or with an unknown or absurd start time.
 BOOST_AUTO_TEST_CASE(new_names_count_for_later_keys_only) {
     const std::vector<known_instance> old{{"a", 1}, {"b", 2}, {"c", 3}, {"d", 4}, {"x", 0}};
     std::vector<known_instance> with_new = old;
@@ -696,8 +701,8 @@
     BOOST_TEST(changed > 50U);
 }
 
-// Guards against a side of a partition that counts its own new names only, and against a new name
-// that grants a claim whose claimant doesn't know of the loss.
+// Guards against a side of a partition that counts only its own new instances, and against a new
+// instance that grants a claim whose claimant doesn't know of the loss.
 BOOST_AUTO_TEST_CASE(a_loss_adds_the_registrars_from_before_it) {
     const std::vector<known_instance> names{{"a", 1},        {"b", 2},        {"c", 3},
                                             {"n1", 190'000}, {"n2", 190'000}, {"n3", 190'000}};
@@ -736,7 +741,7 @@
         (decide_claim(two, std::vector{dead, granted, granted, granted}).m_kind == kind::unknown));
 }
 
-// Guards against a wrong row of the decision over three registrars.
+// Guards against a wrong decision for a combination of replies from three registrars.
 BOOST_AUTO_TEST_CASE(decision_follows_the_replies) {
     using kind = claim_decision::kind;
     using status = claim_status;
@@ -765,7 +770,7 @@
     BOOST_TEST((decide({}) == kind::unknown));
 }
 
-// Guards against withdrawing another attempt's claim: a late withdrawal names its own claim id.
+// Guards against withdrawing another attempt's claim. A late withdrawal carries its own claim id.
 BOOST_AUTO_TEST_CASE(withdrawal_is_by_claim_id_only) {
     claim_table table;
     const time_point now{milliseconds(1)};
@@ -783,8 +788,8 @@
     BOOST_TEST(table.m_entries.size() == 1U);
 }
 
-// Guards against a result dropped before its time, a table above its bounds, and a running request
-// forgotten.
+// Guards against a result dropped before its retention time, a table above its limits, and a
+// running request that is dropped.
 BOOST_AUTO_TEST_CASE(results_stay_within_bounds_and_for_their_time) {
     result_table table;
     table.m_max_entries = 3;
@@ -800,7 +805,7 @@
     store_result(table, "b", 200, "text/plain", "0123456789", now);
     BOOST_TEST((find_result(table, "a")->m_state == result_state::stored));
     BOOST_TEST((find_result(table, "b")->m_state == result_state::too_large));
-    withdraw_result(table, "a"); // ran already: stays
+    withdraw_result(table, "a"); // has already run, so it is kept
     BOOST_TEST((find_result(table, "a")->m_state == result_state::stored));
     now += table.m_retention - milliseconds(1);
     expire_results(table, now);
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the choice of versions: single nodes under random events, and whole meshes with loss and
-// restarts.
+// Tests the choice of versions on single nodes under random events, and in whole meshes with packet
+// loss and restarts.
 #include <algorithm>
 #include <map>
 #include <set>
@@ -14,12 +14,12 @@
 
 namespace {
 
-// One node under random events, with an account of its own of what it may do.
+// One node under random events, with an independent record of what it may do.
 struct checked_node {
     distribution_state m_state;
-    std::map<std::string, std::uint64_t> m_peers; // latest version heard of each
+    std::map<std::string, std::uint64_t> m_peers; // latest version reported by each
     std::set<std::uint64_t> m_valid;
-    std::set<std::string> m_answered; // join requests
+    std::set<std::string> m_answered; // members that answered a join request
     std::uint64_t m_min_version = 0;
     std::uint64_t m_store_version = 0;
     bool m_store_read = false;
@@ -27,8 +27,9 @@
     bool m_ready = false;
 };
 
-constexpr std::uint64_t invalid_every = 7; // texts of these versions don't parse here
+constexpr std::uint64_t invalid_every = 7; // texts of multiples of this version don't parse here
 
+// Checks every action against the independent record and carries out parsing.
 void check_actions(checked_node& node, const std::vector<distribution_action>& actions,
                    std::size_t live, time_point now) {
     using kind = distribution_action::kind;
@@ -77,6 +78,7 @@
     }
 }
 
+// Records the version that a peer reported; 0 removes the peer.
 void record_peer_version(checked_node& node, const std::string& peer, std::uint64_t version) {
     if (version == 0) {
         node.m_peers.erase(peer);
@@ -85,6 +87,7 @@
     }
 }
 
+// Delivers one random event and a tick.
 void random_event(checked_node& node, random_source& random, std::uint64_t max_version,
                   std::size_t live, time_point now) {
     const std::string peer = node_name(1 + random.below(5));
@@ -142,9 +145,9 @@
 
 BOOST_AUTO_TEST_SUITE(distribution)
 
-// Guards against a version that falls, is applied unparsed, below the floor, without replicas, or
-// before the floor is known, whatever the order, duplication and loss of events; the node restarts
-// in between.
+// Guards against a version that decreases, or that is applied unparsed, below the minimum version,
+// without replicas, or before the minimum version is known, whatever the order, duplication and
+// loss of events. The node restarts in between.
 BOOST_AUTO_TEST_CASE(versions_only_rise_under_any_order) {
     std::size_t applied = 0;
     const std::vector<std::uint64_t> seeds = schedule_seeds(3'000);
@@ -174,12 +177,12 @@
             applied += node.m_applied > 0 ? 1 : 0;
         }
     }
-    // Most schedules must get as far as applying something; a replayed one need not.
+    // Most schedules must apply a version; a replayed one need not.
     BOOST_TEST((seeds.size() == 1 || applied > seeds.size() / 2));
 }
 
-// Guards against a fetch that is never tried again: the holder that announced the version is dead,
-// or another one sends a corrupt text or none.
+// Guards against a fetch that is never retried: the holder that announced the version is dead, or
+// another holder sends a corrupt text or none.
 BOOST_AUTO_TEST_CASE(failed_fetch_is_tried_with_another_holder) {
     for (const std::uint64_t seed : schedule_seeds(200)) {
         random_source random(seed);
@@ -216,7 +219,7 @@
     }
 }
 
-// Guards against a restarted node that applies an older version than its predecessor had, while the
+// Guards against a restarted node that applies an older version than its predecessor while the
 // store is down: two replicas hold the predecessor's version, four members lag behind and can't
 // fetch it, and three random members answer the join request.
 BOOST_AUTO_TEST_CASE(joiner_without_store_stays_above_its_predecessor) {
@@ -239,7 +242,8 @@
         BOOST_REQUIRE(schedule.m_nodes[3].m_config.m_applied == 4U);
         schedule.m_nodes[0].m_up = false;
         run_for(schedule, milliseconds(schedule.m_random.below(40'000)));
-        // The joiner reaches everyone by bulk; the others still can't reach each other.
+        // The joiner reaches every member by bulk transfer; the others still can't reach each
+        // other.
         schedule.m_bulk = [usual, &split](std::size_t from, std::size_t to) {
             const bool lagging_pair = from != 0 && to != 0 && (from <= 2) != (to <= 2);
             return split && lagging_pair ? std::nullopt : usual(from, to);
@@ -262,8 +266,8 @@
     }
 }
 
-// Guards against versions that fall or stay behind in a whole mesh, with lost packets, members that
-// are killed and restarted, versions that follow each other fast, and readers that die.
+// Guards against versions that decrease or lag in a whole mesh with lost packets, members that are
+// killed and restarted, versions in quick succession, and readers that die.
 BOOST_AUTO_TEST_CASE(mesh_converges_and_never_falls) {
     for (const std::uint64_t seed : schedule_seeds(60)) {
         constexpr std::size_t count = 8;
@@ -278,8 +282,8 @@
             scheduled_node& node = schedule.m_nodes[chosen];
             if (!node.m_up) {
                 // The store is down for the joiner if two replicas hold its predecessor's version.
-                // A version that was read from the store may have fewer; only the store has it
-                // then.
+                // A version that was read from the store may have fewer, in which case only the
+                // store has it.
                 const std::uint64_t before = node.m_highest_applied;
                 const auto replicas = std::count_if(
                     schedule.m_nodes.begin(), schedule.m_nodes.end(),
--- a/tests/facts_test.cpp
+++ b/tests/facts_test.cpp
@@ -1,4 +1,4 @@
-// Tests that facts merge to the same table in every order.
+// Tests that facts merge to the same table in every order of arrival.
 #include <algorithm>
 #include <string>
 #include <vector>
@@ -22,7 +22,7 @@
     return value;
 }
 
-// Two records of one store never share a revision.
+// Two records of one store never have the same revision.
 move_record random_record(random_source& random, std::uint64_t revision) {
     move_record value;
     value.m_service = "service-" + std::to_string(random.below(3));
@@ -42,8 +42,8 @@
 
 BOOST_AUTO_TEST_SUITE(facts)
 
-// Guards against tables that stay different for ever after a partition, and against a suspension
-// that is lifted or a record that goes back.
+// Guards against tables that differ permanently after a partition, against a suspension that is
+// lifted, and against a record that falls back to an earlier revision.
 BOOST_AUTO_TEST_CASE(facts_converge_in_any_order) {
     for (const std::uint64_t seed : schedule_seeds(1'000)) {
         random_source random(seed);
@@ -87,7 +87,8 @@
     }
 }
 
-// Guards against a digest that hides a missing fact, and against facts of old moves kept for ever.
+// Guards against a digest that hides a missing fact, and against facts of old moves that are never
+// dropped.
 BOOST_AUTO_TEST_CASE(digest_shows_every_difference_and_pruning_drops_old_moves) {
     random_source random(1);
     fact_table table;
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the lease keeper against a store that loses requests and answers, delays them beyond the
-// client's timeout, and is out for a while; and with holders that are paused.
+// Tests the lease keeper with holders that are paused, and with a store that loses requests and
+// replies, delays them beyond the client's timeout, and is unavailable for a while.
 #include <map>
 #include <string>
 #include <vector>
@@ -15,15 +15,16 @@
 constexpr milliseconds period{5'000};
 constexpr milliseconds client_timeout{2'000};
 
-// One key and its leases, as the store of the design page keeps them.
+// Models one key and its leases as the store of the design page keeps them.
 struct lease_store {
-    std::map<std::string, time_point> m_leases; // id to end
+    std::map<std::string, time_point> m_leases; // expiry time by lease id
     std::string m_value;
-    std::string m_key_lease; // empty when the key is absent
+    std::string m_key_lease; // empty if the key is absent
     std::uint64_t m_revision = 0;
     std::uint64_t m_next_lease = 1;
 };
 
+// Ends expired leases and removes the key with its lease.
 void expire(lease_store& store, time_point now) {
     std::erase_if(store.m_leases, [now](const auto& lease) { return lease.second <= now; });
     if (!store.m_key_lease.empty() && !store.m_leases.contains(store.m_key_lease)) {
@@ -39,6 +40,7 @@
     std::string m_value;
 };
 
+// Executes a request at the store.
 lease_reply handle_request(lease_store& store, const sent_request& request, time_point now) {
     expire(store, now);
     lease_reply reply;
@@ -88,7 +90,7 @@
     lease_keeper m_keeper;
     bool m_wanted = true;
     time_point m_paused_until;
-    std::uint64_t m_request = 0; // number of the request under way
+    std::uint64_t m_request = 0; // number of the pending request
 };
 
 struct lease_simulation {
@@ -96,15 +98,15 @@
     std::vector<candidate> m_candidates;
     random_source m_random{1};
     time_point m_now{std::chrono::hours(1)};
-    time_point m_outage_until; // the store is out
+    time_point m_outage_until; // the store is unavailable until then
     double m_loss_probability = 0.1;
     double m_late_probability = 0.1;
     std::multimap<time_point, std::function<void(lease_simulation&)>> m_events;
     std::size_t m_max_holders = 0;
 };
 
-// Delivers a reply, later if the process is paused. Only the first one for a request counts, as the
-// client gives up after its timeout.
+// Delivers a reply, after the pause if the process is paused. Only the first reply to a request
+// counts, since the client gives up after its timeout.
 void deliver_reply(lease_simulation& simulation, std::size_t index, std::uint64_t request,
                    const lease_reply& reply) {
     candidate& target = simulation.m_candidates[index];
@@ -122,6 +124,7 @@
     lease_receive(target.m_keeper, reply, simulation.m_now);
 }
 
+// Sends a request with random delays and losses of the request and its reply.
 void send(lease_simulation& simulation, std::size_t index, lease_request kind) {
     const candidate& sender = simulation.m_candidates[index];
     const std::uint64_t request = sender.m_request;
@@ -133,7 +136,7 @@
                                 [index, request, timeout](lease_simulation& later) {
                                     deliver_reply(later, index, request, timeout);
                                 });
-    // A late request takes effect after the client has given it up.
+    // A late request takes effect after the client's timeout.
     milliseconds request_delay(random.below(20));
     if (random.unit() < simulation.m_late_probability) {
         request_delay = milliseconds(random.below(9'000));
@@ -160,8 +163,8 @@
         });
 }
 
-// Runs in steps of 10 ms and counts, at every step, how many believe that they hold the lease.
-// A paused process counts with what it would believe if it woke up now.
+// Runs in steps of 10 ms and counts at every step how many processes believe that they hold the
+// lease. A paused process counts with what it would believe if it resumed now.
 void run_simulation(lease_simulation& simulation, milliseconds time) {
     const time_point end = simulation.m_now + time;
     for (; simulation.m_now < end; simulation.m_now += milliseconds(10)) {
@@ -192,7 +195,7 @@
     simulation.m_random = random_source(seed);
     for (std::size_t index = 0; index < count; ++index) {
         candidate added;
-        // The same value for all: the store lease alone must tell the claims apart.
+        // All candidates write the same value, so only the store lease distinguishes their claims.
         added.m_keeper =
             make_lease_keeper("caraway/lease/accepter", "holder", period, simulation.m_random());
         simulation.m_candidates.push_back(std::move(added));
@@ -200,7 +203,7 @@
     return simulation;
 }
 
-// Lets a lone keeper take the lease from a store without faults.
+// Lets a single keeper acquire the lease from a store without faults.
 lease_keeper held_keeper(lease_store& store, time_point& now) {
     lease_keeper keeper = make_lease_keeper("key", "holder", period, 1);
     while (!lease_held(keeper, now)) {
@@ -218,8 +221,8 @@
 
 BOOST_AUTO_TEST_SUITE(lease)
 
-// Guards against two holders at a time after lost answers, late requests, pauses, outages of the
-// store and releases; and against a lease that nobody holds once the faults are over.
+// Guards against two simultaneous holders after lost replies, late requests, pauses, store outages
+// and releases, and against a lease that nobody holds once the faults are over.
 BOOST_AUTO_TEST_CASE(never_two_holders_under_any_schedule) {
     for (const std::uint64_t seed : schedule_seeds(3'000)) {
         lease_simulation simulation = make_simulation(3, seed);
@@ -228,7 +231,7 @@
             candidate& chosen = simulation.m_candidates[simulation.m_random.below(3)];
             switch (simulation.m_random.below(5)) {
             case 4:
-                // Withdrawn and wanted again, maybe while a request is under way.
+                // No longer wanted and wanted again, possibly while a request is pending.
                 chosen.m_wanted = false;
                 run_simulation(simulation, milliseconds(10 * simulation.m_random.below(4)));
                 chosen.m_wanted = true;
@@ -264,7 +267,7 @@
     }
 }
 
-// Guards against giving up a lease because of an error of the store.
+// Guards against giving up a lease because of a store error.
 BOOST_AUTO_TEST_CASE(store_error_is_not_a_lost_lease) {
     for (const error_kind kind : {error_kind::store_unreachable, error_kind::store_outcome_unknown,
                                   error_kind::store_throttled}) {
@@ -292,8 +295,8 @@
     }
 }
 
-// Guards against a holder that waits after an outage in which its lease ended: a move with 40 s
-// given missed its deadline.
+// Guards against a holder that waits after a store outage in which its lease ended: a move with a
+// 40 s deadline missed it.
 BOOST_AUTO_TEST_CASE(holder_claims_again_at_once_after_an_outage) {
     lease_store store;
     time_point now{std::chrono::hours(1)};
@@ -320,7 +323,7 @@
     BOOST_TEST(std::chrono::duration_cast<milliseconds>(now - outage_until).count() <= 1'100);
 }
 
-// Guards against a renewal that was on its way during the release and makes the lease held again.
+// Guards against a renewal that is pending during the release and makes the lease held again.
 BOOST_AUTO_TEST_CASE(late_renewal_does_not_revive_a_released_lease) {
     lease_store store;
     time_point now{std::chrono::hours(1)};
@@ -334,13 +337,13 @@
     const lease_reply renewed = handle_request(store, {lease_request::renew, lease, ""}, now);
     lease_receive(keeper, renewed, now);
     BOOST_TEST(!lease_held(keeper, now));
-    // Wanted again before the release was sent: the release comes first.
+    // Wanted again before the release was sent: the release still comes first.
     BOOST_TEST((lease_tick(keeper, false, now) == lease_request::release));
     BOOST_TEST((lease_tick(keeper, true, now) == lease_request::none));
     BOOST_TEST(!lease_held(keeper, now));
     lease_receive(keeper, handle_request(store, {lease_request::release, lease, ""}, now), now);
     BOOST_TEST(store.m_key_lease.empty());
-    // A duplicate of the renewal's answer arrives last.
+    // A duplicate of the renewal's reply arrives last.
     lease_receive(keeper, renewed, now);
     BOOST_TEST(!lease_held(keeper, now));
     BOOST_TEST(keeper.m_lease.empty());
