--- a/bench/replay.cpp
+++ b/bench/replay.cpp
@@ -26,14 +26,14 @@
 
 bool print_report(std::string_view name, const replay_report& report) {
     fmt::print("{}: {} inputs, {} actions differ, {} breaches, signature {:016x}\n", name,
-               report.m_inputs, report.m_different, report.m_breaches, report.m_signature);
+               report.m_inputs, report.m_differing_actions, report.m_breaches, report.m_signature);
     for (const std::string& outcome : report.m_outcomes) {
         fmt::print("  {}\n", outcome);
     }
     for (const std::string& fault : report.m_faults) {
         fmt::print("  {}\n", fault);
     }
-    return report.m_different == 0 && report.m_breaches == 0;
+    return report.m_differing_actions == 0 && report.m_breaches == 0;
 }
 
 int replay_all(const std::string& folder) {
@@ -43,8 +43,8 @@
         return report_error(reason);
     }
     bool good = true;
-    for (const named_report& each : result->m_traces) {
-        good = print_report(each.m_name, each.m_report) && good;
+    for (const trace_report& trace : result->m_traces) {
+        good = print_report(trace.m_name, trace.m_report) && good;
     }
     fmt::print("signature {:016x}\n", result->m_signature);
     return good ? 0 : 1;
@@ -64,18 +64,18 @@
 }
 
 int trim_logs(const std::string& target, const std::vector<std::string>& arguments) {
-    std::set<std::string> admission_of;
+    std::set<std::string> admission_instances;
     std::vector<std::string> logs;
     for (std::size_t i = 0; i < arguments.size(); ++i) {
         if (arguments[i] == "--admission-of" && i + 1 < arguments.size()) {
-            admission_of.insert(arguments[++i]);
+            admission_instances.insert(arguments[++i]);
         } else {
             logs.push_back(arguments[i]);
         }
     }
     error reason;
     const auto trace = read_trace(logs, reason);
-    if (!trace || !write_compressed(target, trim_trace(*trace, admission_of), reason)) {
+    if (!trace || !write_compressed(target, trim_trace(*trace, admission_instances), reason)) {
         return report_error(reason);
     }
     return 0;
--- a/src/carawayctl/main.cpp
+++ b/src/carawayctl/main.cpp
@@ -178,7 +178,7 @@
         return usage(fmt::format("{} needs --store IP:PORT", command));
     }
     constexpr milliseconds call_timeout{3'000};
-    const store_calls store = open_store(line.m_store, call_timeout);
+    const store_interface store = open_store(line.m_store, call_timeout);
     if (command == "diff") {
         return diff_accepted(out, store, arguments[0], now);
     }
@@ -195,10 +195,10 @@
     }
     apply_options options;
     options.m_file = arguments[0];
-    options.m_from = line.m_from;
-    options.m_by = line.m_by;
+    options.m_from_revision = line.m_from;
+    options.m_author = line.m_by;
     options.m_wait = line.m_given.contains(option_wait);
-    options.m_limit = line.m_timeout.value_or(options.m_limit);
+    options.m_timeout = line.m_timeout.value_or(options.m_timeout);
     return apply_text(out, store, options, now);
 }
 
--- a/src/ctl/audit.cpp
+++ b/src/ctl/audit.cpp
@@ -30,14 +30,14 @@
 constexpr std::size_t max_line_bytes = 1U << 20U;
 
 // Where a line stands.
-struct line_place {
+struct line_position {
     std::uint32_t m_file = 0;
     std::uint64_t m_line = 0;
 };
 
 // One log line that matters.
 struct log_line {
-    line_place m_place;
+    line_position m_position;
     std::int64_t m_time = 0; // Unix milliseconds
     json::object m_fields;
 };
@@ -147,16 +147,16 @@
 // What is known of one request at one service, or of one idempotency key there. Idempotence and
 // outcome are logged after the starts, so the judgement waits for the end of the logs.
 struct request_record {
-    std::uint32_t m_starts = 0;
-    std::uint32_t m_shed =
-        0;               // starts after which the server stated that it did not run the request
-    line_place m_first;  // first start
-    line_place m_second; // latest start after the first
+    std::uint32_t m_start_count = 0;
+    std::uint32_t m_shed_count =
+        0; // starts after which the server stated that it did not run the request
+    line_position m_first_start; // first start
+    line_position m_last_start;  // latest start after the first
     std::uint64_t m_route = 0;
     std::optional<bool> m_idempotent;
-    bool m_ended_not_run = false; // at the entry side
-    bool m_ended_else = false;    // with another outcome
-    line_place m_not_run;
+    bool m_ended_not_run = false;   // at the entry side
+    bool m_ended_otherwise = false; // with another outcome
+    line_position m_not_run_position;
 };
 
 struct instance_record {
@@ -171,7 +171,7 @@
     std::optional<std::int64_t> m_out_at;
 };
 
-struct move_audit {
+struct tracked_move {
     std::string m_service;
     std::optional<std::int64_t> m_final_revision;
     std::string m_final_state;
@@ -182,7 +182,7 @@
     std::vector<std::string> m_files;
     std::map<std::string, instance_record, std::less<>> m_instances;
     std::map<std::string, data_centre_record, std::less<>> m_data_centres;
-    std::map<std::string, move_audit, std::less<>> m_moves;
+    std::map<std::string, tracked_move, std::less<>> m_moves;
     // Time of the first suspension by service and version.
     std::map<std::pair<std::string, std::string>, std::int64_t> m_suspended;
     std::unordered_map<std::uint64_t, request_record> m_requests;
@@ -190,11 +190,12 @@
     std::unordered_map<std::uint64_t, bool> m_route_idempotent;
 };
 
-void add_breach(audit_state& state, line_place place, std::string_view kind, std::string text) {
+void add_breach(audit_state& state, line_position position, std::string_view kind,
+                std::string text) {
     ++state.m_report.m_breach_count;
     if (state.m_report.m_breaches.size() < max_audit_breaches) {
         state.m_report.m_breaches.push_back(
-            {state.m_files[place.m_file], place.m_line, std::string(kind), std::move(text)});
+            {state.m_files[position.m_file], position.m_line, std::string(kind), std::move(text)});
     }
 }
 
@@ -204,64 +205,64 @@
     return hash_bytes(identity, hash_bytes(service));
 }
 
-std::string where(const audit_state& state, line_place place) {
-    return fmt::format("{}:{}", state.m_files[place.m_file], place.m_line);
+std::string format_position(const audit_state& state, line_position position) {
+    return fmt::format("{}:{}", state.m_files[position.m_file], position.m_line);
 }
 
-void count_start(request_record& record, line_place place, std::uint64_t route) {
-    if (++record.m_starts == 1) {
-        record.m_first = place;
+void count_start(request_record& record, line_position position, std::uint64_t route) {
+    if (++record.m_start_count == 1) {
+        record.m_first_start = position;
     } else {
-        record.m_second = place;
+        record.m_last_start = position;
     }
     record.m_route = route;
 }
 
-void see_start(audit_state& state, const log_line& line) {
-    ++state.m_report.m_starts;
+void check_call_start(audit_state& state, const log_line& line) {
+    ++state.m_report.m_start_count;
     const std::string_view service = text_at(line.m_fields, "service");
     const std::uint64_t route = identity_hash(text_at(line.m_fields, "route"), service);
     const auto idempotent = flag_at(line.m_fields, "idempotent");
     const std::string request = identity_at(line.m_fields, "request");
     if (!request.empty()) {
         request_record& record = state.m_requests[identity_hash(request, service)];
-        count_start(record, line.m_place, route);
+        count_start(record, line.m_position, route);
         record.m_idempotent = idempotent ? idempotent : record.m_idempotent;
     }
     const std::string key = identity_at(line.m_fields, "key");
     if (!key.empty()) {
         request_record& record = state.m_keys[identity_hash(key, service)];
-        count_start(record, line.m_place, route);
+        count_start(record, line.m_position, route);
         record.m_idempotent = idempotent ? idempotent : record.m_idempotent;
     }
 
     const std::string_view instance = text_at(line.m_fields, "instance");
     const auto found = state.m_instances.find(instance);
     if (found != state.m_instances.end() && found->second.m_left_at &&
-        line.m_time - *found->second.m_left_at > audit_grace.count()) {
-        add_breach(state, line.m_place, "work-after-leaving",
+        line.m_time - *found->second.m_left_at > audit_grace_period.count()) {
+        add_breach(state, line.m_position, "work-after-leaving",
                    fmt::format("a call started on {} {} ms after its leaving", instance,
                                line.m_time - *found->second.m_left_at));
     }
     const std::string_view data_centre = text_at(line.m_fields, "data_centre");
     const auto centre = state.m_data_centres.find(data_centre);
     if (centre != state.m_data_centres.end() && centre->second.m_out_at &&
-        line.m_time - *centre->second.m_out_at > audit_grace.count()) {
-        add_breach(state, line.m_place, "work-in-data-centre-out",
+        line.m_time - *centre->second.m_out_at > audit_grace_period.count()) {
+        add_breach(state, line.m_position, "work-in-data-centre-out",
                    fmt::format("a call started on {} {} ms after {} was taken out", instance,
                                line.m_time - *centre->second.m_out_at, data_centre));
     }
     const auto suspended = state.m_suspended.find(
         {std::string(service), std::string(text_at(line.m_fields, "version"))});
     if (suspended != state.m_suspended.end() &&
-        line.m_time - suspended->second > audit_grace.count()) {
-        add_breach(state, line.m_place, "work-on-suspended-version",
+        line.m_time - suspended->second > audit_grace_period.count()) {
+        add_breach(state, line.m_position, "work-on-suspended-version",
                    fmt::format("a call started on {} {} {} ms after its suspension", service,
                                suspended->first.second, line.m_time - suspended->second));
     }
 }
 
-void see_end(audit_state& state, const log_line& line) {
+void check_call_end(audit_state& state, const log_line& line) {
     const std::string_view service = text_at(line.m_fields, "service");
     const std::string_view outcome = text_at(line.m_fields, "outcome");
     // Both tell the caller that its request did not run.
@@ -269,13 +270,13 @@
     const auto sent = flag_at(line.m_fields, "sent");
     if (not_run && sent.value_or(false)) {
         add_breach(
-            state, line.m_place, "not-run-but-sent",
+            state, line.m_position, "not-run-but-sent",
             fmt::format("the outcome {} although a byte reached the backend server", outcome));
     }
     const auto idempotent = flag_at(line.m_fields, "idempotent");
     const bool entry = text_at(line.m_fields, "side") == "entry";
     if (entry) {
-        ++state.m_report.m_ends;
+        ++state.m_report.m_end_count;
     }
     if (idempotent) {
         state.m_route_idempotent[identity_hash(text_at(line.m_fields, "route"), service)] =
@@ -284,7 +285,7 @@
     const bool shed = !entry && text_at(line.m_fields, "reason") == "backend-shed";
     const std::string key = identity_at(line.m_fields, "key");
     if (shed && !key.empty()) {
-        ++state.m_keys[identity_hash(key, service)].m_shed;
+        ++state.m_keys[identity_hash(key, service)].m_shed_count;
     }
     const std::string request = identity_at(line.m_fields, "request");
     if (request.empty()) {
@@ -292,16 +293,16 @@
     }
     request_record& record = state.m_requests[identity_hash(request, service)];
     record.m_idempotent = idempotent ? idempotent : record.m_idempotent;
-    record.m_shed += shed ? 1 : 0;
+    record.m_shed_count += shed ? 1 : 0;
     if (entry && not_run) {
         record.m_ended_not_run = true;
-        record.m_not_run = line.m_place;
+        record.m_not_run_position = line.m_position;
     } else if (entry) {
-        record.m_ended_else = true;
+        record.m_ended_otherwise = true;
     }
 }
 
-void see_applied(audit_state& state, const log_line& line) {
+void check_applied_version(audit_state& state, const log_line& line) {
     const auto version = number_at(line.m_fields, "version");
     if (!version) {
         return;
@@ -309,14 +310,14 @@
     const std::string_view instance = text_at(line.m_fields, "instance");
     instance_record& record = state.m_instances[std::string(instance)];
     if (*version < record.m_version) {
-        add_breach(state, line.m_place, "version-fell",
+        add_breach(state, line.m_position, "version-fell",
                    fmt::format("{} applied version {} after version {}", instance, *version,
                                record.m_version));
     }
     record.m_version = std::max(record.m_version, *version);
 }
 
-void see_data_centre(audit_state& state, const log_line& line, bool out) {
+void track_data_centre(audit_state& state, const log_line& line, bool out) {
     const auto version = number_at(line.m_fields, "version");
     // The line's own data_centre is that of the node which logged it.
     const std::string_view named = text_at(line.m_fields, "of");
@@ -333,13 +334,13 @@
     }
 }
 
-void see_move(audit_state& state, const log_line& line) {
+void check_move_record(audit_state& state, const log_line& line) {
     const std::string id(text_at(line.m_fields, "move"));
     const std::string service(text_at(line.m_fields, "service"));
-    const std::string_view word = text_at(line.m_fields, "state");
+    const std::string_view new_state = text_at(line.m_fields, "state");
     const std::int64_t revision = number_at(line.m_fields, "revision").value_or(0);
     const auto [found, added] = state.m_moves.try_emplace(id);
-    move_audit& move = found->second;
+    tracked_move& move = found->second;
     move.m_service = service;
     if (added) {
         // A new move may try a version again that an older one suspended.
@@ -348,18 +349,18 @@
     }
     // The same revision may be logged again after a lost answer was read back.
     if (move.m_final_revision && revision != *move.m_final_revision) {
-        add_breach(state, line.m_place, "final-state-rewritten",
+        add_breach(state, line.m_position, "final-state-rewritten",
                    fmt::format("move {} of {} written as {} at revision {} after its final state "
                                "{} at revision {}",
-                               id, service, word, revision, move.m_final_state,
+                               id, service, new_state, revision, move.m_final_state,
                                *move.m_final_revision));
-    } else if (word != "running" && !word.empty()) {
+    } else if (new_state != "running" && !new_state.empty()) {
         move.m_final_revision = revision;
-        move.m_final_state = word;
+        move.m_final_state = new_state;
     }
 }
 
-void see_suspension(audit_state& state, const log_line& line) {
+void track_suspension(audit_state& state, const log_line& line) {
     std::string service(text_at(line.m_fields, "service"));
     if (service.empty()) {
         const auto move = state.m_moves.find(text_at(line.m_fields, "move"));
@@ -372,20 +373,20 @@
         {std::move(service), std::string(text_at(line.m_fields, "version"))}, line.m_time);
 }
 
-void see_line(audit_state& state, const log_line& line) {
+void check_line(audit_state& state, const log_line& line) {
     const std::string_view event = text_at(line.m_fields, "event");
     if (event == "backend_call_started") {
-        see_start(state, line);
+        check_call_start(state, line);
     } else if (event == "call_ended") {
-        see_end(state, line);
+        check_call_end(state, line);
     } else if (event == "config_applied") {
-        see_applied(state, line);
+        check_applied_version(state, line);
     } else if (event == "data_centre_out" || event == "data_centre_in") {
-        see_data_centre(state, line, event == "data_centre_out");
+        track_data_centre(state, line, event == "data_centre_out");
     } else if (event == "move_written") {
-        see_move(state, line);
+        check_move_record(state, line);
     } else if (event == "version_suspended") {
-        see_suspension(state, line);
+        track_suspension(state, line);
     } else if (event == "leaving") {
         state.m_instances[std::string(text_at(line.m_fields, "instance"))].m_left_at = line.m_time;
     } else if (event == "node_started") {
@@ -395,7 +396,7 @@
 
 // True unless the request is known to be idempotent, by its own lines or else by its route's.
 // Without any word on it the guarantee isn't shown, which counts as a breach.
-bool must_run_once(const audit_state& state, const request_record& record) {
+bool must_run_at_most_once(const audit_state& state, const request_record& record) {
     if (record.m_idempotent) {
         return !*record.m_idempotent;
     }
@@ -403,20 +404,21 @@
     return route == state.m_route_idempotent.end() || !route->second;
 }
 
-void judge_starts(audit_state& state,
-                  const std::unordered_map<std::uint64_t, request_record>& records,
-                  std::string_view what) {
+void check_start_counts(audit_state& state,
+                        const std::unordered_map<std::uint64_t, request_record>& records,
+                        std::string_view what) {
     for (const auto& [hash, record] : records) {
-        const std::uint32_t runs = record.m_starts - std::min(record.m_starts, record.m_shed);
-        if (runs > 1 && must_run_once(state, record)) {
-            add_breach(state, record.m_second, "started-twice",
+        const std::uint32_t runs =
+            record.m_start_count - std::min(record.m_start_count, record.m_shed_count);
+        if (runs > 1 && must_run_at_most_once(state, record)) {
+            add_breach(state, record.m_last_start, "started-twice",
                        fmt::format("a non-idempotent {} started {} times, first in {}", what, runs,
-                                   where(state, record.m_first)));
+                                   format_position(state, record.m_first_start)));
         }
-        if (runs > 0 && record.m_ended_not_run && !record.m_ended_else) {
-            add_breach(state, record.m_not_run, "not-run-but-started",
+        if (runs > 0 && record.m_ended_not_run && !record.m_ended_otherwise) {
+            add_breach(state, record.m_not_run_position, "not-run-but-started",
                        fmt::format("the outcome not-run or deadline although the {} started in {}",
-                                   what, where(state, record.m_first)));
+                                   what, format_position(state, record.m_first_start)));
         }
     }
 }
@@ -430,7 +432,7 @@
         const json::object* object = failure ? nullptr : parsed.if_object();
         const auto time = object != nullptr ? number_at(*object, "time") : std::nullopt;
         if (!time || *time < 0 || *time > max_unix_ms || text_at(*object, "event").empty()) {
-            ++state.m_report.m_unreadable;
+            ++state.m_report.m_unreadable_lines;
             continue;
         }
         return log_line{{index, file.line()}, *time, std::move(parsed.get_object())};
@@ -445,13 +447,13 @@
     state.m_files = files;
     std::vector<log_file> readers(files.begin(), files.end());
     // The next line of each file; the earliest of them is checked first.
-    std::vector<log_line> heads(readers.size());
-    using head_time = std::pair<std::int64_t, std::uint32_t>;
-    std::priority_queue<head_time, std::vector<head_time>, std::greater<>> order;
+    std::vector<log_line> head_lines(readers.size());
+    using time_and_file = std::pair<std::int64_t, std::uint32_t>;
+    std::priority_queue<time_and_file, std::vector<time_and_file>, std::greater<>> order;
     const auto advance = [&](std::uint32_t file) {
         if (auto line = next_line(state, readers[file], file)) {
             order.emplace(line->m_time, file);
-            heads[file] = std::move(*line);
+            head_lines[file] = std::move(*line);
         }
     };
     for (std::uint32_t file = 0; file < readers.size(); ++file) {
@@ -460,11 +462,11 @@
     while (!order.empty()) {
         const std::uint32_t file = order.top().second;
         order.pop();
-        see_line(state, heads[file]);
+        check_line(state, head_lines[file]);
         advance(file);
     }
-    judge_starts(state, state.m_requests, "request");
-    judge_starts(state, state.m_keys, "key");
+    check_start_counts(state, state.m_requests, "request");
+    check_start_counts(state, state.m_keys, "key");
     for (const log_file& file : readers) {
         if (file.failed()) {
             state.m_report.m_missing_files.push_back(file.path());
@@ -499,15 +501,15 @@
         out.m_out(json::serialize(json::object{{"result", breaches == 0 ? "done" : "breaches"},
                                                {"files", files.size()},
                                                {"lines", report.m_lines},
-                                               {"unreadable", report.m_unreadable},
-                                               {"starts", report.m_starts},
-                                               {"ends", report.m_ends},
+                                               {"unreadable", report.m_unreadable_lines},
+                                               {"starts", report.m_start_count},
+                                               {"ends", report.m_end_count},
                                                {"breaches", breaches}}));
     } else {
         out.m_out(fmt::format("{} files, {} lines ({} unreadable), {} calls ended, {} started at "
                               "backend servers, {} breaches",
-                              files.size(), report.m_lines, report.m_unreadable, report.m_ends,
-                              report.m_starts, breaches));
+                              files.size(), report.m_lines, report.m_unreadable_lines,
+                              report.m_end_count, report.m_start_count, breaches));
     }
     if (!report.m_missing_files.empty()) {
         return exit_usage;
--- a/src/ctl/audit.hpp
+++ b/src/ctl/audit.hpp
@@ -12,7 +12,7 @@
 namespace caraway {
 
 // Time after a leave, a data centre's removal or a suspension in which new work may still start.
-constexpr milliseconds audit_grace{3'000};
+constexpr milliseconds audit_grace_period{3'000};
 
 // Offending lines kept for printing; more are only counted.
 constexpr std::size_t max_audit_breaches = 1'000;
@@ -27,10 +27,10 @@
 
 struct audit_report {
     std::uint64_t m_lines = 0;
-    std::uint64_t m_unreadable =
-        0;                      // lines that are no JSON objects with a possible time and an event
-    std::uint64_t m_starts = 0; // backend_call_started
-    std::uint64_t m_ends = 0;   // call_ended at the entry side
+    std::uint64_t m_unreadable_lines =
+        0; // lines that are no JSON objects with a possible time and an event
+    std::uint64_t m_start_count = 0; // backend_call_started
+    std::uint64_t m_end_count = 0;   // call_ended at the entry side
     std::uint64_t m_breach_count = 0;
     std::vector<audit_breach> m_breaches;
     std::vector<std::string> m_missing_files; // files that can't be read
--- a/src/ctl/commands.hpp
+++ b/src/ctl/commands.hpp
@@ -38,36 +38,36 @@
                wall_time now);
 
 // Prints what would change from the accepted text to a file.
-int diff_accepted(const console& out, const store_calls& store, const std::string& file,
+int diff_accepted(const console& out, const store_interface& store, const std::string& file,
                   wall_time now);
 
 // Writes the submitted text to a file and its revision to FILE.revision.
-int fetch_text(const console& out, const store_calls& store, const std::string& file);
+int fetch_text(const console& out, const store_interface& store, const std::string& file);
 
 struct apply_options {
     std::string m_file;
-    std::optional<std::uint64_t> m_from; // else from FILE.revision
-    std::string m_by;                    // who applies, for the attribution line
+    std::optional<std::uint64_t> m_from_revision; // else from FILE.revision
+    std::string m_author;                         // who applies, for the attribution line
     bool m_wait = false;
-    milliseconds m_limit{60'000}; // of the wait
+    milliseconds m_timeout{60'000}; // of the wait
 };
 
 // Validates a file and writes it as the submitted text, if that is still at the revision that the
 // file was edited from.
-int apply_text(const console& out, const store_calls& store, const apply_options& options,
+int apply_text(const console& out, const store_interface& store, const apply_options& options,
                wall_time now);
 
 // Prints the state of the mesh as the store has it.
-int show_status(const console& out, const store_calls& store);
+int show_status(const console& out, const store_interface& store);
 
 struct verdict_options {
     bool m_follow = false;
-    std::string m_service;   // only the moves of this service; following ends with its verdict
-    milliseconds m_limit{0}; // of following; 0: none
+    std::string m_service;     // only the moves of this service; following ends with its verdict
+    milliseconds m_timeout{0}; // of following; 0: none
 };
 
 // Prints the final verdicts, and while following also the progress of moves.
-int show_verdicts(const console& out, const store_calls& store, const verdict_options& options);
+int show_verdicts(const console& out, const store_interface& store, const verdict_options& options);
 
 // Checks the guarantees against the log files of any number of processes.
 int audit_files(const console& out, const std::vector<std::string>& files);
--- a/src/ctl/current_text.cpp
+++ b/src/ctl/current_text.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // Reads a text that is stored whole. A value in another form is the text itself.
-store_reply read_whole_text(const store_calls& store, std::uint64_t version,
+store_reply read_whole_text(const store_interface& store, std::uint64_t version,
                             std::string_view hash) {
     store_reply reply = store.m_get(fmt::format("caraway/accepted-text/{}-{}", version, hash));
     error reason;
@@ -27,7 +27,7 @@
 
 // Reads the accepted text, from its delta and the base unless it is stored whole. store_not_found
 // also when a value is damaged.
-store_reply read_text_of(const store_calls& store, const accepted_view& accepted) {
+store_reply read_accepted_text(const store_interface& store, const accepted_view& accepted) {
     if (accepted.m_base_version == 0) {
         return read_whole_text(store, accepted.m_version, accepted.m_hash);
     }
@@ -50,7 +50,8 @@
 
 } // namespace
 
-std::optional<store_reply> read_current(const store_calls& store, current_state& state) {
+std::optional<store_reply> read_accepted_config(const store_interface& store,
+                                                accepted_config& state) {
     const store_reply record = store.m_get("caraway/state/accepted");
     if (record.m_kind == error_kind::store_not_found) {
         return std::nullopt;
@@ -58,11 +59,11 @@
     if (record.m_kind != error_kind::none) {
         return record;
     }
-    state.m_accepted = read_accepted(record.m_value);
+    state.m_accepted = parse_accepted(record.m_value);
     if (!state.m_accepted) {
         return std::nullopt;
     }
-    auto restored = read_text_of(store, *state.m_accepted);
+    auto restored = read_accepted_text(store, *state.m_accepted);
     if (restored.m_kind == error_kind::store_not_found) {
         return std::nullopt;
     }
--- a/src/ctl/records.cpp
+++ b/src/ctl/records.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-std::optional<accepted_view> read_accepted(std::string_view value) {
+std::optional<accepted_view> parse_accepted(std::string_view value) {
     const auto object = parse_object(value);
     if (!object || !object->contains("version")) {
         return std::nullopt;
@@ -55,7 +55,7 @@
     return view;
 }
 
-std::optional<refused_view> read_refused(std::string_view value) {
+std::optional<refused_view> parse_refused(std::string_view value) {
     const auto object = parse_object(value);
     if (!object || !object->contains("source_revision")) {
         return std::nullopt;
@@ -76,7 +76,7 @@
     return view;
 }
 
-std::optional<move_view> read_move(std::string_view value) {
+std::optional<move_view> parse_move(std::string_view value) {
     const auto object = parse_object(value);
     if (!object || !object->contains("move_id")) {
         return std::nullopt;
@@ -99,7 +99,7 @@
     return !move.m_state.empty() && move.m_state != "running";
 }
 
-std::optional<config_verdict_view> read_config_verdict(std::string_view value) {
+std::optional<config_verdict_view> parse_config_verdict(std::string_view value) {
     const auto object = parse_object(value);
     if (!object || !object->contains("version")) {
         return std::nullopt;
--- a/src/ctl/records.hpp
+++ b/src/ctl/records.hpp
@@ -23,14 +23,14 @@
     std::uint64_t m_base_version = 0;
     std::string m_base_hash;
 };
-std::optional<accepted_view> read_accepted(std::string_view value);
+std::optional<accepted_view> parse_accepted(std::string_view value);
 
 // caraway/state/refused.
 struct refused_view {
     std::uint64_t m_source_revision = 0;
     std::vector<text_fault> m_faults;
 };
-std::optional<refused_view> read_refused(std::string_view value);
+std::optional<refused_view> parse_refused(std::string_view value);
 
 // caraway/state/move/SERVICE and caraway/verdict/move/SERVICE/MOVEID.
 struct move_view {
@@ -45,7 +45,7 @@
     std::string m_holder;
     std::string m_reason;
 };
-std::optional<move_view> read_move(std::string_view value);
+std::optional<move_view> parse_move(std::string_view value);
 // True for the states done and taken_back.
 bool is_final(const move_view& move);
 
@@ -57,7 +57,7 @@
     std::vector<std::string> m_missing; // at most 20 names
     bool m_final = false;
 };
-std::optional<config_verdict_view> read_config_verdict(std::string_view value);
+std::optional<config_verdict_view> parse_config_verdict(std::string_view value);
 // True when every member has the version in force.
 bool is_in_force(const config_verdict_view& verdict);
 
--- a/src/ctl/replay.cpp
+++ b/src/ctl/replay.cpp
@@ -24,7 +24,7 @@
 // Decompressed size of one file; a trace of a minute has some 10 MB.
 constexpr std::size_t max_trace_bytes = 256U << 20U;
 
-std::vector<std::string_view> lines_of(std::string_view text) {
+std::vector<std::string_view> split_lines(std::string_view text) {
     std::vector<std::string_view> lines;
     while (!text.empty()) {
         const std::size_t end = std::min(text.find('\n'), text.size());
@@ -52,8 +52,9 @@
         return fail(reason, error_kind::invalid_text, fmt::format("{}: no zstd frame", file));
     }
     std::string text(static_cast<std::size_t>(size), '\0');
-    const std::size_t got = ZSTD_decompress(text.data(), text.size(), bytes->data(), bytes->size());
-    if (ZSTD_isError(got) != 0 || got != text.size()) {
+    const std::size_t decompressed_size =
+        ZSTD_decompress(text.data(), text.size(), bytes->data(), bytes->size());
+    if (ZSTD_isError(decompressed_size) != 0 || decompressed_size != text.size()) {
         return fail(reason, error_kind::invalid_text, fmt::format("{}: damaged", file));
     }
     return text;
@@ -67,9 +68,9 @@
 
 // Replays one line. After a gap the state of the instance is unknown, so its further lines count as
 // breaches until it starts again.
-void replay_line(const replay_input& input, std::uint64_t line, outcome_watch& watch,
-                 outcome_watch::process_map& processes, replay_report& report) {
-    if (input.m_part == "node") {
+void replay_line(const replay_input& input, std::uint64_t line, outcome_checker& checker,
+                 outcome_checker::process_map& processes, replay_report& report) {
+    if (input.m_component == "node") {
         replayed_process process;
         process.m_instance = input.m_instance;
         process.m_service = input.text("service");
@@ -77,7 +78,7 @@
         processes[input.m_instance] = std::move(process);
     }
     const auto found = processes.find(input.m_instance);
-    if (input.m_part == dropped_event || found == processes.end()) {
+    if (input.m_component == dropped_event || found == processes.end()) {
         ++report.m_breaches;
         add_fault(report, fmt::format("line {}: {} has a gap", line, input.m_instance));
         processes.erase(input.m_instance);
@@ -86,19 +87,19 @@
     const std::string action = replay(found->second, input);
     ++report.m_inputs;
     report.m_signature = hash_bytes(
-        fmt::format("{} {} {} {}", input.m_instance, input.m_part, input.m_input, action),
+        fmt::format("{} {} {} {}", input.m_instance, input.m_component, input.m_input_name, action),
         report.m_signature);
     if (action != input.m_action) {
-        ++report.m_different;
+        ++report.m_differing_actions;
         add_fault(report, fmt::format("line {}: {} {} {}: recorded \"{}\", replayed \"{}\"", line,
-                                      input.m_instance, input.m_part, input.m_input, input.m_action,
-                                      action));
+                                      input.m_instance, input.m_component, input.m_input_name,
+                                      input.m_action, action));
     }
-    watch.observe(processes, found->second, input, action);
-    if (input.is_damaged() || !found->second.m_consistent) {
+    checker.observe(processes, found->second, input, action);
+    if (input.is_damaged() || !found->second.m_suspension_matches) {
         ++report.m_breaches;
-        add_fault(report, fmt::format("line {}: {} {} {}: {}", line, input.m_instance, input.m_part,
-                                      input.m_input,
+        add_fault(report, fmt::format("line {}: {} {} {}: {}", line, input.m_instance,
+                                      input.m_component, input.m_input_name,
                                       input.is_damaged() ? "a field is missing"
                                                          : "the suspension was not recorded"));
     }
@@ -107,13 +108,13 @@
 // A line with the time by which files are merged: the latest that its file had so far, since lines
 // of several threads may be some microseconds out of order.
 struct timed_line {
-    time_point m_at;
+    time_point m_time;
     std::string_view m_text;
 };
 
 void append_decisions(std::string_view log, std::vector<timed_line>& lines) {
     time_point latest{};
-    for (const std::string_view line : lines_of(log)) {
+    for (const std::string_view line : split_lines(log)) {
         if (const auto input = replay_input::parse(line)) {
             latest = std::max(latest, input->m_now);
             lines.push_back({latest, line});
@@ -125,31 +126,31 @@
 
 std::optional<replay_report> replay_trace(std::string_view trace, std::string_view outcomes,
                                           error& reason) {
-    const auto stated = parse_outcomes(outcomes, reason);
-    if (!stated) {
+    const auto expected = parse_outcomes(outcomes, reason);
+    if (!expected) {
         return std::nullopt;
     }
     milliseconds cold_hold{0};
-    for (const stated_outcome& outcome : *stated) {
+    for (const expected_outcome& outcome : *expected) {
         cold_hold = outcome.m_check == "cold_start_share" ? outcome.m_limit : cold_hold;
     }
     replay_report report;
-    outcome_watch watch(cold_hold);
-    outcome_watch::process_map processes;
+    outcome_checker checker(cold_hold);
+    outcome_checker::process_map processes;
     std::uint64_t line = 0;
-    for (const std::string_view text : lines_of(trace)) {
+    for (const std::string_view text : split_lines(trace)) {
         ++line;
         if (const auto input = replay_input::parse(text)) {
-            replay_line(*input, line, watch, processes, report);
+            replay_line(*input, line, checker, processes, report);
         } else {
             ++report.m_breaches;
             add_fault(report, fmt::format("line {}: no decision", line));
         }
     }
-    for (const stated_outcome& outcome : *stated) {
-        const outcome_watch::verdict verdict = watch.judge(outcome);
-        report.m_outcomes.push_back((verdict.m_kept ? "kept   " : "BROKEN ") + verdict.m_text);
-        report.m_breaches += verdict.m_kept ? 0 : 1;
+    for (const expected_outcome& outcome : *expected) {
+        const outcome_checker::check_result result = checker.check(outcome);
+        report.m_outcomes.push_back((result.m_passed ? "kept   " : "BROKEN ") + result.m_text);
+        report.m_breaches += result.m_passed ? 0 : 1;
     }
     return report;
 }
@@ -168,7 +169,7 @@
         append_decisions(log, lines);
     }
     std::stable_sort(lines.begin(), lines.end(),
-                     [](const timed_line& a, const timed_line& b) { return a.m_at < b.m_at; });
+                     [](const timed_line& a, const timed_line& b) { return a.m_time < b.m_time; });
     std::string trace;
     for (const timed_line& line : lines) {
         trace += line.m_text;
@@ -177,16 +178,16 @@
     return trace;
 }
 
-std::string trim_trace(std::string_view trace, const std::set<std::string>& admission_of) {
+std::string trim_trace(std::string_view trace, const std::set<std::string>& admission_instances) {
     std::string trimmed;
-    for (const std::string_view line : lines_of(trace)) {
+    for (const std::string_view line : split_lines(trace)) {
         boost::json::value parsed =
             boost::json::parse(boost::json::string_view(line.data(), line.size()));
         boost::json::object& object = parsed.as_object();
         const auto* part = object.if_contains("part");
         const auto& instance = object.at("instance").as_string();
         if (part != nullptr && part->as_string() == "admission" &&
-            !admission_of.contains(std::string(instance.data(), instance.size()))) {
+            !admission_instances.contains(std::string(instance.data(), instance.size()))) {
             continue;
         }
         for (const std::string_view unused : {"level", "data_centre", "config_version"}) {
--- a/src/ctl/replay.hpp
+++ b/src/ctl/replay.hpp
@@ -19,10 +19,10 @@
 constexpr std::size_t max_replay_faults = 20;
 
 struct replay_report {
-    std::uint64_t m_inputs = 0;    // decision lines replayed
-    std::uint64_t m_different = 0; // actions that differ from the recorded ones
-    std::uint64_t m_breaches = 0;  // breaches of stated outcomes, damaged lines and gaps
-    std::uint64_t m_signature = 0; // hash over all actions as replayed
+    std::uint64_t m_inputs = 0;            // decision lines replayed
+    std::uint64_t m_differing_actions = 0; // actions that differ from the recorded ones
+    std::uint64_t m_breaches = 0;          // breaches of stated outcomes, damaged lines and gaps
+    std::uint64_t m_signature = 0;         // hash over all actions as replayed
     std::vector<std::string> m_faults;
     std::vector<std::string> m_outcomes; // one line for each stated outcome, with figures
 };
@@ -50,19 +50,19 @@
 
 // Drops the calls' lines (part admission) of instances that are not named, and the fields that a
 // replay doesn't use.
-std::string trim_trace(std::string_view trace, const std::set<std::string>& admission_of);
+std::string trim_trace(std::string_view trace, const std::set<std::string>& admission_instances);
 
 // Writes a text compressed by zstd.
 bool write_compressed(const std::string& file, std::string_view text, error& reason);
 
 // Replays every NAME.zst in a folder against NAME.json, in the order of the names. The signature is
 // a hash over the signatures of all.
-struct named_report {
+struct trace_report {
     std::string m_name;
     replay_report m_report;
 };
 struct folder_report {
-    std::vector<named_report> m_traces;
+    std::vector<trace_report> m_traces;
     std::uint64_t m_signature = 0;
 };
 std::optional<folder_report> replay_folder(const std::string& folder, error& reason);
--- a/src/ctl/replay_outcomes.cpp
+++ b/src/ctl/replay_outcomes.cpp
@@ -12,7 +12,7 @@
 // Share of the slots that a server in cold start may use, as the design states it.
 constexpr std::uint32_t cold_divisor = 4;
 
-constexpr std::array<std::string_view, 10> checks{
+constexpr std::array<std::string_view, 10> known_checks{
     "one_holder",          "steps_under_lease", "running_within_slots",
     "cold_start_share",    "one_final_state",   "no_weight_after_suspension",
     "version_never_falls", "move_ends",         "at_least",
@@ -22,7 +22,7 @@
     return std::chrono::duration<double>(value).count();
 }
 
-bool read_field(std::string_view key, const boost::json::value& value, stated_outcome& outcome) {
+bool read_field(std::string_view key, const boost::json::value& value, expected_outcome& outcome) {
     if (key == "by_deadline" && value.is_bool()) {
         outcome.m_by_deadline = value.get_bool();
         return true;
@@ -31,7 +31,7 @@
         std::string text(value.get_string().data(), value.get_string().size());
         std::string* const target = key == "check"   ? &outcome.m_check
                                     : key == "state" ? &outcome.m_state
-                                    : key == "of"    ? &outcome.m_of
+                                    : key == "of"    ? &outcome.m_quantity
                                                      : nullptr;
         if (target != nullptr) {
             *target = std::move(text);
@@ -51,27 +51,28 @@
 
 } // namespace
 
-std::optional<std::vector<stated_outcome>> parse_outcomes(std::string_view text, error& reason) {
+std::optional<std::vector<expected_outcome>> parse_outcomes(std::string_view text, error& reason) {
     boost::system::error_code failed;
     const boost::json::value parsed =
         boost::json::parse(boost::json::string_view(text.data(), text.size()), failed);
     if (failed || !parsed.is_array()) {
         return fail(reason, error_kind::invalid_text, "outcomes: expected a JSON array");
     }
-    std::vector<stated_outcome> outcomes;
-    for (const boost::json::value& each : parsed.get_array()) {
-        stated_outcome outcome;
-        if (!each.is_object()) {
+    std::vector<expected_outcome> outcomes;
+    for (const boost::json::value& item : parsed.get_array()) {
+        expected_outcome outcome;
+        if (!item.is_object()) {
             return fail(reason, error_kind::invalid_text, "outcomes: expected objects");
         }
-        for (const auto& [key, value] : each.get_object()) {
+        for (const auto& [key, value] : item.get_object()) {
             if (!read_field({key.data(), key.size()}, value, outcome)) {
                 return fail(reason, error_kind::invalid_text,
                             fmt::format("outcomes: unexpected field {}",
                                         std::string_view(key.data(), key.size())));
             }
         }
-        if (std::find(checks.begin(), checks.end(), outcome.m_check) == checks.end()) {
+        if (std::find(known_checks.begin(), known_checks.end(), outcome.m_check) ==
+            known_checks.end()) {
             return fail(reason, error_kind::invalid_text,
                         fmt::format("outcomes: unknown check {}", outcome.m_check));
         }
@@ -80,29 +81,29 @@
     return outcomes;
 }
 
-void outcome_watch::observe(const process_map& processes, const replayed_process& process,
-                            const replay_input& input, std::string_view action) {
-    if (input.m_part == "node") {
+void outcome_checker::observe(const process_map& processes, const replayed_process& process,
+                              const replay_input& input, std::string_view action) {
+    if (input.m_component == "node") {
         m_calls[process.m_instance] = {};
-    } else if (input.m_part == "lease") {
+    } else if (input.m_component == "lease") {
         observe_lease(processes, process, input);
-    } else if (input.m_part == "admission") {
+    } else if (input.m_component == "admission") {
         observe_admission(process, input);
-    } else if (input.m_part == "distribution") {
+    } else if (input.m_component == "distribution") {
         observe_distribution(process);
-    } else if (input.m_part == "facts") {
+    } else if (input.m_component == "facts") {
         observe_facts(process, input, action);
-    } else if (input.m_part == "version_move") {
+    } else if (input.m_component == "version_move") {
         observe_move(process, input);
     }
 }
 
 // Between two inputs a lease can only end, so it is enough to compare the holders after each. All
 // processes of a trace ran on one machine, whose monotonic clock they share.
-void outcome_watch::observe_lease(const process_map& processes, const replayed_process& process,
-                                  const replay_input& input) {
+void outcome_checker::observe_lease(const process_map& processes, const replayed_process& process,
+                                    const replay_input& input) {
     const std::string key = input.text("key");
-    if (input.m_input == "reply") {
+    if (input.m_input_name == "reply") {
         const std::string kind = input.text("kind");
         const bool failed = kind == answer_for(error_kind::store_unreachable).m_name ||
                             kind == answer_for(error_kind::store_outcome_unknown).m_name;
@@ -116,123 +117,132 @@
         return;
     }
     std::string& last = m_last_holder[key];
-    m_holds += last == process.m_instance ? 0 : 1;
+    m_holder_changes += last == process.m_instance ? 0 : 1;
     last = process.m_instance;
     for (const auto& [instance, other] : processes) {
-        m_overlaps += instance != process.m_instance && holds(other) ? 1 : 0;
+        m_lease_overlaps += instance != process.m_instance && holds(other) ? 1 : 0;
     }
 }
 
-void outcome_watch::observe_admission(const replayed_process& process, const replay_input& input) {
-    calls& own = m_calls[process.m_instance];
-    if (input.m_input == "finish") {
-        own.m_running -= own.m_running > 0 ? 1 : 0;
+void outcome_checker::observe_admission(const replayed_process& process,
+                                        const replay_input& input) {
+    call_state& instance_calls = m_calls[process.m_instance];
+    if (input.m_input_name == "finish") {
+        instance_calls.m_running -= instance_calls.m_running > 0 ? 1 : 0;
         if (input.flag("failed")) {
             m_failed[process.m_version].push_back(input.m_now);
-        } else if (!own.m_first_answer && !input.flag("shed") && !input.flag("cancelled")) {
-            own.m_first_answer = input.m_now;
+        } else if (!instance_calls.m_first_answer && !input.flag("shed") &&
+                   !input.flag("cancelled")) {
+            instance_calls.m_first_answer = input.m_now;
         }
     }
-    if (process.m_started == 0) {
+    if (process.m_started_calls == 0) {
         return;
     }
-    own.m_running += process.m_started;
-    m_call_starts += process.m_started;
+    instance_calls.m_running += process.m_started_calls;
+    m_call_starts += process.m_started_calls;
     const std::uint32_t slots = process.m_admission.m_limits.m_slots;
-    m_over_slots += own.m_running > slots ? 1 : 0;
-    m_most_running = std::max(m_most_running, own.m_running);
-    if (!own.m_first_answer || input.m_now - *own.m_first_answer < m_cold_hold) {
-        m_over_cold += own.m_running > std::max(1U, slots / cold_divisor) ? 1 : 0;
-        m_most_cold = std::max(m_most_cold, own.m_running);
+    m_calls_over_slots += instance_calls.m_running > slots ? 1 : 0;
+    m_max_running = std::max(m_max_running, instance_calls.m_running);
+    if (!instance_calls.m_first_answer ||
+        input.m_now - *instance_calls.m_first_answer < m_cold_hold) {
+        m_calls_over_cold_share +=
+            instance_calls.m_running > std::max(1U, slots / cold_divisor) ? 1 : 0;
+        m_max_running_cold = std::max(m_max_running_cold, instance_calls.m_running);
     }
 }
 
-void outcome_watch::observe_distribution(const replayed_process& process) {
+void outcome_checker::observe_distribution(const replayed_process& process) {
     for (const distribution_action& action : process.m_actions) {
         if (action.m_kind == distribution_action::kind::apply) {
             std::uint64_t& applied = m_applied[process.m_instance];
-            ++m_applies;
-            m_falls += action.m_version < applied ? 1 : 0;
+            ++m_apply_count;
+            m_version_decreases += action.m_version < applied ? 1 : 0;
             applied = std::max(applied, action.m_version);
         } else if (action.m_kind == distribution_action::kind::ready) {
-            ++m_readies[process.m_instance];
+            ++m_ready_counts[process.m_instance];
         }
     }
 }
 
-void outcome_watch::observe_facts(const replayed_process& process, const replay_input& input,
-                                  std::string_view action) {
-    if (input.m_input == "suspension") {
+void outcome_checker::observe_facts(const replayed_process& process, const replay_input& input,
+                                    std::string_view action) {
+    if (input.m_input_name == "suspension") {
         m_suspended.try_emplace(input.text("version"), input.m_now);
-    } else if (input.m_input == "record") {
+    } else if (input.m_input_name == "record") {
         const std::uint64_t revision = input.count("revision");
         if (const auto record = decode_move(input.text("record"), revision)) {
-            move& own = m_moves[record->m_move_id];
-            own.m_records.try_emplace(revision, *record);
-            own.m_learnt_ms.try_emplace(revision, input.m_logged_ms);
+            move_history& history = m_moves[record->m_move_id];
+            history.m_records.try_emplace(revision, *record);
+            history.m_received_ms.try_emplace(revision, input.m_logged_ms);
         }
     }
-    if (input.m_input != "prune" && process.m_facts.m_suspensions.contains(process.m_move_id)) {
-        ++m_weights;
-        m_weights_after_suspension += action != "0" ? 1 : 0;
+    if (input.m_input_name != "prune" &&
+        process.m_facts.m_suspensions.contains(process.m_move_id)) {
+        ++m_weight_checks;
+        m_nonzero_weights_after_suspension += action != "0" ? 1 : 0;
     }
 }
 
-void outcome_watch::observe_move(const replayed_process& process, const replay_input& input) {
-    if (input.m_input != "step" && input.m_input != "start" && input.m_input != "takeover") {
+void outcome_checker::observe_move(const replayed_process& process, const replay_input& input) {
+    if (input.m_input_name != "step" && input.m_input_name != "start" &&
+        input.m_input_name != "takeover") {
         return;
     }
     ++m_steps;
     const auto keeper = process.m_leases.find("caraway/lease/move/" + process.m_service);
     const bool held = keeper != process.m_leases.end() && lease_held(keeper->second, input.m_now);
-    m_steps_outside += held ? 0 : 1;
+    m_steps_without_lease += held ? 0 : 1;
 }
 
-outcome_watch::verdict outcome_watch::judge(const stated_outcome& outcome) const {
+outcome_checker::check_result outcome_checker::check(const expected_outcome& outcome) const {
     const std::string& check = outcome.m_check;
     if (check == "one_holder") {
-        return {m_overlaps == 0 && m_holds > 0,
-                fmt::format("{}: {} changes of holder, {} overlaps", check, m_holds, m_overlaps)};
+        return {m_lease_overlaps == 0 && m_holder_changes > 0,
+                fmt::format("{}: {} changes of holder, {} overlaps", check, m_holder_changes,
+                            m_lease_overlaps)};
     }
     if (check == "steps_under_lease") {
-        return {m_steps_outside == 0 && m_steps > 0,
-                fmt::format("{}: {} steps, {} without the lease", check, m_steps, m_steps_outside)};
+        return {m_steps_without_lease == 0 && m_steps > 0,
+                fmt::format("{}: {} steps, {} without the lease", check, m_steps,
+                            m_steps_without_lease)};
     }
     if (check == "running_within_slots") {
-        return {m_over_slots == 0 && m_call_starts > 0,
+        return {m_calls_over_slots == 0 && m_call_starts > 0,
                 fmt::format("{}: {} calls, at most {} at once, {} above the slots", check,
-                            m_call_starts, m_most_running, m_over_slots)};
+                            m_call_starts, m_max_running, m_calls_over_slots)};
     }
     if (check == "cold_start_share") {
         return {
-            m_over_cold == 0 && m_most_cold > 0,
+            m_calls_over_cold_share == 0 && m_max_running_cold > 0,
             fmt::format("{}: at most {} at once in the first {:.1f} s, {} calls above a quarter",
-                        check, m_most_cold, seconds(m_cold_hold), m_over_cold)};
+                        check, m_max_running_cold, seconds(m_cold_hold), m_calls_over_cold_share)};
     }
     if (check == "version_never_falls") {
-        return {m_falls == 0 && m_applies > 0,
-                fmt::format("{}: {} versions applied, {} falls", check, m_applies, m_falls)};
+        return {m_version_decreases == 0 && m_apply_count > 0,
+                fmt::format("{}: {} versions applied, {} falls", check, m_apply_count,
+                            m_version_decreases)};
     }
     if (check == "no_weight_after_suspension") {
-        return {m_weights_after_suspension == 0 && m_weights > 0,
-                fmt::format("{}: {} times looked at, {} above 0", check, m_weights,
-                            m_weights_after_suspension)};
+        return {m_nonzero_weights_after_suspension == 0 && m_weight_checks > 0,
+                fmt::format("{}: {} times looked at, {} above 0", check, m_weight_checks,
+                            m_nonzero_weights_after_suspension)};
     }
     if (check == "one_final_state") {
-        return judge_finals();
+        return check_final_states();
     }
     if (check == "move_ends") {
-        return judge_end(outcome);
+        return check_move_ends(outcome);
     }
-    return check == "suspended_within" ? judge_suspension(outcome) : judge_count(outcome);
+    return check == "suspended_within" ? check_suspension_time(outcome) : check_count(outcome);
 }
 
-outcome_watch::verdict outcome_watch::judge_finals() const {
+outcome_checker::check_result outcome_checker::check_final_states() const {
     std::size_t finals = 0;
     std::size_t rewritten = 0;
-    for (const auto& [id, each] : m_moves) {
+    for (const auto& [id, history] : m_moves) {
         bool ended = false;
-        for (const auto& [revision, record] : each.m_records) {
+        for (const auto& [revision, record] : history.m_records) {
             rewritten += ended ? 1 : 0;
             ended = ended || record.m_state != move_state::running;
         }
@@ -243,22 +253,24 @@
         fmt::format("one_final_state: {} final states, {} records after one", finals, rewritten)};
 }
 
-outcome_watch::verdict outcome_watch::judge_end(const stated_outcome& outcome) const {
+outcome_checker::check_result
+outcome_checker::check_move_ends(const expected_outcome& outcome) const {
     std::string text = "move_ends:";
-    bool kept = !m_moves.empty();
-    for (const auto& [id, each] : m_moves) {
-        const auto& [revision, last] = *each.m_records.rbegin();
+    bool passed = !m_moves.empty();
+    for (const auto& [id, history] : m_moves) {
+        const auto& [revision, last] = *history.m_records.rbegin();
         const double left =
-            static_cast<double>(last.m_deadline_ms - each.m_learnt_ms.at(revision)) / 1'000;
-        kept = kept && move_state_name(last.m_state) == outcome.m_state &&
-               (!outcome.m_by_deadline || left >= 0);
+            static_cast<double>(last.m_deadline_ms - history.m_received_ms.at(revision)) / 1'000;
+        passed = passed && move_state_name(last.m_state) == outcome.m_state &&
+                 (!outcome.m_by_deadline || left >= 0);
         text += fmt::format(" {} {:.1f} s before its deadline ({})", move_state_name(last.m_state),
                             left, last.m_reason);
     }
-    return {kept, text};
+    return {passed, text};
 }
 
-outcome_watch::verdict outcome_watch::judge_suspension(const stated_outcome& outcome) const {
+outcome_checker::check_result
+outcome_checker::check_suspension_time(const expected_outcome& outcome) const {
     if (m_suspended.empty() || outcome.m_count == 0) {
         return {false, "suspended_within: never suspended"};
     }
@@ -275,27 +287,27 @@
                         seconds(took), outcome.m_count, seconds(outcome.m_limit))};
 }
 
-outcome_watch::verdict outcome_watch::judge_count(const stated_outcome& outcome) const {
+outcome_checker::check_result outcome_checker::check_count(const expected_outcome& outcome) const {
     std::size_t count = 0;
-    if (outcome.m_of == "takeovers") {
-        for (const auto& [id, each] : m_moves) {
+    if (outcome.m_quantity == "takeovers") {
+        for (const auto& [id, history] : m_moves) {
             std::set<std::string> holders;
-            for (const auto& [revision, record] : each.m_records) {
+            for (const auto& [revision, record] : history.m_records) {
                 holders.insert(record.m_holder);
             }
             count += holders.size() - 1;
         }
-    } else if (outcome.m_of == "restarts") {
-        for (const auto& [instance, readies] : m_readies) {
-            count += readies - 1;
+    } else if (outcome.m_quantity == "restarts") {
+        for (const auto& [instance, ready_count] : m_ready_counts) {
+            count += ready_count - 1;
         }
-    } else if (outcome.m_of == "store_errors") {
+    } else if (outcome.m_quantity == "store_errors") {
         count = m_store_errors;
-    } else if (outcome.m_of == "calls") {
+    } else if (outcome.m_quantity == "calls") {
         count = m_call_starts;
     }
     return {count >= outcome.m_count && outcome.m_count > 0,
-            fmt::format("at_least: {} {}, stated {}", count, outcome.m_of, outcome.m_count)};
+            fmt::format("at_least: {} {}, stated {}", count, outcome.m_quantity, outcome.m_count)};
 }
 
 } // namespace caraway
--- a/src/ctl/replay_player.cpp
+++ b/src/ctl/replay_player.cpp
@@ -16,35 +16,36 @@
     return time_point(std::chrono::duration_cast<duration>(std::chrono::nanoseconds(value)));
 }
 
-wall_time wall_of(std::int64_t unix_milliseconds) {
+wall_time wall_time_from_ms(std::int64_t unix_milliseconds) {
     return wall_time(milliseconds(unix_milliseconds));
 }
 
-error_kind kind_of(const replay_input& input) {
+error_kind error_kind_of(const replay_input& input) {
     return error_kind_from_name(input.text("kind")).value_or(error_kind::internal);
 }
 
 std::string replay_lease(replayed_process& process, const replay_input& input) {
     const std::string key = input.text("key");
-    if (input.m_input == "begin") {
+    if (input.m_input_name == "begin") {
         process.m_leases[key] = make_lease_keeper(
             key, input.text("value"), milliseconds(input.number("period_ms")), input.count("seed"));
         return {};
     }
     lease_keeper& keeper = process.m_leases[key];
-    if (input.m_input == "tick") {
+    if (input.m_input_name == "tick") {
         const lease_request request = lease_tick(keeper, input.flag("wanted"), input.m_now);
         return action_text(keeper, request);
     }
     lease_receive(
-        keeper, {kind_of(input), input.text("lease"), input.count("revision"), input.text("value")},
+        keeper,
+        {error_kind_of(input), input.text("lease"), input.count("revision"), input.text("value")},
         input.m_now);
     return action_text(keeper, lease_request::none);
 }
 
 // Stands in for the text, which is not recorded: texts with different versions or hashes differ,
 // and the hash fits exactly if it did in the recording.
-config_text text_of(const replay_input& input) {
+config_text substitute_text(const replay_input& input) {
     config_text text;
     text.m_version = input.count("version");
     text.m_text = std::make_shared<const std::string>(
@@ -53,9 +54,9 @@
     return text;
 }
 
-std::vector<distribution_action> decide_version(distribution_state& state,
-                                                const replay_input& input) {
-    const std::string& name = input.m_input;
+std::vector<distribution_action> replay_distribution_input(distribution_state& state,
+                                                           const replay_input& input) {
+    const std::string& name = input.m_input_name;
     const time_point now = input.m_now;
     if (name == "fetch_failed") {
         return distribution_fetch_failed(state, now);
@@ -74,12 +75,12 @@
     }
     if (name == "store_read") {
         const bool any = version != 0;
-        return distribution_store_read(state, any ? std::optional(text_of(input)) : std::nullopt,
-                                       live, now);
+        return distribution_store_read(
+            state, any ? std::optional(substitute_text(input)) : std::nullopt, live, now);
     }
     const std::string instance = input.text("from_instance");
     if (name == "received") {
-        return distribution_text_received(state, instance, text_of(input), live, now);
+        return distribution_text_received(state, instance, substitute_text(input), live, now);
     }
     if (name == "joined") {
         return distribution_join_reply(state, instance, version, input.count("predecessor_version"),
@@ -89,24 +90,24 @@
 }
 
 std::string replay_distribution(replayed_process& process, const replay_input& input) {
-    if (input.m_input == "begin") {
+    if (input.m_input_name == "begin") {
         process.m_distribution =
             make_distribution(process.m_instance, milliseconds(input.number("fetch_timeout_ms")),
                               input.count("seed"));
         return {};
     }
-    process.m_actions = decide_version(process.m_distribution, input);
+    process.m_actions = replay_distribution_input(process.m_distribution, input);
     return action_text(process.m_actions);
 }
 
 std::string replay_admission(replayed_process& process, const replay_input& input) {
     admission_state& state = process.m_admission;
-    const std::string& name = input.m_input;
+    const std::string& name = input.m_input_name;
     if (name == "offer") {
         const admission_result result = admission_offer(
             state, input.count("call"), static_cast<urgency>(input.count("urgency")),
             from_ns(input.number("deadline_ns")), input.m_now);
-        process.m_started = result.m_verdict == admission_verdict::run ? 1 : 0;
+        process.m_started_calls = result.m_verdict == admission_verdict::run ? 1 : 0;
         return action_text(state, result);
     }
     admission_release release;
@@ -129,17 +130,17 @@
     } else {
         release = admission_tick(state, input.m_now);
     }
-    process.m_started = release.m_run.size();
+    process.m_started_calls = release.m_run.size();
     return action_text(state, release);
 }
 
 std::string replay_facts(replayed_process& process, const replay_input& input) {
     fact_table& facts = process.m_facts;
-    if (input.m_input == "prune") {
+    if (input.m_input_name == "prune") {
         prune_facts(facts, {input.text("keep")});
         return {};
     }
-    if (input.m_input == "suspension") {
+    if (input.m_input_name == "suspension") {
         merge_suspension(facts,
                          {input.text("move"), input.text("service"), input.text("version"),
                           input.text("seen_by"), input.text("reason"), input.number("at_ms")});
@@ -167,21 +168,23 @@
         return "record is damaged";
     }
     move_step step{move_step::kind::write, {}};
-    if (input.m_input == "takeover") {
+    if (input.m_input_name == "takeover") {
         step.m_record = take_over_move(*record, process.m_instance);
     } else {
         const bool suspended = input.flag("suspended");
-        process.m_consistent = suspended == is_suspended(process.m_facts, process.m_move_id);
-        step = step_move(*record, process.m_evidence, suspended, wall_of(input.number("wall_ms")));
+        process.m_suspension_matches =
+            suspended == is_suspended(process.m_facts, process.m_move_id);
+        step = step_move(*record, process.m_evidence, suspended,
+                         wall_time_from_ms(input.number("wall_ms")));
     }
     if (step.m_kind == move_step::kind::write) {
-        process.m_written = step.m_record;
+        process.m_written_record = step.m_record;
     }
     return action_text(step);
 }
 
 std::string replay_move(replayed_process& process, const replay_input& input) {
-    const std::string& name = input.m_input;
+    const std::string& name = input.m_input_name;
     if (name == "report") {
         add_report(process, input);
     } else if (name == "evidence") {
@@ -189,25 +192,26 @@
         process.m_reports.clear();
         return action_text(judge_evidence(process.m_evidence));
     } else if (name == "local_evidence") {
-        process.m_local.m_instances = static_cast<std::uint32_t>(input.count("instances"));
-        add_evidence(process.m_local, process.m_reports, input.text("from"), input.text("to"));
+        process.m_local_evidence.m_instances = static_cast<std::uint32_t>(input.count("instances"));
+        add_evidence(process.m_local_evidence, process.m_reports, input.text("from"),
+                     input.text("to"));
         process.m_reports.clear();
         std::string reason;
-        return is_locally_bad(process.m_local, reason) ? "bad " + reason : "not bad";
+        return is_locally_bad(process.m_local_evidence, reason) ? "bad " + reason : "not bad";
     } else if (name == "stage") {
         begin_stage(process.m_evidence);
     } else if (name == "local_stage") {
-        begin_stage(process.m_local);
+        begin_stage(process.m_local_evidence);
     } else if (name == "change") {
         process.m_move_id = input.text("move");
         process.m_evidence = {};
-        process.m_local = {};
+        process.m_local_evidence = {};
     } else if (name == "start") {
-        process.m_written =
+        process.m_written_record =
             start_move(input.text("move"), input.text("service"), input.text("from"),
-                       input.text("to"), wall_of(input.number("deadline_ms")), process.m_instance,
-                       wall_of(input.number("wall_ms")));
-        return action_text(move_step{move_step::kind::write, *process.m_written});
+                       input.text("to"), wall_time_from_ms(input.number("deadline_ms")),
+                       process.m_instance, wall_time_from_ms(input.number("wall_ms")));
+        return action_text(move_step{move_step::kind::write, *process.m_written_record});
     } else {
         return replay_record(process, input);
     }
@@ -244,11 +248,11 @@
     input.m_instance = input.text("instance");
     input.m_logged_ms = input.number("time");
     if (event->second == dropped_event) {
-        input.m_part = dropped_event;
+        input.m_component = dropped_event;
         return input;
     }
-    input.m_part = input.text("part");
-    input.m_input = input.text("input");
+    input.m_component = input.text("part");
+    input.m_input_name = input.text("input");
     input.m_action = input.text("action");
     input.m_now = from_ns(input.number("now_ns"));
     return input;
@@ -276,22 +280,22 @@
 
 std::string replay(replayed_process& process, const replay_input& input) {
     process.m_actions.clear();
-    process.m_started = 0;
-    process.m_written.reset();
-    process.m_consistent = true;
-    if (input.m_part == "lease") {
+    process.m_started_calls = 0;
+    process.m_written_record.reset();
+    process.m_suspension_matches = true;
+    if (input.m_component == "lease") {
         return replay_lease(process, input);
     }
-    if (input.m_part == "distribution") {
+    if (input.m_component == "distribution") {
         return replay_distribution(process, input);
     }
-    if (input.m_part == "admission") {
+    if (input.m_component == "admission") {
         return replay_admission(process, input);
     }
-    if (input.m_part == "facts") {
+    if (input.m_component == "facts") {
         return replay_facts(process, input);
     }
-    if (input.m_part == "version_move") {
+    if (input.m_component == "version_move") {
         return replay_move(process, input);
     }
     return {};
--- a/src/ctl/replay_player.hpp
+++ b/src/ctl/replay_player.hpp
@@ -24,8 +24,8 @@
     static std::optional<replay_input> parse(std::string_view line);
 
     std::string m_instance;
-    std::string m_part;
-    std::string m_input;
+    std::string m_component;
+    std::string m_input_name;
     std::string m_action; // recorded
     time_point m_now;
     std::int64_t m_logged_ms = 0;
@@ -51,15 +51,15 @@
     distribution_state m_distribution;
     admission_state m_admission = make_admission({});
     move_evidence m_evidence;
-    move_evidence m_local;
+    move_evidence m_local_evidence;
     std::vector<evidence_report> m_reports; // since the last weighing
     fact_table m_facts;
     std::string m_move_id;
     // What the last input gave, for the checks of outcomes.
     std::vector<distribution_action> m_actions;
-    std::size_t m_started = 0; // calls that may run now
-    std::optional<move_record> m_written;
-    bool m_consistent = true; // the recorded suspension flag agrees with the replayed facts
+    std::size_t m_started_calls = 0; // calls that may run now
+    std::optional<move_record> m_written_record;
+    bool m_suspension_matches = true; // the recorded suspension flag agrees with the replayed facts
 };
 
 // Applies one input and returns the action's text, to be compared with the recorded one.
--- a/src/ctl/report_commands.cpp
+++ b/src/ctl/report_commands.cpp
@@ -90,23 +90,23 @@
 };
 
 // True when the refusal concerns the text that stands in the store now.
-bool is_refused_now(const mesh_status& status) {
+bool is_current_text_refused(const mesh_status& status) {
     return status.m_refused && status.m_refused->m_source_revision == status.m_text_revision;
 }
 
 // Reads everything; returns the failed reply when the store can't be read.
-std::optional<store_reply> read_status(const store_calls& store, mesh_status& status) {
+std::optional<store_reply> read_status(const store_interface& store, mesh_status& status) {
     const store_reply states = store.m_list("caraway/state/");
     if (states.m_kind != error_kind::none) {
         return states;
     }
     for (const store_entry& entry : states.m_entries) {
         if (entry.m_key == accepted_key) {
-            status.m_accepted = read_accepted(entry.m_value);
+            status.m_accepted = parse_accepted(entry.m_value);
         } else if (entry.m_key == refused_key) {
-            status.m_refused = read_refused(entry.m_value);
+            status.m_refused = parse_refused(entry.m_value);
         } else if (entry.m_key.starts_with(move_prefix)) {
-            if (auto move = read_move(entry.m_value)) {
+            if (auto move = parse_move(entry.m_value)) {
                 status.m_moves.push_back(std::move(*move));
             }
         }
@@ -130,7 +130,7 @@
         const store_reply verdict =
             store.m_get(fmt::format("{}{}", config_verdict_prefix, status.m_accepted->m_version));
         if (verdict.m_kind == error_kind::none) {
-            status.m_verdict = read_config_verdict(verdict.m_value);
+            status.m_verdict = parse_config_verdict(verdict.m_value);
         } else if (verdict.m_kind != error_kind::store_not_found) {
             return verdict;
         }
@@ -141,7 +141,8 @@
 json::object to_json(const mesh_status& status) {
     json::object object{{"text_revision", status.m_text_revision}};
     object["accepted"] = status.m_accepted ? json::value(to_json(*status.m_accepted)) : nullptr;
-    object["refused"] = is_refused_now(status) ? json::value(to_json(*status.m_refused)) : nullptr;
+    object["refused"] =
+        is_current_text_refused(status) ? json::value(to_json(*status.m_refused)) : nullptr;
     object["verdict"] = status.m_verdict ? json::value(to_json(*status.m_verdict)) : nullptr;
     json::array moves;
     for (const move_view& move : status.m_moves) {
@@ -159,7 +160,7 @@
 void print_status(const console& out, const mesh_status& status) {
     out.m_out(status.m_accepted ? fmt::format("accepted: {}", describe(*status.m_accepted))
                                 : std::string("accepted: nothing yet"));
-    if (is_refused_now(status)) {
+    if (is_current_text_refused(status)) {
         out.m_out(fmt::format("refused: revision {}", status.m_text_revision));
         for (const text_fault& fault : status.m_refused->m_faults) {
             out.m_out(fmt::format("  {}", format_fault("text", fault)));
@@ -189,15 +190,15 @@
 }
 
 // What show_verdicts prints and remembers while it follows.
-struct verdict_feed {
+struct verdict_printer {
     const console* m_out = nullptr;
     const verdict_options* m_options = nullptr;
     std::set<std::string> m_final_moves;   // move ids whose final state was printed
     std::optional<move_view> m_last_final; // the latest of them
 };
 
-void print_move(const verdict_feed& feed, const move_view& move) {
-    const console& out = *feed.m_out;
+void print_move(const verdict_printer& printer, const move_view& move) {
+    const console& out = *printer.m_out;
     if (out.m_json) {
         json::object object = to_json(move);
         object["kind"] = is_final(move) ? "move_verdict" : "move_progress";
@@ -207,8 +208,8 @@
     }
 }
 
-void print_verdict(const verdict_feed& feed, const config_verdict_view& verdict) {
-    const console& out = *feed.m_out;
+void print_verdict(const verdict_printer& printer, const config_verdict_view& verdict) {
+    const console& out = *printer.m_out;
     if (out.m_json) {
         json::object object = to_json(verdict);
         object["kind"] = verdict.m_final ? "config_verdict" : "config_progress";
@@ -219,42 +220,42 @@
 }
 
 // Prints one verdict or one step of a move, if it was asked for.
-void print_entry(verdict_feed& feed, const store_entry& entry) {
-    const std::string& service = feed.m_options->m_service;
+void print_entry(verdict_printer& printer, const store_entry& entry) {
+    const std::string& service = printer.m_options->m_service;
     if (entry.m_deleted) {
         return;
     }
     if (entry.m_key.starts_with(config_verdict_prefix)) {
-        const auto verdict = read_config_verdict(entry.m_value);
-        if (verdict && service.empty() && (verdict->m_final || feed.m_options->m_follow)) {
-            print_verdict(feed, *verdict);
+        const auto verdict = parse_config_verdict(entry.m_value);
+        if (verdict && service.empty() && (verdict->m_final || printer.m_options->m_follow)) {
+            print_verdict(printer, *verdict);
         }
         return;
     }
-    const bool final_key = entry.m_key.starts_with(move_verdict_prefix);
-    if (!final_key && !entry.m_key.starts_with(move_prefix)) {
+    const bool is_verdict_key = entry.m_key.starts_with(move_verdict_prefix);
+    if (!is_verdict_key && !entry.m_key.starts_with(move_prefix)) {
         return;
     }
-    const std::string_view named =
-        service_of(entry.m_key, final_key ? move_verdict_prefix : move_prefix);
-    if (!service.empty() && named != service) {
+    const std::string_view entry_service =
+        service_of(entry.m_key, is_verdict_key ? move_verdict_prefix : move_prefix);
+    if (!service.empty() && entry_service != service) {
         return;
     }
-    const auto move = read_move(entry.m_value);
+    const auto move = parse_move(entry.m_value);
     // A final state stands in the move's record and in its verdict, and is printed once.
-    if (!move || (is_final(*move) && !feed.m_final_moves.insert(move->m_move_id).second) ||
-        (!is_final(*move) && !feed.m_options->m_follow)) {
+    if (!move || (is_final(*move) && !printer.m_final_moves.insert(move->m_move_id).second) ||
+        (!is_final(*move) && !printer.m_options->m_follow)) {
         return;
     }
-    print_move(feed, *move);
+    print_move(printer, *move);
     if (is_final(*move)) {
-        feed.m_last_final = move;
+        printer.m_last_final = move;
     }
 }
 
 // Lists verdicts and move records, oldest first. Returns the store's revision.
-std::optional<std::uint64_t> print_present(const console& out, const store_calls& store,
-                                           verdict_feed& feed) {
+std::optional<std::uint64_t> print_stored(const console& out, const store_interface& store,
+                                          verdict_printer& printer) {
     store_reply listed = store.m_list(verdict_prefix);
     const store_reply moves =
         listed.m_kind == error_kind::none ? store.m_list(move_prefix) : store_reply{};
@@ -267,14 +268,14 @@
     std::sort(listed.m_entries.begin(), listed.m_entries.end(),
               [](const auto& a, const auto& b) { return a.m_revision < b.m_revision; });
     for (const store_entry& entry : listed.m_entries) {
-        print_entry(feed, entry);
+        print_entry(printer, entry);
     }
     return listed.m_revision;
 }
 
 } // namespace
 
-int show_status(const console& out, const store_calls& store) {
+int show_status(const console& out, const store_interface& store) {
     mesh_status status;
     if (const auto failure = read_status(store, status)) {
         return report_store_failure(out, *failure);
@@ -284,7 +285,7 @@
     } else {
         print_status(out, status);
     }
-    if (is_refused_now(status)) {
+    if (is_current_text_refused(status)) {
         return exit_refused;
     }
     const bool negative =
@@ -292,49 +293,50 @@
     return negative ? exit_negative : exit_done;
 }
 
-int show_verdicts(const console& out, const store_calls& store, const verdict_options& options) {
-    verdict_feed feed{&out, &options, {}, {}};
-    const auto revision = print_present(out, store, feed);
+int show_verdicts(const console& out, const store_interface& store,
+                  const verdict_options& options) {
+    verdict_printer printer{&out, &options, {}, {}};
+    const auto revision = print_stored(out, store, printer);
     if (!revision) {
         return exit_unreachable;
     }
-    const auto service_code = [&] {
-        const bool negative = feed.m_last_final && feed.m_last_final->m_state != "done";
+    const auto exit_code = [&] {
+        const bool negative = printer.m_last_final && printer.m_last_final->m_state != "done";
         return !options.m_service.empty() && negative ? exit_negative : exit_done;
     };
     if (!options.m_follow) {
-        return service_code();
+        return exit_code();
     }
     // With a service, following ends with the verdict on the move of the accepted text. The record
     // alone doesn't tell: right after an acceptance it may still be the former move's.
-    std::string awaited;
+    std::string awaited_move_id;
     if (!options.m_service.empty()) {
-        current_state current;
-        if (const auto failure = read_current(store, current)) {
+        accepted_config current;
+        if (const auto failure = read_accepted_config(store, current)) {
             return report_store_failure(out, *failure);
         }
         if (current.m_mesh) {
             const auto service = current.m_mesh->m_services.find(options.m_service);
             if (service != current.m_mesh->m_services.end() && service->second.m_move) {
-                awaited = move_id(options.m_service, *service->second.m_move);
+                awaited_move_id = move_id(options.m_service, *service->second.m_move);
             }
         }
-        if (awaited.empty() || feed.m_final_moves.contains(awaited)) {
-            return service_code();
+        if (awaited_move_id.empty() || printer.m_final_moves.contains(awaited_move_id)) {
+            return exit_code();
         }
     }
     const std::array<std::string, 2> prefixes{std::string(verdict_prefix),
                                               std::string(move_prefix)};
-    const error_kind ended =
-        store.m_follow(prefixes, *revision, options.m_limit, [&](const store_entry& entry) {
-            print_entry(feed, entry);
-            return awaited.empty() || !feed.m_final_moves.contains(awaited);
+    const error_kind follow_result =
+        store.m_follow(prefixes, *revision, options.m_timeout, [&](const store_entry& entry) {
+            print_entry(printer, entry);
+            return awaited_move_id.empty() || !printer.m_final_moves.contains(awaited_move_id);
         });
-    if (ended != error_kind::none && !awaited.empty()) {
+    if (follow_result != error_kind::none && !awaited_move_id.empty()) {
         out.m_err(fmt::format("no verdict on {} in the time given", options.m_service));
         return exit_negative;
     }
-    return service_code();
+    return exit_code();
 }
 
 } // namespace caraway
--- a/src/ctl/store_session.cpp
+++ b/src/ctl/store_session.cpp
@@ -18,18 +18,18 @@
 // Attempts of one call and the pause before the second; the pause doubles, so that all attempts
 // together wait some 3 s. An operator sees an outage of the store instead of a hanging command.
 constexpr int max_attempts = 6;
-constexpr milliseconds first_pause{100};
+constexpr milliseconds initial_pause{100};
 
 // Writes that are tried again after an answer was lost and the key was found unchanged.
-constexpr int max_writes = 4;
+constexpr int max_write_attempts = 4;
 
 // How long one watch waits in the store.
 constexpr milliseconds watch_wait{10'000};
 // Pause after a watch failed.
-constexpr milliseconds watch_pause{500};
+constexpr milliseconds watch_retry_pause{500};
 
 // True when the call had no effect and may succeed later.
-bool may_try_again(error_kind kind) {
+bool is_retryable(error_kind kind) {
     return kind == error_kind::store_unreachable || kind == error_kind::store_throttled;
 }
 
@@ -55,14 +55,14 @@
     }
 
     template <typename starter>
-    store_reply retry(bool reads, starter start) {
+    store_reply retry(bool is_read, starter start) {
         store_reply reply;
-        milliseconds pause = first_pause;
+        milliseconds pause = initial_pause;
         for (int attempt = 0; attempt < max_attempts; ++attempt) {
             reply = wait_for(start);
-            const bool again = may_try_again(reply.m_kind) ||
-                               (reads && reply.m_kind == error_kind::store_outcome_unknown);
-            if (!again || attempt + 1 == max_attempts) {
+            const bool retryable = is_retryable(reply.m_kind) ||
+                                   (is_read && reply.m_kind == error_kind::store_outcome_unknown);
+            if (!retryable || attempt + 1 == max_attempts) {
                 break;
             }
             std::this_thread::sleep_for(pause);
@@ -73,7 +73,7 @@
 };
 
 // One follow call under way: a watch for each prefix, restarted after each reply.
-struct follower {
+struct follow_state {
     session* m_session = nullptr;
     const change_handler* m_handler = nullptr;
     std::vector<std::unique_ptr<asio::steady_timer>> m_timers; // pauses after failures
@@ -81,7 +81,7 @@
     bool m_stopped = false;
 };
 
-void watch_prefix(const std::shared_ptr<follower>& state, const std::string& prefix,
+void watch_prefix(const std::shared_ptr<follow_state>& state, const std::string& prefix,
                   std::uint64_t after) {
     state->m_session->m_client->watch(
         prefix, after, watch_wait, [state, prefix, after](const store_reply& reply) {
@@ -90,7 +90,7 @@
             }
             if (reply.m_kind != error_kind::none) {
                 auto timer = std::make_unique<asio::steady_timer>(state->m_session->m_context);
-                timer->expires_after(watch_pause);
+                timer->expires_after(watch_retry_pause);
                 timer->async_wait([state, prefix, after](const boost::system::error_code& failure) {
                     if (!failure && !state->m_stopped) {
                         watch_prefix(state, prefix, after);
@@ -116,36 +116,38 @@
 
 } // namespace
 
-store_calls open_store(std::vector<ip_endpoint> addresses, milliseconds timeout) {
-    auto open = std::make_shared<session>();
-    open->m_client =
-        store_client::create(open->m_context, std::move(addresses), own_store_codec(), timeout, {});
-    store_calls calls;
-    calls.m_get = [open](std::string_view key) {
-        return open->retry(true, [&](store_callback done) { open->m_client->get(key, done); });
+store_interface open_store(std::vector<ip_endpoint> addresses, milliseconds timeout) {
+    auto opened = std::make_shared<session>();
+    opened->m_client = store_client::create(opened->m_context, std::move(addresses),
+                                            own_store_codec(), timeout, {});
+    store_interface calls;
+    calls.m_get = [opened](std::string_view key) {
+        return opened->retry(true, [&](store_callback done) { opened->m_client->get(key, done); });
     };
-    calls.m_put = [open](std::string_view key, std::string_view value, std::uint64_t if_revision) {
-        return open->retry(false, [&](store_callback done) {
-            open->m_client->put(key, value, if_revision, "", done);
+    calls.m_put = [opened](std::string_view key, std::string_view value,
+                           std::uint64_t if_revision) {
+        return opened->retry(false, [&](store_callback done) {
+            opened->m_client->put(key, value, if_revision, "", done);
         });
     };
-    calls.m_list = [open](std::string_view prefix) {
-        return open->retry(true, [&](store_callback done) { open->m_client->list(prefix, done); });
+    calls.m_list = [opened](std::string_view prefix) {
+        return opened->retry(true,
+                             [&](store_callback done) { opened->m_client->list(prefix, done); });
     };
-    calls.m_follow = [open](std::span<const std::string> prefixes, std::uint64_t after,
-                            milliseconds limit, const change_handler& handler) {
-        auto state = std::make_shared<follower>();
-        state->m_session = open.get();
+    calls.m_follow = [opened](std::span<const std::string> prefixes, std::uint64_t after,
+                              milliseconds limit, const change_handler& handler) {
+        auto state = std::make_shared<follow_state>();
+        state->m_session = opened.get();
         state->m_handler = &handler;
         for (const std::string& prefix : prefixes) {
             watch_prefix(state, prefix, after);
         }
         const auto end = std::chrono::steady_clock::now() + limit;
-        open->m_context.restart();
+        opened->m_context.restart();
         while (!state->m_stopped) {
             if (limit.count() == 0) {
-                open->m_context.run_one();
-            } else if (open->m_context.run_one_until(end) == 0) {
+                opened->m_context.run_one();
+            } else if (opened->m_context.run_one_until(end) == 0) {
                 state->m_stopped = true;
                 state->m_result = error_kind::deadline_after_send;
             }
@@ -156,11 +158,11 @@
     return calls;
 }
 
-write_result write_if_unchanged(const store_calls& store, std::string_view key,
+write_result write_if_unchanged(const store_interface& store, std::string_view key,
                                 std::string_view value, std::uint64_t if_revision) {
     write_result result;
     bool answer_lost = false;
-    for (int attempt = 0; attempt < max_writes; ++attempt) {
+    for (int attempt = 0; attempt < max_write_attempts; ++attempt) {
         const store_reply reply = store.m_put(key, value, if_revision);
         result.m_text = reply.m_text;
         if (reply.m_kind == error_kind::none) {
@@ -182,7 +184,8 @@
         const store_reply found = store.m_get(key);
         const bool absent = found.m_kind == error_kind::store_not_found;
         if (found.m_kind != error_kind::none && !absent) {
-            result.m_kind = answer_lost ? write_result::kind::unknown : write_result::kind::lost;
+            result.m_kind =
+                answer_lost ? write_result::kind::unknown : write_result::kind::lost_race;
             result.m_revision = reply.m_revision;
             result.m_text = found.m_text;
             return result;
@@ -196,10 +199,10 @@
             result.m_revision = revision;
             return result;
         }
-        result.m_kind = write_result::kind::lost;
+        result.m_kind = write_result::kind::lost_race;
         result.m_revision = revision;
         result.m_value = found.m_value;
-        result.m_may_have_run = answer_lost;
+        result.m_may_have_been_stored = answer_lost;
         return result;
     }
     result.m_kind = write_result::kind::unknown;
--- a/src/ctl/store_session.hpp
+++ b/src/ctl/store_session.hpp
@@ -20,7 +20,7 @@
 using change_handler = std::function<bool(const store_entry&)>;
 
 // The store as the commands use it. Tests put a fake in its place.
-struct store_calls {
+struct store_interface {
     std::function<store_reply(std::string_view key)> m_get;
     std::function<store_reply(std::string_view key, std::string_view value,
                               std::uint64_t if_revision)>
@@ -35,27 +35,27 @@
 
 // Opens a session with the store. Calls that can't have taken effect are tried again a few times
 // with a growing pause, on the next address after a connection failure.
-store_calls open_store(std::vector<ip_endpoint> addresses, milliseconds timeout);
+store_interface open_store(std::vector<ip_endpoint> addresses, milliseconds timeout);
 
 // How a compare-and-swap ended.
 struct write_result {
     enum class kind : std::uint8_t {
         written,
-        lost,        // another writer was first; m_revision and m_value are the store's
+        lost_race,   // another writer was first; m_revision and m_value are the store's
         unknown,     // the answer was lost and the key can't be read back
         unreachable, // nothing was written
         too_large,
     };
     kind m_kind = kind::unreachable;
-    std::uint64_t m_revision = 0; // of the key after the write, or of the winner
-    std::string m_value;          // lost: the winner's value
-    bool m_may_have_run = false;  // lost: the own value may have stood before the winner's
-    std::string m_text;           // reason of a failure
+    std::uint64_t m_revision = 0;        // of the key after the write, or of the winner
+    std::string m_value;                 // lost: the winner's value
+    bool m_may_have_been_stored = false; // lost: the own value may have stood before the winner's
+    std::string m_text;                  // reason of a failure
 };
 
 // Writes value if the key is still at if_revision (0: absent). After a lost answer the key is read
 // back before the write is tried again, so that the own write is not taken for another's.
-write_result write_if_unchanged(const store_calls& store, std::string_view key,
+write_result write_if_unchanged(const store_interface& store, std::string_view key,
                                 std::string_view value, std::uint64_t if_revision);
 
 } // namespace caraway
--- a/src/ctl/text_commands.cpp
+++ b/src/ctl/text_commands.cpp
@@ -24,8 +24,8 @@
 
 namespace json = boost::json;
 
-constexpr std::string_view text_key_name = "caraway/text";
-constexpr std::string_view text_delta_key_name = "caraway/text-delta";
+constexpr std::string_view text_key = "caraway/text";
+constexpr std::string_view text_delta_key = "caraway/text-delta";
 constexpr std::string_view accepted_key = "caraway/state/accepted";
 constexpr std::string_view refused_key = "caraway/state/refused";
 constexpr std::string_view config_verdict_prefix = "caraway/verdict/config/";
@@ -143,8 +143,8 @@
 
 // Puts a fresh attribution line at the end, in place of an old one there. Lines before it keep
 // their numbers, so that faults point into the operator's file.
-std::string attribute(std::string_view text, std::string_view by, wall_time now,
-                      std::uint64_t from) {
+std::string add_attribution(std::string_view text, std::string_view by, wall_time now,
+                            std::uint64_t from) {
     const std::size_t at = text.rfind(attribution_prefix);
     if (at != std::string_view::npos && (at == 0 || text[at - 1] == '\n') &&
         text.find('\n', at) >= text.size() - 1) {
@@ -176,8 +176,8 @@
 }
 
 // Reports a lost race: who won, and how the winner's text differs from the file.
-int report_lost(const console& out, const apply_options& options, std::uint64_t from,
-                const write_result& result, const mesh& submitted) {
+int report_lost_race(const console& out, const apply_options& options, std::uint64_t from,
+                     const write_result& result, const mesh& submitted) {
     std::vector<text_fault> faults;
     std::vector<std::string> changes;
     if (const auto winner = parse_mesh(result.m_value, wall_time{}, nullptr, faults)) {
@@ -190,14 +190,14 @@
                                                {"from", from},
                                                {"revision", result.m_revision},
                                                {"by", by},
-                                               {"may_have_run", result.m_may_have_run},
+                                               {"may_have_run", result.m_may_have_been_stored},
                                                {"changes", to_json(changes)}}));
         return exit_refused;
     }
     out.m_err(fmt::format("{}: edited from revision {}, but the text is at revision {}, applied by "
                           "{}",
                           options.m_file, from, result.m_revision, by));
-    out.m_err(result.m_may_have_run
+    out.m_err(result.m_may_have_been_stored
                   ? "an answer of the store was lost: this text may have stood before the winner's"
                   : "nothing was changed; fetch the text, edit it and apply it again");
     for (const std::string& line : changes) {
@@ -208,13 +208,13 @@
 
 // What following a submitted text has seen so far.
 struct wait_state {
-    std::uint64_t m_revision = 0; // of the submitted text
-    std::uint64_t m_version = 0;  // accepted as, 0 before
-    std::optional<int> m_code;    // the exit code, once known
+    std::uint64_t m_revision = 0;   // of the submitted text
+    std::uint64_t m_version = 0;    // accepted as, 0 before
+    std::optional<int> m_exit_code; // the exit code, once known
 };
 
-void report_step(const console& out, std::string_view result, std::uint64_t version,
-                 std::string_view text) {
+void report_progress(const console& out, std::string_view result, std::uint64_t version,
+                     std::string_view text) {
     if (out.m_json) {
         out.m_out(json::serialize(
             json::object{{"result", result}, {"version", version}, {"text", text}}));
@@ -225,92 +225,94 @@
 
 // A later version in force everywhere means that no instance is behind this one either. With a
 // change every few seconds many versions are overtaken before they have a verdict of their own.
-void see_verdict(const console& out, const config_verdict_view& verdict, wait_state& state) {
+void handle_verdict(const console& out, const config_verdict_view& verdict, wait_state& state) {
     if (state.m_version == 0 || verdict.m_version < state.m_version) {
         return;
     }
     if (is_in_force(verdict)) {
-        report_step(out, "in_force", verdict.m_version, describe(verdict));
-        state.m_code = exit_done;
+        report_progress(out, "in_force", verdict.m_version, describe(verdict));
+        state.m_exit_code = exit_done;
     } else if (verdict.m_final && verdict.m_version == state.m_version) {
-        report_step(out, "not_in_force", verdict.m_version, describe(verdict));
-        state.m_code = exit_negative;
+        report_progress(out, "not_in_force", verdict.m_version, describe(verdict));
+        state.m_exit_code = exit_negative;
     }
 }
 
-void see_accepted(const console& out, const accepted_view& accepted, wait_state& state) {
+void handle_accepted(const console& out, const accepted_view& accepted, wait_state& state) {
     if (state.m_version != 0) {
         return;
     }
     if (accepted.m_source_revision == state.m_revision) {
         state.m_version = accepted.m_version;
-        report_step(out, "accepted", state.m_version, describe(accepted));
+        report_progress(out, "accepted", state.m_version, describe(accepted));
     } else if (accepted.m_source_revision > state.m_revision) {
-        report_step(out, "superseded", accepted.m_version,
-                    fmt::format("a later text was accepted in its place: {}", describe(accepted)));
-        state.m_code = exit_refused;
+        report_progress(
+            out, "superseded", accepted.m_version,
+            fmt::format("a later text was accepted in its place: {}", describe(accepted)));
+        state.m_exit_code = exit_refused;
     }
 }
 
 // Handles one record while waiting.
-void see_record(const console& out, const std::string& file, std::string_view key,
-                std::string_view value, wait_state& state) {
+void handle_record(const console& out, const std::string& file, std::string_view key,
+                   std::string_view value, wait_state& state) {
     if (key == accepted_key) {
-        if (const auto accepted = read_accepted(value)) {
-            see_accepted(out, *accepted, state);
+        if (const auto accepted = parse_accepted(value)) {
+            handle_accepted(out, *accepted, state);
         }
     } else if (key == refused_key) {
-        const auto refused = read_refused(value);
+        const auto refused = parse_refused(value);
         if (refused && refused->m_source_revision == state.m_revision) {
-            state.m_code = report_faults(out, file, refused->m_faults);
+            state.m_exit_code = report_faults(out, file, refused->m_faults);
         }
     } else if (key.starts_with(config_verdict_prefix)) {
-        if (const auto verdict = read_config_verdict(value)) {
-            see_verdict(out, *verdict, state);
+        if (const auto verdict = parse_config_verdict(value)) {
+            handle_verdict(out, *verdict, state);
         }
     }
 }
 
 // Follows a submitted text until it is refused, superseded or has its in-force verdict. Everything
 // of interest is written after the text, so that following from the text's revision misses nothing.
-int wait_for_verdict(const console& out, const store_calls& store, const apply_options& options,
+int wait_for_verdict(const console& out, const store_interface& store, const apply_options& options,
                      std::uint64_t revision) {
     wait_state state;
     state.m_revision = revision;
     const std::array<std::string, 2> prefixes{"caraway/state/", std::string(config_verdict_prefix)};
-    const auto end = std::chrono::steady_clock::now() + options.m_limit;
-    while (!state.m_code) {
+    const auto end = std::chrono::steady_clock::now() + options.m_timeout;
+    while (!state.m_exit_code) {
         const auto left =
             std::chrono::duration_cast<milliseconds>(end - std::chrono::steady_clock::now());
         const bool waiting = state.m_version == 0;
         const change_handler handler = [&](const store_entry& entry) {
             if (!entry.m_deleted) {
-                see_record(out, options.m_file, entry.m_key, entry.m_value, state);
+                handle_record(out, options.m_file, entry.m_key, entry.m_value, state);
             }
             // Once the version is known, verdicts that came before it are read again.
-            return !state.m_code && !(waiting && state.m_version != 0);
+            return !state.m_exit_code && !(waiting && state.m_version != 0);
         };
         if (left.count() <= 0 ||
             store.m_follow(prefixes, revision, left, handler) != error_kind::none) {
             return report_failure(out, exit_negative, "no_verdict",
                                   fmt::format("no verdict on revision {} within {} s", revision,
-                                              options.m_limit.count() / 1000));
+                                              options.m_timeout.count() / 1000));
         }
     }
-    return *state.m_code;
+    return *state.m_exit_code;
 }
 
 // Writes the submitted text's difference from the accepted text, so that the accepter need not read
 // the text whole. It names the revision that the store gave the text, so it can't be taken for the
 // difference of another writer's text. Without it the accepter reads the text itself after a short
 // wait, so failures are not reported.
-void submit_delta(const store_calls& store, const current_state& current, std::string_view text,
-                  std::uint64_t text_revision, std::uint64_t delta_revision) {
+void submit_delta(const store_interface& store, const accepted_config& current,
+                  std::string_view text, std::uint64_t text_revision,
+                  std::uint64_t delta_revision) {
     const std::uint64_t base = current.m_accepted ? current.m_accepted->m_version : 0;
     const std::string value =
         encode_stored_text(pack_text(text_revision, hash_bytes(text), text, base, current.m_text));
     if (value.size() < text.size()) {
-        store.m_put(text_delta_key_name, value, delta_revision);
+        store.m_put(text_delta_key, value, delta_revision);
     }
 }
 
@@ -374,14 +376,14 @@
     return report_changes(out, diff_mesh(*old_mesh, *new_mesh));
 }
 
-int diff_accepted(const console& out, const store_calls& store, const std::string& file,
+int diff_accepted(const console& out, const store_interface& store, const std::string& file,
                   wall_time now) {
     const auto text = read_file(file);
     if (!text) {
         return report_unreadable(out, file);
     }
-    current_state current;
-    if (const auto failure = read_current(store, current)) {
+    accepted_config current;
+    if (const auto failure = read_accepted_config(store, current)) {
         return report_store_failure(out, *failure);
     }
     if (current.m_accepted && !current.m_mesh) {
@@ -398,8 +400,8 @@
     return report_changes(out, diff_mesh(current.m_mesh.value_or(mesh{}), *after));
 }
 
-int fetch_text(const console& out, const store_calls& store, const std::string& file) {
-    const store_reply reply = store.m_get(text_key_name);
+int fetch_text(const console& out, const store_interface& store, const std::string& file) {
+    const store_reply reply = store.m_get(text_key);
     if (reply.m_kind == error_kind::store_not_found) {
         return report_failure(out, exit_refused, "absent",
                               "the store holds no text yet; apply the first one with --from 0");
@@ -424,24 +426,25 @@
     return exit_done;
 }
 
-int apply_text(const console& out, const store_calls& store, const apply_options& options,
+int apply_text(const console& out, const store_interface& store, const apply_options& options,
                wall_time now) {
     const auto text = read_file(options.m_file);
     if (!text) {
         return report_unreadable(out, options.m_file);
     }
-    const auto from = options.m_from ? options.m_from : read_revision(options.m_file);
+    const auto from =
+        options.m_from_revision ? options.m_from_revision : read_revision(options.m_file);
     if (!from) {
         return report_failure(out, exit_usage, "usage",
                               fmt::format("{}: no --from and no revision in {}; fetch the text "
                                           "first, or use --from 0 for the first one",
                                           options.m_file, revision_file(options.m_file)));
     }
-    current_state current;
-    if (const auto failure = read_current(store, current)) {
+    accepted_config current;
+    if (const auto failure = read_accepted_config(store, current)) {
         return report_store_failure(out, *failure);
     }
-    const std::string submitted = attribute(*text, options.m_by, now, *from);
+    const std::string submitted = add_attribution(*text, options.m_author, now, *from);
     std::vector<text_fault> faults;
     const auto parsed =
         parse_mesh(submitted, now, current.m_mesh ? &*current.m_mesh : nullptr, faults);
@@ -450,13 +453,13 @@
     }
     // Read before the text is written: a slower operator's difference doesn't replace a later
     // one's.
-    const store_reply old_delta = store.m_get(text_delta_key_name);
-    const write_result result = write_if_unchanged(store, text_key_name, submitted, *from);
+    const store_reply old_delta = store.m_get(text_delta_key);
+    const write_result result = write_if_unchanged(store, text_key, submitted, *from);
     switch (result.m_kind) {
     case write_result::kind::written:
         break;
-    case write_result::kind::lost:
-        return report_lost(out, options, *from, result, *parsed);
+    case write_result::kind::lost_race:
+        return report_lost_race(out, options, *from, result, *parsed);
     case write_result::kind::too_large:
         return report_failure(out, exit_refused, "refused", "the store refused the text's size");
     case write_result::kind::unreachable:
@@ -473,8 +476,8 @@
     if (!write_file(revision_file(options.m_file), fmt::format("{}\n", result.m_revision))) {
         out.m_err(fmt::format("{}: can't be written", revision_file(options.m_file)));
     }
-    report_step(out, "submitted", 0,
-                fmt::format("{}: submitted as revision {}", options.m_file, result.m_revision));
+    report_progress(out, "submitted", 0,
+                    fmt::format("{}: submitted as revision {}", options.m_file, result.m_revision));
     return options.m_wait ? wait_for_verdict(out, store, options, result.m_revision) : exit_done;
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -181,7 +181,8 @@
     }
 
 private:
-    // Returns the operation and the category of its key, as the label in the store_calls log line.
+    // Returns the operation and the category of its key, as the label in the store_interface log
+    // line.
     std::string store_call_label(const store_command& command) const {
         const auto category = [this, &command]() -> std::string_view {
             const adapter& platform_adapter = m_state.m_adapter;
--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -97,8 +97,8 @@
         return reply;
     }
 
-    store_calls calls() {
-        store_calls calls;
+    store_interface calls() {
+        store_interface calls;
         calls.m_get = [this](std::string_view key) {
             store_reply reply;
             const auto found = m_keys.find(key);
@@ -139,7 +139,7 @@
 };
 
 // What a command printed.
-struct printed {
+struct captured_output {
     std::string m_out;
     std::string m_err;
     console open(bool json = false) {
@@ -148,11 +148,11 @@
     }
 };
 
-apply_options apply_of(const std::string& file, std::uint64_t from) {
+apply_options make_apply_options(const std::string& file, std::uint64_t from) {
     apply_options options;
     options.m_file = file;
-    options.m_from = from;
-    options.m_by = "ana";
+    options.m_from_revision = from;
+    options.m_author = "ana";
     return options;
 }
 
@@ -169,16 +169,16 @@
 // Guards against a check that passes a bad text or hides where its faults stand.
 BOOST_AUTO_TEST_CASE(check_reports_faults_with_their_place) {
     const scratch_folder folder;
-    printed good;
+    captured_output good;
     BOOST_TEST(check_text(good.open(), folder.write("good.toml", s_text), "", s_now) == exit_done);
     const std::string bad = folder.write("bad.toml", std::string(s_text) + "timout = \"1s\"\n");
-    printed shown;
+    captured_output shown;
     BOOST_TEST(check_text(shown.open(), bad, "", s_now) == exit_refused);
     BOOST_TEST(contains(shown.m_err, "bad.toml:9:1: found unknown key \"timout\""));
-    printed as_json;
+    captured_output as_json;
     BOOST_TEST(check_text(as_json.open(true), bad, "", s_now) == exit_refused);
     BOOST_TEST(contains(as_json.m_out, R"("line":9,"column":1,"found":"unknown key)"));
-    printed absent;
+    captured_output absent;
     BOOST_TEST(check_text(absent.open(), "/nonexistent/x", "", s_now) == exit_usage);
 }
 
@@ -193,7 +193,7 @@
         "depends_on = [\"beta\"]\nmove = { to = \"2\", deadline = 2027-02-01T00:00:00Z }\n"
         "[service.beta]\nversion = \"4\"\n[[route]]\npath = \"/alpha\"\nservice = \"beta\"\n"
         "idempotent = true\nurgency = \"urgent\"\ntimeout = \"2s\"\n");
-    printed shown;
+    captured_output shown;
     BOOST_TEST(diff_files(shown.open(), before, after, s_now) == exit_done);
     BOOST_TEST(shown.m_out == "data_centre west: added, out of service\n"
                               "service alpha: move none -> to 2 by 2027-02-01T00:00:00Z\n"
@@ -205,7 +205,7 @@
                               "route /alpha: timeout 1s -> 2s\n"
                               "route /alpha: idempotent false -> true\n"
                               "route /alpha: urgency normal -> urgent\n");
-    printed back;
+    captured_output back;
     BOOST_TEST(diff_files(back.open(), after, before, s_now) == exit_done);
     BOOST_TEST(contains(back.m_out, "data_centre west: removed\n"));
     BOOST_TEST(contains(back.m_out, "service beta: removed\n"));
@@ -213,7 +213,7 @@
     fake_store store;
     store.set("caraway/state/accepted", accepted_json(3, 5));
     store.set(fmt::format("caraway/accepted-text/3-{:016x}", hash_bytes(s_text)), s_text);
-    printed against_store;
+    captured_output against_store;
     BOOST_TEST(diff_accepted(against_store.open(), store.calls(), after, s_now) == exit_done);
     BOOST_TEST(against_store.m_out == shown.m_out);
 }
@@ -224,11 +224,12 @@
     const scratch_folder folder;
     fake_store store;
     const std::string file = folder.write("text.toml", s_text);
-    printed shown;
-    apply_options options = apply_of(file, 0);
-    options.m_from.reset();
+    captured_output shown;
+    apply_options options = make_apply_options(file, 0);
+    options.m_from_revision.reset();
     BOOST_TEST(apply_text(shown.open(), store.calls(), options, s_now) == exit_usage);
-    BOOST_TEST(apply_text(shown.open(), store.calls(), apply_of(file, 0), s_now) == exit_done);
+    BOOST_TEST(apply_text(shown.open(), store.calls(), make_apply_options(file, 0), s_now) ==
+               exit_done);
     BOOST_TEST(folder.read("text.toml.revision") == "11\n");
     const std::string first = store.m_keys["caraway/text"].m_value;
     BOOST_TEST(first == std::string(s_text) + "# carawayctl: applied by ana at "
@@ -237,7 +238,7 @@
     BOOST_TEST(fetch_text(shown.open(), store.calls(), copy) == exit_done);
     BOOST_TEST(folder.read("copy.toml") == first);
     options.m_file = copy;
-    options.m_by = "bo\n[service.x]";
+    options.m_author = "bo\n[service.x]";
     BOOST_TEST(apply_text(shown.open(), store.calls(), options, s_now) == exit_done);
     const std::string& second = store.m_keys["caraway/text"].m_value;
     BOOST_TEST(second == std::string(s_text) + "# carawayctl: applied by bo?[service.x] at "
@@ -261,11 +262,12 @@
               store_whole_text(3, base_hash, s_text));
     store.set(fmt::format("caraway/accepted-delta/4-{:016x}", hash),
               encode_stored_text(pack_text(4, hash, accepted, 3, s_text)));
-    printed shown;
+    captured_output shown;
     const std::string file = folder.write("text.toml", accepted + "urgency = \"urgent\"\n");
     BOOST_TEST(diff_accepted(shown.open(), store.calls(), file, s_now) == exit_done);
     BOOST_TEST(shown.m_out == "route /alpha: urgency normal -> urgent\n");
-    BOOST_TEST(apply_text(shown.open(), store.calls(), apply_of(file, 0), s_now) == exit_done);
+    BOOST_TEST(apply_text(shown.open(), store.calls(), make_apply_options(file, 0), s_now) ==
+               exit_done);
     const store_entry text = store.m_keys["caraway/text"];
     const store_entry written = store.m_keys["caraway/text-delta"];
     error reason;
@@ -275,7 +277,7 @@
     BOOST_TEST(delta->m_base_version == 4U);
     BOOST_TEST((unpack_text(*delta, accepted, reason) == text.m_value));
     // Another operator's text and difference come between this one's text and difference.
-    store_calls late = store.calls();
+    store_interface late = store.calls();
     late.m_put = [&](std::string_view key, std::string_view value, std::uint64_t revision) {
         store_reply reply = store.put(key, value, revision);
         if (key == "caraway/text") {
@@ -283,7 +285,8 @@
         }
         return reply;
     };
-    BOOST_TEST(apply_text(shown.open(), late, apply_of(file, text.m_revision), s_now) == exit_done);
+    BOOST_TEST(apply_text(shown.open(), late, make_apply_options(file, text.m_revision), s_now) ==
+               exit_done);
     BOOST_TEST(store.m_keys["caraway/text-delta"].m_value == "later");
 }
 
@@ -292,13 +295,14 @@
     const scratch_folder folder;
     fake_store store;
     const std::string file = folder.write("text.toml", s_text);
-    printed shown;
-    BOOST_TEST(apply_text(shown.open(), store.calls(), apply_of(file, 0), s_now) == exit_done);
+    captured_output shown;
+    BOOST_TEST(apply_text(shown.open(), store.calls(), make_apply_options(file, 0), s_now) ==
+               exit_done);
     const std::string winner = store.m_keys["caraway/text"].m_value;
-    apply_options late =
-        apply_of(folder.write("late.toml", std::string(s_text) + "idempotent = true\n"), 0);
-    late.m_by = "bo";
-    printed lost;
+    apply_options late = make_apply_options(
+        folder.write("late.toml", std::string(s_text) + "idempotent = true\n"), 0);
+    late.m_author = "bo";
+    captured_output lost;
     BOOST_TEST(apply_text(lost.open(), store.calls(), late, s_now) == exit_refused);
     BOOST_TEST(contains(lost.m_err, "is at revision 11, applied by ana at"));
     BOOST_TEST(contains(lost.m_err, "nothing was changed"));
@@ -314,7 +318,7 @@
     const std::string file = folder.write("text.toml", std::string(s_text) + "# own\n");
     struct lost_case {
         std::vector<put_fault> m_faults;
-        int m_code;
+        int m_exit_code;
         std::size_t m_writes;
     };
     const lost_case cases[] = {
@@ -327,19 +331,19 @@
     for (const lost_case& lost : cases) {
         fake_store store;
         store.m_faults = lost.m_faults;
-        printed shown;
-        BOOST_TEST(apply_text(shown.open(), store.calls(), apply_of(file, 0), s_now) ==
-                   lost.m_code);
+        captured_output shown;
+        BOOST_TEST(apply_text(shown.open(), store.calls(), make_apply_options(file, 0), s_now) ==
+                   lost.m_exit_code);
         BOOST_TEST(store.m_writes == lost.m_writes);
-        BOOST_TEST(store.m_delta_writes == (lost.m_code == exit_done ? 1U : 0U));
-        if (lost.m_code == exit_refused) {
+        BOOST_TEST(store.m_delta_writes == (lost.m_exit_code == exit_done ? 1U : 0U));
+        if (lost.m_exit_code == exit_refused) {
             BOOST_TEST(contains(shown.m_err, "may have stood before the winner's"));
         }
     }
     fake_store down;
     down.m_down = true;
-    printed shown;
-    BOOST_TEST(apply_text(shown.open(), down.calls(), apply_of(file, 0), s_now) ==
+    captured_output shown;
+    BOOST_TEST(apply_text(shown.open(), down.calls(), make_apply_options(file, 0), s_now) ==
                exit_unreachable);
     BOOST_TEST(down.m_writes == 0U);
 }
@@ -364,8 +368,8 @@
                               false};
     struct wait_case {
         std::vector<store_entry> m_changes;
-        int m_code;
-        std::string_view m_printed;
+        int m_exit_code;
+        std::string_view m_expected_output;
     };
     const wait_case cases[] = {
         {{verdict(6, 3, true), accepted(7, 11), verdict(7, 2, false), verdict(7, 3, true)},
@@ -380,19 +384,19 @@
     for (const wait_case& waited : cases) {
         fake_store store;
         store.m_changes = waited.m_changes;
-        apply_options options = apply_of(file, 0);
+        apply_options options = make_apply_options(file, 0);
         options.m_wait = true;
-        options.m_limit = milliseconds(200);
-        printed shown;
-        BOOST_TEST(apply_text(shown.open(), store.calls(), options, s_now) == waited.m_code);
-        BOOST_TEST(contains(shown.m_out + shown.m_err, waited.m_printed));
+        options.m_timeout = milliseconds(200);
+        captured_output shown;
+        BOOST_TEST(apply_text(shown.open(), store.calls(), options, s_now) == waited.m_exit_code);
+        BOOST_TEST(contains(shown.m_out + shown.m_err, waited.m_expected_output));
     }
 }
 
 // Guards against a report that hides a refusal, a missing instance or a rolled-back move.
 BOOST_AUTO_TEST_CASE(status_and_verdicts_show_what_the_store_holds) {
     fake_store store;
-    printed empty;
+    captured_output empty;
     BOOST_TEST(show_status(empty.open(), store.calls()) == exit_done);
     BOOST_TEST(contains(empty.m_out, "accepted: nothing yet"));
     const auto move = [](std::string_view id, std::string_view state, int weight) {
@@ -407,7 +411,7 @@
     store.set("caraway/state/move/alpha", move("m2", "running", 50));
     store.set("caraway/verdict/move/alpha/m1", move("m1", "taken_back", 0));
     store.set("caraway/lease/accepter", "n1 lease-2");
-    printed shown;
+    captured_output shown;
     BOOST_TEST(show_status(shown.open(), store.calls()) == exit_negative);
     BOOST_TEST(contains(shown.m_out, "version 7 accepted by n1 at 2027-01-15T08:00:00.000Z"));
     BOOST_TEST(contains(shown.m_out, "not in force everywhere on 2 of 3 instances; missing n3"));
@@ -418,12 +422,12 @@
               fmt::format(R"({{"source_revision":{},"faults":[{{"line":1,"column":2,)"
                           R"("found":"a","expected":"b"}}]}})",
                           store.m_revision));
-    printed as_json;
+    captured_output as_json;
     BOOST_TEST(show_status(as_json.open(true), store.calls()) == exit_refused);
     BOOST_TEST(contains(as_json.m_out, R"("faults":[{"line":1,"column":2,"found":"a")"));
     BOOST_TEST(contains(as_json.m_out, R"("leases":[{"lease":"accepter","holder":"n1"}])"));
 
-    printed all;
+    captured_output all;
     BOOST_TEST(show_verdicts(all.open(), store.calls(), {}) == exit_done);
     BOOST_TEST(contains(all.m_out, "move m1 of alpha from 1 to 2: taken_back"));
     BOOST_TEST(!contains(all.m_out, "running"));
@@ -441,15 +445,15 @@
     verdict_options follow;
     follow.m_follow = true;
     follow.m_service = "alpha";
-    printed followed;
+    captured_output followed;
     BOOST_TEST(show_verdicts(followed.open(), store.calls(), follow) == exit_done);
     BOOST_TEST(contains(followed.m_out, "weight 250 permille"));
     BOOST_TEST(followed.m_out.find(": done") == followed.m_out.rfind(": done"));
     store.m_changes.pop_back();
-    printed too_late;
+    captured_output too_late;
     BOOST_TEST(show_verdicts(too_late.open(), store.calls(), follow) == exit_negative);
     store.set("caraway/state/move/alpha", move(id, "taken_back", 0));
-    printed taken_back;
+    captured_output taken_back;
     BOOST_TEST(show_verdicts(taken_back.open(), store.calls(), follow) == exit_negative);
     BOOST_TEST(!contains(taken_back.m_out, "running"));
 }
@@ -457,8 +461,8 @@
 namespace {
 
 // One log line of an instance in a data centre.
-std::string log_of(std::int64_t time, std::string_view instance, std::string_view event,
-                   std::string_view fields) {
+std::string make_log_line(std::int64_t time, std::string_view instance, std::string_view event,
+                          std::string_view fields) {
     return fmt::format(R"({{"time":{},"level":"info","event":"{}","instance":"{}",)"
                        R"("data_centre":"{}","config_version":3{}{}}})"
                        "\n",
@@ -466,29 +470,32 @@
                        fields);
 }
 
-std::string start_of(std::int64_t time, std::string_view instance, int request,
-                     std::string_view more = R"("key":"")") {
-    return log_of(time, instance, "backend_call_started",
-                  fmt::format(R"("request":"{}","service":"pour","version":"1","route":"/p",{})",
-                              request, more));
+std::string make_start_line(std::int64_t time, std::string_view instance, int request,
+                            std::string_view more = R"("key":"")") {
+    return make_log_line(
+        time, instance, "backend_call_started",
+        fmt::format(R"("request":"{}","service":"pour","version":"1","route":"/p",{})", request,
+                    more));
 }
 
-std::string end_of(std::int64_t time, std::string_view instance, int request,
-                   std::string_view outcome, bool idempotent = false, bool sent = false) {
-    return log_of(time, instance, "call_ended",
-                  fmt::format(R"("side":"entry","request":"{}","service":"pour","route":"/p",)"
-                              R"("outcome":"{}","sent":{},"idempotent":{})",
-                              request, outcome, sent, idempotent));
+std::string make_end_line(std::int64_t time, std::string_view instance, int request,
+                          std::string_view outcome, bool idempotent = false, bool sent = false) {
+    return make_log_line(
+        time, instance, "call_ended",
+        fmt::format(R"("side":"entry","request":"{}","service":"pour","route":"/p",)"
+                    R"("outcome":"{}","sent":{},"idempotent":{})",
+                    request, outcome, sent, idempotent));
 }
 
 // The backend server stated that it did not run the started request.
-std::string shed_of(std::int64_t time, std::string_view instance, int request,
-                    std::string_view key) {
-    return log_of(time, instance, "call_ended",
-                  fmt::format(R"("side":"backend","request":"{}","key":"{}","service":"pour",)"
-                              R"("route":"/p","outcome":"not-run","reason":"backend-shed",)"
-                              R"("sent":false,"idempotent":false)",
-                              request, key));
+std::string make_shed_line(std::int64_t time, std::string_view instance, int request,
+                           std::string_view key) {
+    return make_log_line(
+        time, instance, "call_ended",
+        fmt::format(R"("side":"backend","request":"{}","key":"{}","service":"pour",)"
+                    R"("route":"/p","outcome":"not-run","reason":"backend-shed",)"
+                    R"("sent":false,"idempotent":false)",
+                    request, key));
 }
 
 } // namespace
@@ -501,43 +508,50 @@
     // request number, calls that a backend server shed, a leave, a data centre out and in, a move
     // with its final record read back.
     const std::string east =
-        log_of(1'000, "east-1", "node_started", "") +
-        log_of(1'001, "east-1", "config_applied", R"("version":3,"previous":0)") +
-        start_of(2'000, "east-1", 1, R"("key":"k1")") + end_of(2'010, "east-1", 1, "answered") +
-        end_of(2'020, "east-1", 2, "not-run") + end_of(2'090, "east-1", 2, "answered") +
-        log_of(2'030, "east-1", "backend_call_started",
-               R"("request":"1","service":"survey","version":"1","route":"/s")") +
-        start_of(2'040, "east-1", 3, R"("idempotent":true)") +
-        start_of(2'050, "east-1", 3, R"("idempotent":true)") +
-        log_of(3'000, "east-1", "move_written",
-               R"("service":"pour","move":"m1","state":"running","weight":10,"revision":70)") +
-        log_of(3'100, "east-1", "move_written",
-               R"("service":"pour","move":"m1","state":"taken_back","weight":0,"revision":71)") +
-        log_of(3'110, "east-1", "move_written",
-               R"("service":"pour","move":"m1","state":"taken_back","weight":0,"revision":71)") +
-        log_of(3'200, "east-1", "version_suspended", R"("move":"m1","version":"2","reason":"x")") +
-        log_of(4'000, "east-1", "leaving", "") + start_of(6'900, "east-1", 4) +
-        log_of(9'000, "east-1", "node_started", "") +
-        log_of(9'001, "east-1", "config_applied", R"("version":3,"previous":0)") +
-        start_of(9'100, "east-1", 5);
+        make_log_line(1'000, "east-1", "node_started", "") +
+        make_log_line(1'001, "east-1", "config_applied", R"("version":3,"previous":0)") +
+        make_start_line(2'000, "east-1", 1, R"("key":"k1")") +
+        make_end_line(2'010, "east-1", 1, "answered") +
+        make_end_line(2'020, "east-1", 2, "not-run") +
+        make_end_line(2'090, "east-1", 2, "answered") +
+        make_log_line(2'030, "east-1", "backend_call_started",
+                      R"("request":"1","service":"survey","version":"1","route":"/s")") +
+        make_start_line(2'040, "east-1", 3, R"("idempotent":true)") +
+        make_start_line(2'050, "east-1", 3, R"("idempotent":true)") +
+        make_log_line(
+            3'000, "east-1", "move_written",
+            R"("service":"pour","move":"m1","state":"running","weight":10,"revision":70)") +
+        make_log_line(
+            3'100, "east-1", "move_written",
+            R"("service":"pour","move":"m1","state":"taken_back","weight":0,"revision":71)") +
+        make_log_line(
+            3'110, "east-1", "move_written",
+            R"("service":"pour","move":"m1","state":"taken_back","weight":0,"revision":71)") +
+        make_log_line(3'200, "east-1", "version_suspended",
+                      R"("move":"m1","version":"2","reason":"x")") +
+        make_log_line(4'000, "east-1", "leaving", "") + make_start_line(6'900, "east-1", 4) +
+        make_log_line(9'000, "east-1", "node_started", "") +
+        make_log_line(9'001, "east-1", "config_applied", R"("version":3,"previous":0)") +
+        make_start_line(9'100, "east-1", 5);
     const std::string west =
-        start_of(2'060, "west-1", 2) + start_of(2'070, "west-1", 8, R"("key":"k8")") +
-        shed_of(2'071, "west-1", 8, "k8") + start_of(2'075, "west-2", 8, R"("key":"k8")") +
-        end_of(2'080, "west-1", 8, "answered") + start_of(2'081, "west-1", 9) +
-        shed_of(2'082, "west-1", 9, "") + end_of(2'083, "west-1", 9, "not-run") +
-        log_of(5'000, "west-1", "data_centre_out", R"("of":"west","version":4)") +
-        start_of(7'900, "west-1", 6) +
-        log_of(20'000, "west-1", "data_centre_in", R"("of":"west","version":5)") +
-        log_of(20'100, "east-2", "data_centre_out", R"("of":"west","version":4)") +
-        start_of(30'000, "west-1", 7) + "not json\n";
+        make_start_line(2'060, "west-1", 2) + make_start_line(2'070, "west-1", 8, R"("key":"k8")") +
+        make_shed_line(2'071, "west-1", 8, "k8") +
+        make_start_line(2'075, "west-2", 8, R"("key":"k8")") +
+        make_end_line(2'080, "west-1", 8, "answered") + make_start_line(2'081, "west-1", 9) +
+        make_shed_line(2'082, "west-1", 9, "") + make_end_line(2'083, "west-1", 9, "not-run") +
+        make_log_line(5'000, "west-1", "data_centre_out", R"("of":"west","version":4)") +
+        make_start_line(7'900, "west-1", 6) +
+        make_log_line(20'000, "west-1", "data_centre_in", R"("of":"west","version":5)") +
+        make_log_line(20'100, "east-2", "data_centre_out", R"("of":"west","version":4)") +
+        make_start_line(30'000, "west-1", 7) + "not json\n";
     const std::vector<std::string> files{folder.write("east.log", east),
                                          folder.write("west.log", west)};
     const audit_report clean = audit_logs(files);
     for (const audit_breach& breach : clean.m_breaches) {
         BOOST_ERROR(breach.m_file << ":" << breach.m_line << " " << breach.m_kind);
     }
-    BOOST_TEST(clean.m_unreadable == 1U);
-    BOOST_TEST(clean.m_starts == 12U);
+    BOOST_TEST(clean.m_unreadable_lines == 1U);
+    BOOST_TEST(clean.m_start_count == 12U);
 
     struct planted_case {
         std::string_view m_kind;
@@ -546,27 +560,28 @@
     };
     const planted_case cases[] = {
         {"version-fell", 1,
-         log_of(10'000, "east-1", "config_applied", R"("version":2,"previous":3)")},
+         make_log_line(10'000, "east-1", "config_applied", R"("version":2,"previous":3)")},
         {"version-fell", 3,
-         log_of(10'000, "nort-1", "config_applied", R"("version":5,"previous":4)") +
-             log_of(10'100, "nort-1", "node_started", "") +
-             log_of(10'200, "nort-1", "config_applied", R"("version":4,"previous":0)")},
-        {"started-twice", 1, start_of(10'000, "nort-1", 1)},
-        {"started-twice", 1, start_of(10'000, "nort-1", 91, R"("key":"k1")")},
-        {"started-twice", 1, start_of(10'000, "nort-1", 8, R"("key":"k9")")},
+         make_log_line(10'000, "nort-1", "config_applied", R"("version":5,"previous":4)") +
+             make_log_line(10'100, "nort-1", "node_started", "") +
+             make_log_line(10'200, "nort-1", "config_applied", R"("version":4,"previous":0)")},
+        {"started-twice", 1, make_start_line(10'000, "nort-1", 1)},
+        {"started-twice", 1, make_start_line(10'000, "nort-1", 91, R"("key":"k1")")},
+        {"started-twice", 1, make_start_line(10'000, "nort-1", 8, R"("key":"k9")")},
         {"not-run-but-started", 2,
-         start_of(9'000, "nort-1", 92) + end_of(10'000, "nort-1", 92, "not-run")},
+         make_start_line(9'000, "nort-1", 92) + make_end_line(10'000, "nort-1", 92, "not-run")},
         {"not-run-but-started", 2,
-         start_of(9'000, "nort-1", 97) + end_of(10'000, "nort-1", 97, "deadline")},
-        {"not-run-but-sent", 1, end_of(10'000, "nort-1", 93, "not-run", false, true)},
-        {"work-after-leaving", 1, start_of(7'001, "east-1", 94)},
-        {"work-in-data-centre-out", 1, start_of(8'001, "west-2", 95)},
+         make_start_line(9'000, "nort-1", 97) + make_end_line(10'000, "nort-1", 97, "deadline")},
+        {"not-run-but-sent", 1, make_end_line(10'000, "nort-1", 93, "not-run", false, true)},
+        {"work-after-leaving", 1, make_start_line(7'001, "east-1", 94)},
+        {"work-in-data-centre-out", 1, make_start_line(8'001, "west-2", 95)},
         {"final-state-rewritten", 1,
-         log_of(3'300, "nort-1", "move_written",
-                R"("service":"pour","move":"m1","state":"done","weight":1000,"revision":72)")},
+         make_log_line(
+             3'300, "nort-1", "move_written",
+             R"("service":"pour","move":"m1","state":"done","weight":1000,"revision":72)")},
         {"work-on-suspended-version", 1,
-         log_of(6'201, "nort-1", "backend_call_started",
-                R"("request":"96","service":"pour","version":"2","route":"/p")")},
+         make_log_line(6'201, "nort-1", "backend_call_started",
+                       R"("request":"96","service":"pour","version":"2","route":"/p")")},
     };
     for (const planted_case& planted : cases) {
         std::vector<std::string> with_breach = files;
@@ -579,11 +594,11 @@
             BOOST_TEST(report.m_breaches[0].m_line == planted.m_line);
             BOOST_TEST(report.m_breaches[0].m_file == with_breach[2]);
         }
-        printed shown;
+        captured_output shown;
         BOOST_TEST(audit_files(shown.open(), with_breach) == exit_negative);
         BOOST_TEST(contains(shown.m_out, planted.m_kind));
     }
-    printed shown;
+    captured_output shown;
     BOOST_TEST(audit_files(shown.open(), files) == exit_done);
     BOOST_TEST(audit_files(shown.open(), {"/nonexistent/log"}) == exit_usage);
 }
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -306,16 +306,16 @@
         }
     }
     // carawayctl prints whatever the store holds.
-    if (const auto view = read_accepted(value)) {
+    if (const auto view = parse_accepted(value)) {
         describe(*view);
     }
-    if (const auto view = read_move(value)) {
+    if (const auto view = parse_move(value)) {
         describe(*view);
     }
-    if (const auto view = read_config_verdict(value)) {
+    if (const auto view = parse_config_verdict(value)) {
         describe(*view);
     }
-    read_refused(value);
+    parse_refused(value);
     return {};
 }
 
@@ -397,7 +397,7 @@
     }
     const audit_report report = audit_logs({path, path});
     std::filesystem::remove(path);
-    if (!report.m_missing_files.empty() || report.m_unreadable > report.m_lines ||
+    if (!report.m_missing_files.empty() || report.m_unreadable_lines > report.m_lines ||
         report.m_breaches.size() > max_audit_breaches) {
         return "an audit report that contradicts itself";
     }
--- a/tests/replay_test.cpp
+++ b/tests/replay_test.cpp
@@ -18,7 +18,7 @@
 
 const std::string folder = "tests/traces";
 
-std::string trace_of(const std::string& name) {
+std::string load_trace(const std::string& name) {
     error reason;
     const std::array<std::string, 1> file{folder + "/" + name + ".zst"};
     const auto trace = read_trace(file, reason);
@@ -26,7 +26,7 @@
     return *trace;
 }
 
-replay_report replayed(const std::string& trace, const std::string& outcomes) {
+replay_report replay_or_fail(const std::string& trace, const std::string& outcomes) {
     error reason;
     const auto report = replay_trace(trace, outcomes, reason);
     BOOST_REQUIRE_MESSAGE(report, reason.m_text);
@@ -34,18 +34,18 @@
 }
 
 // Replaces the first place of from, which must be there.
-std::string changed(std::string text, std::string_view from, std::string_view to) {
+std::string replace_first(std::string text, std::string_view from, std::string_view to) {
     const std::size_t at = text.find(from);
     BOOST_REQUIRE(at != std::string::npos);
     return text.replace(at, from.size(), to);
 }
 
 // Breaches of one check after every place of from was replaced.
-std::uint64_t breaches(std::string trace, std::string_view from, std::string_view to,
-                       std::string_view check) {
+std::uint64_t count_breaches(std::string trace, std::string_view from, std::string_view to,
+                             std::string_view check) {
     BOOST_REQUIRE(trace.find(from) != std::string::npos);
     boost::replace_all(trace, from, to);
-    return replayed(trace, fmt::format(R"([{{"check": "{}"}}])", check)).m_breaches;
+    return replay_or_fail(trace, fmt::format(R"([{{"check": "{}"}}])", check)).m_breaches;
 }
 
 } // namespace
@@ -60,18 +60,18 @@
     const auto result = replay_folder(folder, reason);
     BOOST_REQUIRE_MESSAGE(result, reason.m_text);
     BOOST_TEST(result->m_traces.size() >= 7U);
-    for (const named_report& each : result->m_traces) {
-        BOOST_TEST_CONTEXT(each.m_name) {
-            for (const std::string& fault : each.m_report.m_faults) {
+    for (const trace_report& trace : result->m_traces) {
+        BOOST_TEST_CONTEXT(trace.m_name) {
+            for (const std::string& fault : trace.m_report.m_faults) {
                 BOOST_TEST_MESSAGE(fault);
             }
-            for (const std::string& outcome : each.m_report.m_outcomes) {
+            for (const std::string& outcome : trace.m_report.m_outcomes) {
                 BOOST_TEST(outcome.starts_with("kept"), outcome);
             }
-            BOOST_TEST(each.m_report.m_inputs > 100U);
-            BOOST_TEST(!each.m_report.m_outcomes.empty());
-            BOOST_TEST(each.m_report.m_different == 0U);
-            BOOST_TEST(each.m_report.m_breaches == 0U);
+            BOOST_TEST(trace.m_report.m_inputs > 100U);
+            BOOST_TEST(!trace.m_report.m_outcomes.empty());
+            BOOST_TEST(trace.m_report.m_differing_actions == 0U);
+            BOOST_TEST(trace.m_report.m_breaches == 0U);
         }
     }
     std::uintmax_t bytes = 0;
@@ -87,19 +87,19 @@
 
 // Guards against a replay that repeats the recorded actions instead of deciding anew.
 BOOST_AUTO_TEST_CASE(changed_inputs_and_actions_are_noticed) {
-    const std::string trace = trace_of("bad_move");
-    const replay_report whole = replayed(trace, "[]");
-    BOOST_TEST(whole.m_different == 0U);
-    const replay_report action = replayed(changed(trace, "write {", "wrote {"), "[]");
-    BOOST_TEST(action.m_different == 1U);
+    const std::string trace = load_trace("bad_move");
+    const replay_report whole = replay_or_fail(trace, "[]");
+    BOOST_TEST(whole.m_differing_actions == 0U);
+    const replay_report action = replay_or_fail(replace_first(trace, "write {", "wrote {"), "[]");
+    BOOST_TEST(action.m_differing_actions == 1U);
     BOOST_TEST(action.m_signature == whole.m_signature);
     for (const auto& [from, to] : {std::pair("\"failed\":true", "\"failed\":false"),
                                    std::pair("\"wanted\":true", "\"wanted\":false"),
                                    std::pair("\"valid\":true", "\"valid\":0"),
                                    std::pair("\"suspended\":true", "\"suspended\":false")}) {
         BOOST_TEST_CONTEXT(from) {
-            const replay_report input = replayed(changed(trace, from, to), "[]");
-            BOOST_TEST(input.m_different > 0U);
+            const replay_report input = replay_or_fail(replace_first(trace, from, to), "[]");
+            BOOST_TEST(input.m_differing_actions > 0U);
             BOOST_TEST(input.m_signature != whole.m_signature);
         }
     }
@@ -107,25 +107,27 @@
 
 // Guards against stated outcomes that hold whatever the trace shows.
 BOOST_AUTO_TEST_CASE(outcomes_that_do_not_hold_are_breaches) {
-    const std::string trace = trace_of("bad_move");
+    const std::string trace = load_trace("bad_move");
     for (const std::string outcome :
          {R"({"check": "move_ends", "state": "done"})",
           R"({"check": "at_least", "of": "calls", "count": 23})",
           R"({"check": "suspended_within", "failed_calls": 1, "ms": 100})",
           R"({"check": "at_least", "of": "restarts", "count": 1})"}) {
-        BOOST_TEST(replayed(trace, "[" + outcome + "]").m_breaches == 1U, outcome);
+        BOOST_TEST(replay_or_fail(trace, "[" + outcome + "]").m_breaches == 1U, outcome);
     }
     // Each process runs twice, the second time from an older version on.
-    BOOST_TEST(replayed(trace + trace, R"([{"check": "version_never_falls"}])").m_breaches == 1U);
-    const std::string paused = trace_of("holder_paused");
+    BOOST_TEST(replay_or_fail(trace + trace, R"([{"check": "version_never_falls"}])").m_breaches ==
+               1U);
+    const std::string paused = load_trace("holder_paused");
     const std::string_view period = R"("period_ms":5000)";
     // A lease that outlasts the pause is held by two.
-    BOOST_TEST(breaches(paused, period, R"("period_ms":15000)", "one_holder") == 1U);
-    BOOST_TEST(breaches(paused, period, R"("period_ms":1)", "steps_under_lease") == 1U);
-    BOOST_TEST(
-        replayed(trace_of("cold_start"), R"([{"check": "cold_start_share", "hold_ms": 9000}])")
-            .m_breaches == 1U);
-    BOOST_TEST(breaches(trace, R"("slots":12)", R"("slots":0)", "running_within_slots") == 1U);
+    BOOST_TEST(count_breaches(paused, period, R"("period_ms":15000)", "one_holder") == 1U);
+    BOOST_TEST(count_breaches(paused, period, R"("period_ms":1)", "steps_under_lease") == 1U);
+    BOOST_TEST(replay_or_fail(load_trace("cold_start"),
+                              R"([{"check": "cold_start_share", "hold_ms": 9000}])")
+                   .m_breaches == 1U);
+    BOOST_TEST(count_breaches(trace, R"("slots":12)", R"("slots":0)", "running_within_slots") ==
+               1U);
     error reason;
     BOOST_TEST(!replay_trace(trace, R"([{"check": "unheard_of"}])", reason));
     BOOST_TEST(!replay_trace(trace, R"([{"check": "one_holder", "limit": 3}])", reason));
@@ -135,8 +137,8 @@
 BOOST_AUTO_TEST_CASE(a_gap_is_a_breach) {
     const std::string gap =
         R"({"time":1,"event":"decisions_dropped","instance":"new-0","count":3})";
-    BOOST_TEST(replayed(gap + "\n", "[]").m_breaches == 1U);
-    BOOST_TEST(replayed("{\"event\":\"decision\"", "[]").m_breaches == 1U);
+    BOOST_TEST(replay_or_fail(gap + "\n", "[]").m_breaches == 1U);
+    BOOST_TEST(replay_or_fail("{\"event\":\"decision\"", "[]").m_breaches == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
