--- a/src/ctl/audit.cpp
+++ b/src/ctl/audit.cpp
@@ -22,20 +22,20 @@
 
 namespace json = boost::json;
 
-// Bytes read from one file at a time. Files are closed in between, so that the number of files
-// isn't bounded by the limit of open files.
+// Bytes read from a file at a time. The file is closed after each read, so that the number of logs
+// may exceed the limit of open files.
 constexpr std::size_t chunk_bytes = 64U << 10U;
 
-// Longest line that is read whole; the rest of a longer one is dropped and counted as unreadable.
+// Upper bound of the length of a line. A longer line is counted as unreadable.
 constexpr std::size_t max_line_bytes = 1U << 20U;
 
-// Where a line stands.
+// Position of a log line.
 struct line_position {
-    std::uint32_t m_file = 0;
-    std::uint64_t m_line = 0;
+    std::uint32_t m_file = 0; // index of the file
+    std::uint64_t m_line = 0; // line number, starting at 1
 };
 
-// One log line that matters.
+// A parsed log line with an event and a valid time.
 struct log_line {
     line_position m_position;
     std::int64_t m_time = 0; // Unix milliseconds
@@ -47,8 +47,8 @@
 public:
     explicit log_file(std::string path) : m_path(std::move(path)) {}
 
-    // Returns the next line without its end, or nothing at the end of the file. The view is valid
-    // until the next call.
+    // Returns the next line without its line break, or nothing at the end of the file. The view is
+    // valid until the next call.
     std::optional<std::string_view> next() {
         for (;;) {
             const std::size_t end = m_buffer.find('\n', m_begin);
@@ -71,15 +71,18 @@
         }
     }
 
+    // Returns the number of the line that next() returned last.
     std::uint64_t line() const { return m_line; }
+    // Returns whether the file could not be read.
     bool failed() const { return m_failed; }
     const std::string& path() const { return m_path; }
 
 private:
+    // Appends the next chunk of the file to the buffer.
     void fill() {
         m_buffer.erase(0, m_begin);
         m_begin = 0;
-        // Only the end of an overlong line is kept, which makes it unreadable.
+        // Replaces the start of an overlong line by a character that makes the line invalid JSON.
         if (m_buffer.size() > max_line_bytes) {
             m_buffer.assign(1, '?');
         }
@@ -101,13 +104,14 @@
 
     std::string m_path;
     std::string m_buffer;
-    std::size_t m_begin = 0;
-    std::streamoff m_offset = 0;
+    std::size_t m_begin = 0;     // start of the next line in m_buffer
+    std::streamoff m_offset = 0; // file offset of the next chunk
     std::uint64_t m_line = 0;
     bool m_at_end = false;
     bool m_failed = false;
 };
 
+// Returns a string field, or an empty view if it is absent or of another type.
 std::string_view text_at(const json::object& object, json::string_view key) {
     const json::value* value = object.if_contains(key);
     if (value == nullptr || !value->is_string()) {
@@ -116,7 +120,8 @@
     return {value->get_string().data(), value->get_string().size()};
 }
 
-// A number, also where it was logged as a string.
+// Returns a numeric field as an integer, or nothing if it is absent, of another type or out of
+// range.
 std::optional<std::int64_t> number_at(const json::object& object, json::string_view key) {
     const json::value* value = object.if_contains(key);
     if (value == nullptr || !value->is_number()) {
@@ -132,7 +137,7 @@
     return value != nullptr && value->is_bool() ? std::optional(value->get_bool()) : std::nullopt;
 }
 
-// A request number or key as text; numbers may be logged as numbers.
+// Returns a request number or idempotency key as text. Request numbers may be logged as numbers.
 std::string identity_at(const json::object& object, json::string_view key) {
     const json::value* value = object.if_contains(key);
     if (value == nullptr || value->is_null()) {
@@ -144,31 +149,32 @@
     return std::string(json::serialize(*value));
 }
 
-// What is known of one request at one service, or of one idempotency key there. Idempotence and
-// outcome are logged after the starts, so the judgement waits for the end of the logs.
+// The logged starts and outcomes of one request, or of one idempotency key, at one service.
+// Idempotence and outcome are logged after the starts, so the record is checked only at the end of
+// the logs.
 struct request_record {
     std::uint32_t m_start_count = 0;
-    std::uint32_t m_shed_count =
-        0; // starts after which the server stated that it did not run the request
-    line_position m_first_start; // first start
-    line_position m_last_start;  // latest start after the first
-    std::uint64_t m_route = 0;
+    // Number of starts after which the backend server reported that it did not run the request.
+    std::uint32_t m_shed_count = 0;
+    line_position m_first_start;
+    line_position m_last_start; // latest start after the first
+    std::uint64_t m_route = 0;  // hash of route and service
     std::optional<bool> m_idempotent;
-    bool m_ended_not_run = false;   // at the entry side
-    bool m_ended_otherwise = false; // with another outcome
+    bool m_ended_not_run = false;   // the entry side logged an outcome that means not run
+    bool m_ended_otherwise = false; // the entry side logged another outcome
     line_position m_not_run_position;
 };
 
 struct instance_record {
-    std::int64_t m_version = 0; // highest applied
-    std::optional<std::int64_t> m_left_at;
+    std::int64_t m_version = 0;            // highest applied version
+    std::optional<std::int64_t> m_left_at; // Unix milliseconds; unset again by a restart
 };
 
-// Standing of a data centre by the highest configuration version that told of it. Nodes log it at
-// different times; a late line of an older version changes nothing.
+// State of a data centre in the highest configuration version that a line reported it for. Nodes
+// log a change at different times, so a late line of an older version is ignored.
 struct data_centre_record {
     std::int64_t m_version = -1;
-    std::optional<std::int64_t> m_out_at;
+    std::optional<std::int64_t> m_out_at; // time when it was taken out, Unix milliseconds
 };
 
 struct tracked_move {
@@ -183,11 +189,11 @@
     std::map<std::string, instance_record, std::less<>> m_instances;
     std::map<std::string, data_centre_record, std::less<>> m_data_centres;
     std::map<std::string, tracked_move, std::less<>> m_moves;
-    // Time of the first suspension by service and version.
+    // Time of the first suspension, Unix milliseconds, by service and version.
     std::map<std::pair<std::string, std::string>, std::int64_t> m_suspended;
-    std::unordered_map<std::uint64_t, request_record> m_requests;
-    std::unordered_map<std::uint64_t, request_record> m_keys;
-    std::unordered_map<std::uint64_t, bool> m_route_idempotent;
+    std::unordered_map<std::uint64_t, request_record> m_requests; // by identity_hash
+    std::unordered_map<std::uint64_t, request_record> m_keys;     // by identity_hash
+    std::unordered_map<std::uint64_t, bool> m_route_idempotent;   // by identity_hash of the route
 };
 
 void add_breach(audit_state& state, line_position position, std::string_view kind,
@@ -199,8 +205,8 @@
     }
 }
 
-// A request number may be passed on along a call chain, so that the service is part of a request's
-// identity.
+// Returns the hash that identifies a request, key or route at a service. The service is part of it
+// because a call chain may pass the same request number to several services.
 std::uint64_t identity_hash(std::string_view identity, std::string_view service) {
     return hash_bytes(identity, hash_bytes(service));
 }
@@ -209,6 +215,7 @@
     return fmt::format("{}:{}", state.m_files[position.m_file], position.m_line);
 }
 
+// Counts one start and stores its position.
 void count_start(request_record& record, line_position position, std::uint64_t route) {
     if (++record.m_start_count == 1) {
         record.m_first_start = position;
@@ -218,6 +225,8 @@
     record.m_route = route;
 }
 
+// Records a call that started at a backend server. Reports a start after the grace period on an
+// instance that left, in a data centre that was taken out or on a suspended version.
 void check_call_start(audit_state& state, const log_line& line) {
     ++state.m_report.m_start_count;
     const std::string_view service = text_at(line.m_fields, "service");
@@ -241,7 +250,7 @@
     if (found != state.m_instances.end() && found->second.m_left_at &&
         line.m_time - *found->second.m_left_at > audit_grace_period.count()) {
         add_breach(state, line.m_position, "work-after-leaving",
-                   fmt::format("a call started on {} {} ms after its leaving", instance,
+                   fmt::format("a call started on {} {} ms after the instance left", instance,
                                line.m_time - *found->second.m_left_at));
     }
     const std::string_view data_centre = text_at(line.m_fields, "data_centre");
@@ -262,16 +271,17 @@
     }
 }
 
+// Records the outcome of a call. Reports a call that counts as not run although it was sent.
 void check_call_end(audit_state& state, const log_line& line) {
     const std::string_view service = text_at(line.m_fields, "service");
     const std::string_view outcome = text_at(line.m_fields, "outcome");
-    // Both tell the caller that its request did not run.
+    // Both outcomes state to the caller that its request did not run.
     const bool not_run = outcome == "not-run" || outcome == "deadline";
     const auto sent = flag_at(line.m_fields, "sent");
     if (not_run && sent.value_or(false)) {
         add_breach(
             state, line.m_position, "not-run-but-sent",
-            fmt::format("the outcome {} although a byte reached the backend server", outcome));
+            fmt::format("the outcome is {} although a byte reached the backend server", outcome));
     }
     const auto idempotent = flag_at(line.m_fields, "idempotent");
     const bool entry = text_at(line.m_fields, "side") == "entry";
@@ -302,6 +312,7 @@
     }
 }
 
+// Reports an instance that applies a lower version than before, also across restarts.
 void check_applied_version(audit_state& state, const log_line& line) {
     const auto version = number_at(line.m_fields, "version");
     if (!version) {
@@ -317,9 +328,10 @@
     record.m_version = std::max(record.m_version, *version);
 }
 
+// Records that a data centre was taken out or put back in.
 void track_data_centre(audit_state& state, const log_line& line, bool out) {
     const auto version = number_at(line.m_fields, "version");
-    // The line's own data_centre is that of the node which logged it.
+    // The field data_centre is that of the node that logged the line.
     const std::string_view named = text_at(line.m_fields, "of");
     data_centre_record& record = state.m_data_centres[std::string(
         named.empty() ? text_at(line.m_fields, "data_centre") : named)];
@@ -334,6 +346,7 @@
     }
 }
 
+// Records the state of a move. Reports a move whose final state is overwritten.
 void check_move_record(audit_state& state, const log_line& line) {
     const std::string id(text_at(line.m_fields, "move"));
     const std::string service(text_at(line.m_fields, "service"));
@@ -343,23 +356,25 @@
     tracked_move& move = found->second;
     move.m_service = service;
     if (added) {
-        // A new move may try a version again that an older one suspended.
+        // A new move may retry a version that was suspended in an older move.
         std::erase_if(state.m_suspended,
                       [&](const auto& entry) { return entry.first.first == service; });
     }
-    // The same revision may be logged again after a lost answer was read back.
+    // A record that is read back after a lost reply is logged again with the same revision.
     if (move.m_final_revision && revision != *move.m_final_revision) {
-        add_breach(state, line.m_position, "final-state-rewritten",
-                   fmt::format("move {} of {} written as {} at revision {} after its final state "
-                               "{} at revision {}",
-                               id, service, new_state, revision, move.m_final_state,
-                               *move.m_final_revision));
+        add_breach(
+            state, line.m_position, "final-state-rewritten",
+            fmt::format("move {} of {} was written as {} at revision {} after its final state "
+                        "{} at revision {}",
+                        id, service, new_state, revision, move.m_final_state,
+                        *move.m_final_revision));
     } else if (new_state != "running" && !new_state.empty()) {
         move.m_final_revision = revision;
         move.m_final_state = new_state;
     }
 }
 
+// Records when a version was first suspended.
 void track_suspension(audit_state& state, const log_line& line) {
     std::string service(text_at(line.m_fields, "service"));
     if (service.empty()) {
@@ -394,8 +409,9 @@
     }
 }
 
-// True unless the request is known to be idempotent, by its own lines or else by its route's.
-// Without any word on it the guarantee isn't shown, which counts as a breach.
+// Returns false if the request is known to be idempotent from its own lines or, if these don't say,
+// from its route's lines. Requests of unknown idempotence must run at most once, since the logs
+// don't show that repeating them is safe.
 bool must_run_at_most_once(const audit_state& state, const request_record& record) {
     if (record.m_idempotent) {
         return !*record.m_idempotent;
@@ -404,6 +420,8 @@
     return route == state.m_route_idempotent.end() || !route->second;
 }
 
+// Reports non-idempotent requests or keys that ran more than once, and those that ran although the
+// only outcome was that they had not. what names the kind of record.
 void check_start_counts(audit_state& state,
                         const std::unordered_map<std::uint64_t, request_record>& records,
                         std::string_view what) {
@@ -416,14 +434,16 @@
                                    format_position(state, record.m_first_start)));
         }
         if (runs > 0 && record.m_ended_not_run && !record.m_ended_otherwise) {
-            add_breach(state, record.m_not_run_position, "not-run-but-started",
-                       fmt::format("the outcome not-run or deadline although the {} started in {}",
-                                   what, format_position(state, record.m_first_start)));
+            add_breach(
+                state, record.m_not_run_position, "not-run-but-started",
+                fmt::format("the outcome is not-run or deadline although the {} started in {}",
+                            what, format_position(state, record.m_first_start)));
         }
     }
 }
 
-// Reads lines until one that can be checked; nothing at the end of the file.
+// Returns the next line that can be checked, or nothing at the end of the file. Skips and counts
+// unreadable lines.
 std::optional<log_line> next_line(audit_state& state, log_file& file, std::uint32_t index) {
     while (const auto text = file.next()) {
         ++state.m_report.m_lines;
@@ -446,7 +466,7 @@
     audit_state state;
     state.m_files = files;
     std::vector<log_file> readers(files.begin(), files.end());
-    // The next line of each file; the earliest of them is checked first.
+    // The next line of each file. The earliest of these lines is checked first.
     std::vector<log_line> head_lines(readers.size());
     using time_and_file = std::pair<std::int64_t, std::uint32_t>;
     std::priority_queue<time_and_file, std::vector<time_and_file>, std::greater<>> order;
@@ -494,7 +514,7 @@
         }
     }
     for (const std::string& file : report.m_missing_files) {
-        out.m_err(fmt::format("{}: can't be read", file));
+        out.m_err(fmt::format("{}: the file can't be read", file));
     }
     const std::uint64_t breaches = report.m_breach_count;
     if (out.m_json) {
--- a/src/ctl/audit.hpp
+++ b/src/ctl/audit.hpp
@@ -1,4 +1,5 @@
-// Offline check of the guarantees against the log lines of any number of processes.
+// Offline check of the system's guarantees, such as at-most-once execution of non-idempotent
+// requests, against the log files of any number of processes.
 #pragma once
 
 #include <cstdint>
@@ -11,33 +12,35 @@
 
 namespace caraway {
 
-// Time after a leave, a data centre's removal or a suspension in which new work may still start.
+// Grace period after an instance leaves, a data centre is taken out or a version is suspended.
+// Calls that start within it are no breach.
 constexpr milliseconds audit_grace_period{3'000};
 
-// Offending lines kept for printing; more are only counted.
+// Upper bound of the number of breaches stored for printing. Further breaches are only counted.
 constexpr std::size_t max_audit_breaches = 1'000;
 
-// One line that breaks a guarantee.
+// A log line that shows the breach of a guarantee.
 struct audit_breach {
     std::string m_file;
-    std::uint64_t m_line = 0; // from 1
-    std::string m_kind;       // stable word, as version-fell
-    std::string m_text;
+    std::uint64_t m_line = 0; // line number, starting at 1
+    std::string m_kind;       // stable identifier such as version-fell
+    std::string m_text;       // description
 };
 
 struct audit_report {
     std::uint64_t m_lines = 0;
-    std::uint64_t m_unreadable_lines =
-        0; // lines that are no JSON objects with a possible time and an event
-    std::uint64_t m_start_count = 0; // backend_call_started
-    std::uint64_t m_end_count = 0;   // call_ended at the entry side
+    // Lines that are not a JSON object with an event and a valid time.
+    std::uint64_t m_unreadable_lines = 0;
+    std::uint64_t m_start_count = 0; // backend_call_started events
+    std::uint64_t m_end_count = 0;   // call_ended events of the entry side
     std::uint64_t m_breach_count = 0;
     std::vector<audit_breach> m_breaches;
-    std::vector<std::string> m_missing_files; // files that can't be read
+    std::vector<std::string> m_missing_files; // files that could not be read
 };
 
-// Reads the files once, merged by the time of their lines, and checks every line. Memory grows with
-// the number of different requests and keys (about 100 bytes each), not with the lines.
+// Reads each file once, merges the lines by their time and checks each of them. Memory use grows
+// with the number of distinct requests and idempotency keys (about 100 bytes each), not with the
+// number of lines. Files that can't be read are listed in the report.
 audit_report audit_logs(const std::vector<std::string>& files);
 
 } // namespace caraway
--- a/src/ctl/current_text.cpp
+++ b/src/ctl/current_text.cpp
@@ -10,7 +10,8 @@
 namespace caraway {
 namespace {
 
-// Reads a text that is stored whole. A value in another form is the text itself.
+// Reads a text that is stored whole, without a delta. A value that is not in the stored-text
+// encoding is returned as it is.
 store_reply read_whole_text(const store_interface& store, std::uint64_t version,
                             std::string_view hash) {
     store_reply reply = store.m_get(fmt::format("caraway/accepted-text/{}-{}", version, hash));
@@ -25,8 +26,8 @@
     return reply;
 }
 
-// Reads the accepted text, from its delta and the base unless it is stored whole. store_not_found
-// also when a value is damaged.
+// Reads the accepted text. Unless it is stored whole, restores it from its delta and the base text.
+// The reply's kind is store_not_found if a value is missing or damaged.
 store_reply read_accepted_text(const store_interface& store, const accepted_view& accepted) {
     if (accepted.m_base_version == 0) {
         return read_whole_text(store, accepted.m_version, accepted.m_hash);
--- a/src/ctl/current_text.hpp
+++ b/src/ctl/current_text.hpp
@@ -1,4 +1,4 @@
-// The configuration in force as the store has it.
+// Reads the accepted configuration from the store.
 #pragma once
 
 #include <optional>
@@ -10,16 +10,17 @@
 
 namespace caraway {
 
-// The accepted record with its text and the text's mesh. All are absent before the first
-// acceptance; only text and mesh are, when the text is missing or damaged, and only the mesh, when
-// the text is newer than this program.
+// The accepted record, its text and the mesh parsed from the text. All three are absent before the
+// first acceptance. The text and the mesh are absent if the stored text is missing or damaged. Only
+// the mesh is absent if this program is too old to parse the text.
 struct accepted_config {
     std::optional<accepted_view> m_accepted;
     std::string m_text;
     std::optional<mesh> m_mesh;
 };
 
-// Reads the accepted record and its text. Returns the failed reply when the store can't be read.
+// Reads the accepted record and its text into state. Returns the failed reply if the store can't be
+// read, otherwise nothing.
 std::optional<store_reply> read_accepted_config(const store_interface& store,
                                                 accepted_config& state);
 
--- a/src/ctl/records.cpp
+++ b/src/ctl/records.cpp
@@ -18,6 +18,7 @@
     return std::move(parsed.get_object());
 }
 
+// Returns a string field, or an empty string if it is absent or of another type.
 std::string text_at(const json::object& object, json::string_view key) {
     const json::value* value = object.if_contains(key);
     if (value == nullptr || !value->is_string()) {
@@ -27,6 +28,7 @@
     return {text.data(), text.size()};
 }
 
+// Returns a numeric field, or zero if it is absent, of another type or out of range.
 template <typename number_type>
 number_type number_at(const json::object& object, json::string_view key) {
     const json::value* value = object.if_contains(key);
--- a/src/ctl/replay.cpp
+++ b/src/ctl/replay.cpp
@@ -19,9 +19,9 @@
 namespace caraway {
 namespace {
 
-// Traces are kept in the repository, so their size counts more than the time of one compression.
+// Traces are committed to the repository, so their size matters more than the compression time.
 constexpr int compression_level = 19;
-// Decompressed size of one file; a trace of a minute has some 10 MB.
+// Upper bound of a file's decompressed size. A trace of one minute has about 10 MB.
 constexpr std::size_t max_trace_bytes = 256U << 20U;
 
 std::vector<std::string_view> split_lines(std::string_view text) {
@@ -37,25 +37,28 @@
 std::optional<std::string> read_file(const std::string& file, error& reason) {
     std::ifstream in(file, std::ios::binary);
     if (!in) {
-        return fail(reason, error_kind::usage, fmt::format("{}: can't be read", file));
+        return fail(reason, error_kind::usage, fmt::format("{}: the file can't be read", file));
     }
     return std::string(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
 }
 
+// Reads a log file and decompresses it if its name ends in .zst.
 std::optional<std::string> read_log(const std::string& file, error& reason) {
     auto bytes = read_file(file, reason);
     if (!bytes || !file.ends_with(".zst")) {
         return bytes;
     }
     const unsigned long long size = ZSTD_getFrameContentSize(bytes->data(), bytes->size());
-    if (size > max_trace_bytes) { // also the values for an unknown size and an error
-        return fail(reason, error_kind::invalid_text, fmt::format("{}: no zstd frame", file));
+    if (size > max_trace_bytes) { // covers the return values for an unknown size and an error
+        return fail(reason, error_kind::invalid_text,
+                    fmt::format("{}: no zstd frame of a known and permitted size", file));
     }
     std::string text(static_cast<std::size_t>(size), '\0');
     const std::size_t decompressed_size =
         ZSTD_decompress(text.data(), text.size(), bytes->data(), bytes->size());
     if (ZSTD_isError(decompressed_size) != 0 || decompressed_size != text.size()) {
-        return fail(reason, error_kind::invalid_text, fmt::format("{}: damaged", file));
+        return fail(reason, error_kind::invalid_text,
+                    fmt::format("{}: the compressed data are damaged", file));
     }
     return text;
 }
@@ -66,8 +69,8 @@
     }
 }
 
-// Replays one line. After a gap the state of the instance is unknown, so its further lines count as
-// breaches until it starts again.
+// Replays one line. After dropped lines the state of the instance is unknown, so all its further
+// lines count as breaches until it restarts.
 void replay_line(const replay_input& input, std::uint64_t line, outcome_checker& checker,
                  outcome_checker::process_map& processes, replay_report& report) {
     if (input.m_component == "node") {
@@ -80,7 +83,8 @@
     const auto found = processes.find(input.m_instance);
     if (input.m_component == dropped_event || found == processes.end()) {
         ++report.m_breaches;
-        add_fault(report, fmt::format("line {}: {} has a gap", line, input.m_instance));
+        add_fault(report, fmt::format("line {}: decisions of {} are missing before this line", line,
+                                      input.m_instance));
         processes.erase(input.m_instance);
         return;
     }
@@ -98,20 +102,23 @@
     checker.observe(processes, found->second, input, action);
     if (input.is_damaged() || !found->second.m_suspension_matches) {
         ++report.m_breaches;
-        add_fault(report, fmt::format("line {}: {} {} {}: {}", line, input.m_instance,
-                                      input.m_component, input.m_input_name,
-                                      input.is_damaged() ? "a field is missing"
-                                                         : "the suspension was not recorded"));
+        add_fault(report,
+                  fmt::format("line {}: {} {} {}: {}", line, input.m_instance, input.m_component,
+                              input.m_input_name,
+                              input.is_damaged()
+                                  ? "a field is missing or has the wrong type"
+                                  : "the recorded suspension flag differs from the replayed one"));
     }
 }
 
-// A line with the time by which files are merged: the latest that its file had so far, since lines
-// of several threads may be some microseconds out of order.
+// A line with its merge time, which is the latest time in its file up to this line. The line's own
+// time is not used because lines of different threads may be some microseconds out of order.
 struct timed_line {
     time_point m_time;
     std::string_view m_text;
 };
 
+// Appends the decision lines of one log.
 void append_decisions(std::string_view log, std::vector<timed_line>& lines) {
     time_point latest{};
     for (const std::string_view line : split_lines(log)) {
@@ -144,7 +151,7 @@
             replay_line(*input, line, checker, processes, report);
         } else {
             ++report.m_breaches;
-            add_fault(report, fmt::format("line {}: no decision", line));
+            add_fault(report, fmt::format("line {}: not a decision line", line));
         }
     }
     for (const expected_outcome& outcome : *expected) {
@@ -209,7 +216,7 @@
     }
     out.close();
     if (ZSTD_isError(size) != 0 || !out) {
-        fail(reason, error_kind::usage, fmt::format("{}: can't be written", file));
+        fail(reason, error_kind::usage, fmt::format("{}: the file can't be written", file));
         return false;
     }
     return true;
@@ -224,7 +231,8 @@
         }
     }
     if (failed || files.empty()) {
-        return fail(reason, error_kind::usage, fmt::format("{}: no traces", folder));
+        return fail(reason, error_kind::usage,
+                    fmt::format("{}: the folder can't be read or contains no .zst file", folder));
     }
     std::sort(files.begin(), files.end());
     folder_report folder_result;
--- a/src/ctl/replay_outcomes.cpp
+++ b/src/ctl/replay_outcomes.cpp
@@ -9,7 +9,8 @@
 namespace caraway {
 namespace {
 
-// Share of the slots that a server in cold start may use, as the design states it.
+// A backend server in cold start may use one part in cold_divisor of its slots. The value is stated
+// here anew, so that the check doesn't depend on the decision code's own constant.
 constexpr std::uint32_t cold_divisor = 4;
 
 constexpr std::array<std::string_view, 10> known_checks{
@@ -22,6 +23,7 @@
     return std::chrono::duration<double>(value).count();
 }
 
+// Reads one field of an outcome. Returns false if its name or type is not expected.
 bool read_field(std::string_view key, const boost::json::value& value, expected_outcome& outcome) {
     if (key == "by_deadline" && value.is_bool()) {
         outcome.m_by_deadline = value.get_bool();
@@ -62,7 +64,7 @@
     for (const boost::json::value& item : parsed.get_array()) {
         expected_outcome outcome;
         if (!item.is_object()) {
-            return fail(reason, error_kind::invalid_text, "outcomes: expected objects");
+            return fail(reason, error_kind::invalid_text, "outcomes: expected an array of objects");
         }
         for (const auto& [key, value] : item.get_object()) {
             if (!read_field({key.data(), key.size()}, value, outcome)) {
@@ -98,8 +100,9 @@
     }
 }
 
-// Between two inputs a lease can only end, so it is enough to compare the holders after each. All
-// processes of a trace ran on one machine, whose monotonic clock they share.
+// Counts lease holders that overlap. Between two inputs a lease can only end, so comparing the
+// holders after each input is enough. All processes of a trace ran on one machine and share its
+// monotonic clock.
 void outcome_checker::observe_lease(const process_map& processes, const replayed_process& process,
                                     const replay_input& input) {
     const std::string key = input.text("key");
@@ -199,33 +202,34 @@
     const std::string& check = outcome.m_check;
     if (check == "one_holder") {
         return {m_lease_overlaps == 0 && m_holder_changes > 0,
-                fmt::format("{}: {} changes of holder, {} overlaps", check, m_holder_changes,
-                            m_lease_overlaps)};
+                fmt::format("{}: {} changes of the lease holder, {} overlaps", check,
+                            m_holder_changes, m_lease_overlaps)};
     }
     if (check == "steps_under_lease") {
         return {m_steps_without_lease == 0 && m_steps > 0,
-                fmt::format("{}: {} steps, {} without the lease", check, m_steps,
+                fmt::format("{}: {} steps, {} without holding the lease", check, m_steps,
                             m_steps_without_lease)};
     }
     if (check == "running_within_slots") {
         return {m_calls_over_slots == 0 && m_call_starts > 0,
-                fmt::format("{}: {} calls, at most {} at once, {} above the slots", check,
-                            m_call_starts, m_max_running, m_calls_over_slots)};
+                fmt::format("{}: {} calls, at most {} at the same time, {} started above the slots",
+                            check, m_call_starts, m_max_running, m_calls_over_slots)};
     }
     if (check == "cold_start_share") {
-        return {
-            m_calls_over_cold_share == 0 && m_max_running_cold > 0,
-            fmt::format("{}: at most {} at once in the first {:.1f} s, {} calls above a quarter",
-                        check, m_max_running_cold, seconds(m_cold_hold), m_calls_over_cold_share)};
+        return {m_calls_over_cold_share == 0 && m_max_running_cold > 0,
+                fmt::format("{}: at most {} calls at the same time until {:.1f} s after the first "
+                            "answer, {} started above a quarter of the slots",
+                            check, m_max_running_cold, seconds(m_cold_hold),
+                            m_calls_over_cold_share)};
     }
     if (check == "version_never_falls") {
         return {m_version_decreases == 0 && m_apply_count > 0,
-                fmt::format("{}: {} versions applied, {} falls", check, m_apply_count,
-                            m_version_decreases)};
+                fmt::format("{}: {} versions applied, {} below an earlier one", check,
+                            m_apply_count, m_version_decreases)};
     }
     if (check == "no_weight_after_suspension") {
         return {m_nonzero_weights_after_suspension == 0 && m_weight_checks > 0,
-                fmt::format("{}: {} times looked at, {} above 0", check, m_weight_checks,
+                fmt::format("{}: {} weights checked, {} above 0", check, m_weight_checks,
                             m_nonzero_weights_after_suspension)};
     }
     if (check == "one_final_state") {
@@ -248,9 +252,9 @@
         }
         finals += ended ? 1 : 0;
     }
-    return {
-        rewritten == 0 && finals > 0,
-        fmt::format("one_final_state: {} final states, {} records after one", finals, rewritten)};
+    return {rewritten == 0 && finals > 0,
+            fmt::format("one_final_state: {} final states, {} records written after one", finals,
+                        rewritten)};
 }
 
 outcome_checker::check_result
@@ -277,7 +281,7 @@
     const auto& [version, at] = *m_suspended.begin();
     const auto failed = m_failed.find(version);
     if (failed == m_failed.end() || failed->second.size() < outcome.m_count) {
-        return {false, "suspended_within: too few failed calls in the trace"};
+        return {false, "suspended_within: the trace has fewer failed calls than failed_calls"};
     }
     std::vector<time_point> times = failed->second;
     std::sort(times.begin(), times.end());
@@ -307,7 +311,8 @@
         count = m_call_starts;
     }
     return {count >= outcome.m_count && outcome.m_count > 0,
-            fmt::format("at_least: {} {}, stated {}", count, outcome.m_quantity, outcome.m_count)};
+            fmt::format("at_least: {} {}, expected at least {}", count, outcome.m_quantity,
+                        outcome.m_count)};
 }
 
 } // namespace caraway
--- a/src/ctl/replay_outcomes.hpp
+++ b/src/ctl/replay_outcomes.hpp
@@ -1,4 +1,4 @@
-// The outcomes stated for a trace, checked on what the replayed decision code did.
+// Checks the outcomes expected of a trace against the actions of the replayed decision code.
 #pragma once
 
 #include <cstdint>
@@ -14,43 +14,50 @@
 
 namespace caraway {
 
+// One expected outcome. replay_trace describes the checks and their bounds.
 struct expected_outcome {
-    std::string m_check;
-    std::string m_state;    // move_ends
-    std::string m_quantity; // at_least
-    bool m_by_deadline = false;
-    milliseconds m_limit{0}; // ms or hold_ms
-    std::size_t m_count = 0; // failed_calls or count
+    std::string m_check;        // name of the check
+    std::string m_state;        // move_ends: the field state
+    std::string m_quantity;     // at_least: the field of
+    bool m_by_deadline = false; // move_ends: the field by_deadline
+    milliseconds m_limit{0};    // the field ms or hold_ms
+    std::size_t m_count = 0;    // the field failed_calls or count
 };
 
-// Reads a JSON array of outcomes; nothing with a reason if a check or a field is unknown.
+// Parses a JSON array of outcomes. Returns nothing and sets reason if a check or a field is
+// unknown.
 std::optional<std::vector<expected_outcome>> parse_outcomes(std::string_view text, error& reason);
 
-// Gathers figures while a trace is replayed.
+// Collects figures while a trace is replayed and evaluates the expected outcomes at its end.
 class outcome_checker {
 public:
+    // cold_hold is the time after a process's first answer during which check cold_start_share
+    // limits its running calls.
     explicit outcome_checker(milliseconds cold_hold) : m_cold_hold(cold_hold) {}
 
     using process_map = std::map<std::string, replayed_process>; // by instance
-    // Called after each input with the state after it.
+    // Updates the figures after each input. process is the one that took the input; it and
+    // processes are in the state after it. action is the replayed action.
     void observe(const process_map& processes, const replayed_process& process,
                  const replay_input& input, std::string_view action);
 
     struct check_result {
         bool m_passed = false;
-        std::string m_text; // the check with its figures
+        std::string m_text; // name of the check and its figures
     };
+    // Evaluates one outcome. A check that saw no relevant input fails.
     check_result check(const expected_outcome& outcome) const;
 
 private:
     struct call_state {
-        std::size_t m_running = 0;
+        std::size_t m_running = 0; // calls running now
         std::size_t m_max_running = 0;
         std::size_t m_max_running_cold = 0;
         std::optional<time_point> m_first_answer;
     };
     struct move_history {
         std::map<std::uint64_t, move_record> m_records; // by revision
+        // Time when a node first received the record, Unix milliseconds, by revision.
         std::map<std::uint64_t, std::int64_t> m_received_ms;
     };
 
@@ -74,19 +81,20 @@
     std::size_t m_store_errors = 0;
     std::size_t m_steps = 0;
     std::size_t m_steps_without_lease = 0;
-    std::map<std::string, call_state> m_calls; // by instance, of the present process
+    std::map<std::string, call_state> m_calls; // by instance, reset at restart
     std::size_t m_call_starts = 0;
     std::size_t m_calls_over_slots = 0;
     std::size_t m_calls_over_cold_share = 0;
     std::size_t m_max_running = 0;
     std::size_t m_max_running_cold = 0;
-    std::map<std::string, std::uint64_t> m_applied; // by instance, over restarts
+    std::map<std::string, std::uint64_t>
+        m_applied; // highest version by instance, kept over restarts
     std::size_t m_apply_count = 0;
     std::size_t m_version_decreases = 0;
-    std::map<std::string, std::size_t> m_ready_counts; // by instance
+    std::map<std::string, std::size_t> m_ready_counts; // starts that became ready, by instance
     std::map<std::string, move_history> m_moves;
-    std::map<std::string, std::vector<time_point>> m_failed; // calls, by version
-    std::map<std::string, time_point> m_suspended;           // first time, by version
+    std::map<std::string, std::vector<time_point>> m_failed; // times of failed calls, by version
+    std::map<std::string, time_point> m_suspended; // time of the first suspension, by version
     std::size_t m_weight_checks = 0;
     std::size_t m_nonzero_weights_after_suspension = 0;
 };
--- a/src/ctl/replay_player.cpp
+++ b/src/ctl/replay_player.cpp
@@ -12,6 +12,7 @@
 namespace caraway {
 namespace {
 
+// Converts nanoseconds of the monotonic clock.
 time_point from_ns(std::int64_t value) {
     return time_point(std::chrono::duration_cast<duration>(std::chrono::nanoseconds(value)));
 }
@@ -43,8 +44,9 @@
     return action_text(keeper, lease_request::none);
 }
 
-// Stands in for the text, which is not recorded: texts with different versions or hashes differ,
-// and the hash fits exactly if it did in the recording.
+// Returns a substitute for a configuration text, since texts are not recorded. Substitutes with
+// different versions or hashes differ, and the content hash matches if and only if it matched in
+// the recording.
 config_text substitute_text(const replay_input& input) {
     config_text text;
     text.m_version = input.count("version");
@@ -54,6 +56,7 @@
     return text;
 }
 
+// Passes one input to the distribution state machine and returns its actions.
 std::vector<distribution_action> replay_distribution_input(distribution_state& state,
                                                            const replay_input& input) {
     const std::string& name = input.m_input_name;
@@ -150,6 +153,8 @@
     return std::to_string(move_weight(facts, process.m_service, process.m_move_id));
 }
 
+// Adds one route's counts to the report they belong to. The field first marks the first route of a
+// report.
 void add_report(replayed_process& process, const replay_input& input) {
     if (input.flag("first") || process.m_reports.empty()) {
         evidence_report report;
@@ -162,6 +167,7 @@
         parse_counts(input.text("counts")).value_or(arm_counts{});
 }
 
+// Replays a step or a takeover of a move, whose input is the move's record.
 std::string replay_record(replayed_process& process, const replay_input& input) {
     const auto record = decode_move(input.text("record"), input.count("revision"));
     if (!record) {
--- a/src/ctl/replay_player.hpp
+++ b/src/ctl/replay_player.hpp
@@ -1,4 +1,4 @@
-// The decision code of one node process, driven by recorded inputs.
+// Replays recorded inputs through the decision code of one node process.
 #pragma once
 
 #include <cstdint>
@@ -16,24 +16,26 @@
 
 namespace caraway {
 
-// One decision line. The fields are read by name; a missing or mistyped one reads as empty or zero
-// and marks the input as damaged.
+// One decision line. Fields are read by name. A field that is missing or has the wrong type reads
+// as empty or zero and marks the input as damaged.
 class replay_input {
 public:
-    // Nothing if the line is no decision line.
+    // Returns nothing if the line is neither a decision line nor a note of dropped lines. Such a
+    // note has the component dropped_event.
     static std::optional<replay_input> parse(std::string_view line);
 
     std::string m_instance;
-    std::string m_component;
-    std::string m_input_name;
-    std::string m_action; // recorded
-    time_point m_now;
-    std::int64_t m_logged_ms = 0;
+    std::string m_component;      // component of the decision code, the field part
+    std::string m_input_name;     // kind of input, the field input
+    std::string m_action;         // recorded action
+    time_point m_now;             // time that was passed to the decision
+    std::int64_t m_logged_ms = 0; // time of the log line, Unix milliseconds
 
     std::string text(std::string_view name) const;
     std::int64_t number(std::string_view name) const;
     std::uint64_t count(std::string_view name) const;
     bool flag(std::string_view name) const;
+    // Returns whether a field read so far was missing or had the wrong type.
     bool is_damaged() const { return m_damaged; }
 
 private:
@@ -42,27 +44,28 @@
     mutable bool m_damaged = false;
 };
 
-// What one process knew. A new one is made at each start line.
+// Decision state of one node process. The line of its start creates a new one.
 struct replayed_process {
     std::string m_instance;
-    std::string m_version; // of its backend server
+    std::string m_version; // version of its backend server
     std::string m_service;
-    std::map<std::string, lease_keeper> m_leases; // by key
+    std::map<std::string, lease_keeper> m_leases; // by lease key
     distribution_state m_distribution;
     admission_state m_admission = make_admission({});
-    move_evidence m_evidence;
-    move_evidence m_local_evidence;
-    std::vector<evidence_report> m_reports; // since the last weighing
+    move_evidence m_evidence;               // of all instances, for the holder of the move's lease
+    move_evidence m_local_evidence;         // of this instance
+    std::vector<evidence_report> m_reports; // reports since evidence was last evaluated
     fact_table m_facts;
     std::string m_move_id;
-    // What the last input gave, for the checks of outcomes.
+    // Results of the last input, used to check outcomes.
     std::vector<distribution_action> m_actions;
-    std::size_t m_started_calls = 0; // calls that may run now
+    std::size_t m_started_calls = 0; // calls that were admitted to run
     std::optional<move_record> m_written_record;
-    bool m_suspension_matches = true; // the recorded suspension flag agrees with the replayed facts
+    bool m_suspension_matches = true; // the recorded suspension flag equals the replayed one
 };
 
-// Applies one input and returns the action's text, to be compared with the recorded one.
+// Passes one input to the decision code and returns the resulting action as text, in the form of
+// the recorded one.
 std::string replay(replayed_process& process, const replay_input& input);
 
 } // namespace caraway
--- a/src/ctl/report_commands.cpp
+++ b/src/ctl/report_commands.cpp
@@ -1,4 +1,4 @@
-// The commands that only read the store: status and verdicts.
+// The commands status and verdicts, which only read the store.
 #include "ctl/commands.hpp"
 
 #include <algorithm>
@@ -26,6 +26,7 @@
 constexpr std::string_view move_verdict_prefix = "caraway/verdict/move/";
 constexpr std::string_view config_verdict_prefix = "caraway/verdict/config/";
 
+// Prints a failed store call and returns the exit code.
 int report_store_failure(const console& out, const store_reply& reply) {
     const std::string text =
         fmt::format("store: {} ({})", answer_for(reply.m_kind).m_name, reply.m_text);
@@ -79,22 +80,23 @@
     return {{"source_revision", refused.m_source_revision}, {"faults", std::move(faults)}};
 }
 
-// What status shows, as read from the store.
+// The state of the mesh as read from the store.
 struct mesh_status {
-    std::uint64_t m_text_revision = 0; // 0: no text yet
+    std::uint64_t m_text_revision = 0; // 0: no text submitted yet
     std::optional<accepted_view> m_accepted;
     std::optional<refused_view> m_refused;
     std::vector<move_view> m_moves;
     std::optional<config_verdict_view> m_verdict;
-    std::vector<std::pair<std::string, std::string>> m_leases; // key below the prefix, holder
+    std::vector<std::pair<std::string, std::string>> m_leases; // key without lease_prefix, holder
 };
 
-// True when the refusal concerns the text that stands in the store now.
+// Returns whether the refusal applies to the text that is in the store now.
 bool is_current_text_refused(const mesh_status& status) {
     return status.m_refused && status.m_refused->m_source_revision == status.m_text_revision;
 }
 
-// Reads everything; returns the failed reply when the store can't be read.
+// Reads the status from the store. Returns the failed reply if the store can't be read, otherwise
+// nothing.
 std::optional<store_reply> read_status(const store_interface& store, mesh_status& status) {
     const store_reply states = store.m_list("caraway/state/");
     if (states.m_kind != error_kind::none) {
@@ -116,7 +118,7 @@
         return leases;
     }
     for (const store_entry& entry : leases.m_entries) {
-        // The value is the holder's name and the lease's identity.
+        // The value consists of the holder's name and the lease's id, separated by a blank.
         status.m_leases.emplace_back(entry.m_key.substr(lease_prefix.size()),
                                      entry.m_value.substr(0, entry.m_value.find(' ')));
     }
@@ -168,11 +170,12 @@
     } else if (status.m_text_revision != 0 &&
                (!status.m_accepted ||
                 status.m_accepted->m_source_revision != status.m_text_revision)) {
-        out.m_out(fmt::format("pending: revision {} isn't judged yet", status.m_text_revision));
+        out.m_out(fmt::format("pending: revision {} is neither accepted nor refused yet",
+                              status.m_text_revision));
     }
     if (status.m_accepted) {
         out.m_out(status.m_verdict ? fmt::format("verdict: {}", describe(*status.m_verdict))
-                                   : fmt::format("verdict: none yet on version {}",
+                                   : fmt::format("verdict: none yet for version {}",
                                                  status.m_accepted->m_version));
     }
     for (const move_view& move : status.m_moves) {
@@ -183,18 +186,19 @@
     }
 }
 
-// The service of a move's key below a prefix, as in caraway/verdict/move/SERVICE/MOVEID.
+// Returns the service in the key of a move, which follows the prefix as in
+// caraway/verdict/move/SERVICE/MOVEID.
 std::string_view service_of(std::string_view key, std::string_view prefix) {
     key.remove_prefix(prefix.size());
     return key.substr(0, key.find('/'));
 }
 
-// What show_verdicts prints and remembers while it follows.
+// Output and state of show_verdicts.
 struct verdict_printer {
     const console* m_out = nullptr;
     const verdict_options* m_options = nullptr;
-    std::set<std::string> m_final_moves;   // move ids whose final state was printed
-    std::optional<move_view> m_last_final; // the latest of them
+    std::set<std::string> m_final_moves;   // ids of the moves whose final state was printed
+    std::optional<move_view> m_last_final; // the final state printed last
 };
 
 void print_move(const verdict_printer& printer, const move_view& move) {
@@ -219,7 +223,7 @@
     }
 }
 
-// Prints one verdict or one step of a move, if it was asked for.
+// Prints one verdict or one step of a move if the options include it.
 void print_entry(verdict_printer& printer, const store_entry& entry) {
     const std::string& service = printer.m_options->m_service;
     if (entry.m_deleted) {
@@ -242,7 +246,8 @@
         return;
     }
     const auto move = parse_move(entry.m_value);
-    // A final state stands in the move's record and in its verdict, and is printed once.
+    // The store holds a final state twice, in the move's record and in its verdict. It is printed
+    // once.
     if (!move || (is_final(*move) && !printer.m_final_moves.insert(move->m_move_id).second) ||
         (!is_final(*move) && !printer.m_options->m_follow)) {
         return;
@@ -253,7 +258,8 @@
     }
 }
 
-// Lists verdicts and move records, oldest first. Returns the store's revision.
+// Prints the verdicts and move records in the store, oldest first. Returns the store's revision, or
+// nothing after a failure, which it prints.
 std::optional<std::uint64_t> print_stored(const console& out, const store_interface& store,
                                           verdict_printer& printer) {
     store_reply listed = store.m_list(verdict_prefix);
@@ -307,8 +313,9 @@
     if (!options.m_follow) {
         return exit_code();
     }
-    // With a service, following ends with the verdict on the move of the accepted text. The record
-    // alone doesn't tell: right after an acceptance it may still be the former move's.
+    // With a service, following ends with the verdict on the move in the accepted text. The stored
+    // move record is not enough to identify this move: right after an acceptance it may still be
+    // the previous move's record.
     std::string awaited_move_id;
     if (!options.m_service.empty()) {
         accepted_config current;
@@ -333,7 +340,8 @@
             return awaited_move_id.empty() || !printer.m_final_moves.contains(awaited_move_id);
         });
     if (follow_result != error_kind::none && !awaited_move_id.empty()) {
-        out.m_err(fmt::format("no verdict on {} in the time given", options.m_service));
+        out.m_err(
+            fmt::format("no verdict on the move of {} within the timeout", options.m_service));
         return exit_negative;
     }
     return exit_code();
--- a/src/ctl/store_session.cpp
+++ b/src/ctl/store_session.cpp
@@ -15,20 +15,21 @@
 
 namespace asio = boost::asio;
 
-// Attempts of one call and the pause before the second; the pause doubles, so that all attempts
-// together wait some 3 s. An operator sees an outage of the store instead of a hanging command.
+// Number of attempts of one call, and the pause before the second attempt. The pause doubles each
+// time, so that all attempts together wait about 3 s. During a store outage the operator then gets
+// an error instead of a command that hangs.
 constexpr int max_attempts = 6;
 constexpr milliseconds initial_pause{100};
 
-// Writes that are tried again after an answer was lost and the key was found unchanged.
+// Upper bound of the attempts of a write whose reply is lost while the key remains unchanged.
 constexpr int max_write_attempts = 4;
 
-// How long one watch waits in the store.
+// Time that the store waits for a change before it replies to a watch.
 constexpr milliseconds watch_wait{10'000};
-// Pause after a watch failed.
+// Pause before a failed watch is restarted.
 constexpr milliseconds watch_retry_pause{500};
 
-// True when the call had no effect and may succeed later.
+// Returns whether the failed call had no effect and may succeed later.
 bool is_retryable(error_kind kind) {
     return kind == error_kind::store_unreachable || kind == error_kind::store_throttled;
 }
@@ -39,7 +40,7 @@
     asio::io_context m_context;
     std::unique_ptr<store_client> m_client;
 
-    // Starts one call and runs the context until its reply is there.
+    // Starts one call and runs the context until the reply arrives.
     template <typename starter>
     store_reply wait_for(starter start) {
         store_reply result;
@@ -54,6 +55,8 @@
         return result;
     }
 
+    // Makes a call and retries it while its failure is retryable. A read is also retried after a
+    // lost reply.
     template <typename starter>
     store_reply retry(bool is_read, starter start) {
         store_reply reply;
@@ -72,15 +75,16 @@
     }
 };
 
-// One follow call under way: a watch for each prefix, restarted after each reply.
+// State of one m_follow call, which keeps one watch per prefix and restarts it after each reply.
 struct follow_state {
     session* m_session = nullptr;
     const change_handler* m_handler = nullptr;
-    std::vector<std::unique_ptr<asio::steady_timer>> m_timers; // pauses after failures
+    std::vector<std::unique_ptr<asio::steady_timer>> m_timers; // retry pauses after failures
     error_kind m_result = error_kind::none;
     bool m_stopped = false;
 };
 
+// Starts a watch of one prefix for changes after a store revision.
 void watch_prefix(const std::shared_ptr<follow_state>& state, const std::string& prefix,
                   std::uint64_t after) {
     state->m_session->m_client->watch(
--- a/src/ctl/store_session.hpp
+++ b/src/ctl/store_session.hpp
@@ -1,5 +1,5 @@
-// Blocking store calls for carawayctl, and the compare-and-swap that reads back after a lost
-// answer.
+// Blocking store access for carawayctl, including a compare-and-swap that reads the key back if the
+// reply is lost.
 #pragma once
 
 #include <cstdint>
@@ -16,45 +16,48 @@
 
 namespace caraway {
 
-// Takes one change of a followed key; returns false to stop following.
+// Handles one change of a watched key. Returns false to stop watching.
 using change_handler = std::function<bool(const store_entry&)>;
 
-// The store as the commands use it. Tests put a fake in its place.
+// The store operations that the commands need. Tests replace them with a fake store. All of them
+// block the calling thread.
 struct store_interface {
     std::function<store_reply(std::string_view key)> m_get;
+    // Writes the value if the key is still at if_revision (0: absent).
     std::function<store_reply(std::string_view key, std::string_view value,
                               std::uint64_t if_revision)>
         m_put;
     std::function<store_reply(std::string_view prefix)> m_list;
-    // Hands on every change below the prefixes after a store revision. Returns none when the
-    // handler stopped, deadline_after_send when the limit passed (0: no limit).
+    // Passes every change below the prefixes after a store revision to the handler. Returns none if
+    // the handler stopped it, deadline_after_send if the limit has passed (0: no limit).
     std::function<error_kind(std::span<const std::string> prefixes, std::uint64_t after,
                              milliseconds limit, const change_handler& handler)>
         m_follow;
 };
 
-// Opens a session with the store. Calls that can't have taken effect are tried again a few times
-// with a growing pause, on the next address after a connection failure.
+// Opens a session with the store. Reads, and writes that can't have taken effect, are retried a few
+// times with exponential backoff, on the next address after a connection failure. timeout applies
+// to each attempt.
 store_interface open_store(std::vector<ip_endpoint> addresses, milliseconds timeout);
 
-// How a compare-and-swap ended.
+// Result of a compare-and-swap.
 struct write_result {
     enum class kind : std::uint8_t {
         written,
-        lost_race,   // another writer was first; m_revision and m_value are the store's
-        unknown,     // the answer was lost and the key can't be read back
+        lost_race,   // another writer came first; m_revision and m_value are the store's
+        unknown,     // the reply was lost and the key can't be read back
         unreachable, // nothing was written
-        too_large,
+        too_large,   // the store rejected the value's size
     };
     kind m_kind = kind::unreachable;
-    std::uint64_t m_revision = 0;        // of the key after the write, or of the winner
-    std::string m_value;                 // lost: the winner's value
-    bool m_may_have_been_stored = false; // lost: the own value may have stood before the winner's
-    std::string m_text;                  // reason of a failure
+    std::uint64_t m_revision = 0; // revision of the key after the write, or of the winner's value
+    std::string m_value;          // lost_race: the winner's value
+    bool m_may_have_been_stored = false; // lost_race: the winner may have overwritten this value
+    std::string m_text;                  // reason for a failure
 };
 
-// Writes value if the key is still at if_revision (0: absent). After a lost answer the key is read
-// back before the write is tried again, so that the own write is not taken for another's.
+// Writes value if the key is still at if_revision (0: absent). If the reply is lost, the key is
+// read back before a retry, so that this write is not mistaken for another writer's.
 write_result write_if_unchanged(const store_interface& store, std::string_view key,
                                 std::string_view value, std::uint64_t if_revision);
 
--- a/src/ctl/text_commands.cpp
+++ b/src/ctl/text_commands.cpp
@@ -1,4 +1,4 @@
-// The commands that read and write the operators' text: check, diff, fetch and apply.
+// The commands check, diff, fetch and apply, which read and write the configuration text.
 #include "ctl/commands.hpp"
 
 #include <array>
@@ -30,11 +30,11 @@
 constexpr std::string_view refused_key = "caraway/state/refused";
 constexpr std::string_view config_verdict_prefix = "caraway/verdict/config/";
 
-// Begins the last line of a submitted text. The store keeps no author, so apply writes one into the
-// text; a lost race can then name the winner.
+// Start of the last line of a submitted text. The store records no author, so apply writes the
+// author into the text. An operator who loses a race is then told who won it.
 constexpr std::string_view attribution_prefix = "# carawayctl: applied by ";
 
-// Largest author name in the attribution line, in bytes.
+// Upper bound of the author's name in the attribution line, in bytes.
 constexpr std::size_t max_author_bytes = 64;
 
 std::optional<std::string> read_file(const std::string& path) {
@@ -49,7 +49,8 @@
     return text;
 }
 
-// Writes beside the file and renames, so that an interrupted command leaves no half a file.
+// Writes to a temporary file and renames it, so that an interrupted command leaves no partial file.
+// Returns false on failure.
 bool write_file(const std::string& path, std::string_view text) {
     const std::string partial = path + ".partial";
     {
@@ -129,9 +130,12 @@
 }
 
 int report_unreadable(const console& out, const std::string& file) {
-    return report_failure(out, exit_usage, "usage", fmt::format("{}: can't be read", file));
+    return report_failure(out, exit_usage, "usage",
+                          fmt::format("{}: the file can't be read", file));
 }
 
+// Returns the last attribution of a text, without attribution_prefix, or an empty view if it has
+// none.
 std::string_view attribution_of(std::string_view text) {
     const std::size_t at = text.rfind(attribution_prefix);
     if (at == std::string_view::npos || (at > 0 && text[at - 1] != '\n')) {
@@ -141,8 +145,8 @@
     return line.substr(attribution_prefix.size());
 }
 
-// Puts a fresh attribution line at the end, in place of an old one there. Lines before it keep
-// their numbers, so that faults point into the operator's file.
+// Appends an attribution line, which replaces an existing one at the end of the text. All other
+// lines keep their numbers, so that faults refer to lines of the operator's file.
 std::string add_attribution(std::string_view text, std::string_view by, wall_time now,
                             std::uint64_t from) {
     const std::size_t at = text.rfind(attribution_prefix);
@@ -159,10 +163,12 @@
                        author.empty() ? "unknown" : author, format_unix_ms(unix_ms(now)), from);
 }
 
+// Returns the name of the file that stores the revision of a fetched or applied text.
 std::string revision_file(const std::string& file) {
     return file + ".revision";
 }
 
+// Reads the revision stored for a file. Returns nothing if there is none or it is malformed.
 std::optional<std::uint64_t> read_revision(const std::string& file) {
     const auto text = read_file(revision_file(file));
     if (!text) {
@@ -175,7 +181,7 @@
     return failure == std::errc{} && ends ? std::optional(revision) : std::nullopt;
 }
 
-// Reports a lost race: who won, and how the winner's text differs from the file.
+// Reports a lost race: who won it, and how the file differs from the winner's text.
 int report_lost_race(const console& out, const apply_options& options, std::uint64_t from,
                      const write_result& result, const mesh& submitted) {
     std::vector<text_fault> faults;
@@ -198,21 +204,22 @@
                           "{}",
                           options.m_file, from, result.m_revision, by));
     out.m_err(result.m_may_have_been_stored
-                  ? "an answer of the store was lost: this text may have stood before the winner's"
+                  ? "a reply of the store was lost: this text may have stood before the winner's"
                   : "nothing was changed; fetch the text, edit it and apply it again");
     for (const std::string& line : changes) {
-        out.m_err(fmt::format("this file against the winner's: {}", line));
+        out.m_err(fmt::format("change from the winner's text to this file: {}", line));
     }
     return exit_refused;
 }
 
-// What following a submitted text has seen so far.
+// Progress of waiting for the verdict on a submitted text.
 struct wait_state {
     std::uint64_t m_revision = 0;   // of the submitted text
-    std::uint64_t m_version = 0;    // accepted as, 0 before
-    std::optional<int> m_exit_code; // the exit code, once known
+    std::uint64_t m_version = 0;    // version that it was accepted as; 0 until then
+    std::optional<int> m_exit_code; // set once the wait is over
 };
 
+// Prints one step of a submitted text.
 void report_progress(const console& out, std::string_view result, std::uint64_t version,
                      std::string_view text) {
     if (out.m_json) {
@@ -223,8 +230,9 @@
     }
 }
 
-// A later version in force everywhere means that no instance is behind this one either. With a
-// change every few seconds many versions are overtaken before they have a verdict of their own.
+// Handles the verdict on a version. If a later version is in force everywhere, no instance is
+// behind the submitted one either, so the wait ends successfully. When the text changes every few
+// seconds, many versions are superseded before they get a verdict of their own.
 void handle_verdict(const console& out, const config_verdict_view& verdict, wait_state& state) {
     if (state.m_version == 0 || verdict.m_version < state.m_version) {
         return;
@@ -238,6 +246,7 @@
     }
 }
 
+// Handles an acceptance, of the submitted text or of a later one.
 void handle_accepted(const console& out, const accepted_view& accepted, wait_state& state) {
     if (state.m_version != 0) {
         return;
@@ -253,7 +262,7 @@
     }
 }
 
-// Handles one record while waiting.
+// Handles one changed record while waiting. file names the submitted file in messages.
 void handle_record(const console& out, const std::string& file, std::string_view key,
                    std::string_view value, wait_state& state) {
     if (key == accepted_key) {
@@ -272,8 +281,9 @@
     }
 }
 
-// Follows a submitted text until it is refused, superseded or has its in-force verdict. Everything
-// of interest is written after the text, so that following from the text's revision misses nothing.
+// Waits until a submitted text is refused, superseded or has a verdict, and returns the exit code.
+// All relevant records are written after the text, so watching from the text's revision misses
+// none.
 int wait_for_verdict(const console& out, const store_interface& store, const apply_options& options,
                      std::uint64_t revision) {
     wait_state state;
@@ -288,7 +298,8 @@
             if (!entry.m_deleted) {
                 handle_record(out, options.m_file, entry.m_key, entry.m_value, state);
             }
-            // Once the version is known, verdicts that came before it are read again.
+            // Once the version is known, restarts the watch to read verdicts that arrived before
+            // it.
             return !state.m_exit_code && !(waiting && state.m_version != 0);
         };
         if (left.count() <= 0 ||
@@ -301,10 +312,10 @@
     return *state.m_exit_code;
 }
 
-// Writes the submitted text's difference from the accepted text, so that the accepter need not read
-// the text whole. It names the revision that the store gave the text, so it can't be taken for the
-// difference of another writer's text. Without it the accepter reads the text itself after a short
-// wait, so failures are not reported.
+// Writes the delta from the accepted text to the submitted text, so that the accepter need not read
+// the whole text. The delta contains the store revision of the text, so it can't be mistaken for
+// the delta of another writer's text. A failure is not reported, because without a delta the
+// accepter reads the whole text after a short wait.
 void submit_delta(const store_interface& store, const accepted_config& current,
                   std::string_view text, std::uint64_t text_revision,
                   std::uint64_t delta_revision) {
@@ -387,10 +398,11 @@
         return report_store_failure(out, *failure);
     }
     if (current.m_accepted && !current.m_mesh) {
-        return report_failure(out, exit_refused, "unreadable",
-                              fmt::format("the text of accepted version {} isn't in the store or "
-                                          "can't be read by this program",
-                                          current.m_accepted->m_version));
+        return report_failure(
+            out, exit_refused, "unreadable",
+            fmt::format("the text of accepted version {} is missing from the store "
+                        "or can't be parsed by this program",
+                        current.m_accepted->m_version));
     }
     std::vector<text_fault> faults;
     const auto after = parse_mesh(*text, now, current.m_mesh ? &*current.m_mesh : nullptr, faults);
@@ -404,16 +416,17 @@
     const store_reply reply = store.m_get(text_key);
     if (reply.m_kind == error_kind::store_not_found) {
         return report_failure(out, exit_refused, "absent",
-                              "the store holds no text yet; apply the first one with --from 0");
+                              "the store has no text yet; apply the first one with --from 0");
     }
     if (reply.m_kind != error_kind::none) {
         return report_store_failure(out, reply);
     }
-    // The text is written first: a revision without its text would let an old file overwrite the
-    // newer text.
+    // The text is written before the revision. A new revision beside an old text would allow that
+    // old text to overwrite the newer one.
     if (!write_file(file, reply.m_value) ||
         !write_file(revision_file(file), fmt::format("{}\n", reply.m_revision))) {
-        return report_failure(out, exit_usage, "usage", fmt::format("{}: can't be written", file));
+        return report_failure(out, exit_usage, "usage",
+                              fmt::format("{}: the file can't be written", file));
     }
     if (out.m_json) {
         out.m_out(json::serialize(
@@ -451,8 +464,8 @@
     if (!parsed) {
         return report_faults(out, options.m_file, faults);
     }
-    // Read before the text is written: a slower operator's difference doesn't replace a later
-    // one's.
+    // The delta's revision is read before the text is written, so that a slow operator's delta
+    // doesn't replace the delta of a later text.
     const store_reply old_delta = store.m_get(text_delta_key);
     const write_result result = write_if_unchanged(store, text_key, submitted, *from);
     switch (result.m_kind) {
@@ -461,10 +474,11 @@
     case write_result::kind::lost_race:
         return report_lost_race(out, options, *from, result, *parsed);
     case write_result::kind::too_large:
-        return report_failure(out, exit_refused, "refused", "the store refused the text's size");
+        return report_failure(out, exit_refused, "refused",
+                              "the store refused the text because it is too large");
     case write_result::kind::unreachable:
         return report_failure(out, exit_unreachable, "unreachable",
-                              fmt::format("store: nothing was written ({})", result.m_text));
+                              fmt::format("store: the text was not written ({})", result.m_text));
     case write_result::kind::unknown:
         return report_failure(out, exit_unreachable, "unknown",
                               fmt::format("store: the answer to the write was lost and the text "
@@ -472,9 +486,9 @@
                                           result.m_text));
     }
     submit_delta(store, current, submitted, result.m_revision, old_delta.m_revision);
-    // The next edit of the same file starts from what was just written.
+    // The next edit of the same file is based on the revision that was just written.
     if (!write_file(revision_file(options.m_file), fmt::format("{}\n", result.m_revision))) {
-        out.m_err(fmt::format("{}: can't be written", revision_file(options.m_file)));
+        out.m_err(fmt::format("{}: the file can't be written", revision_file(options.m_file)));
     }
     report_progress(out, "submitted", 0,
                     fmt::format("{}: submitted as revision {}", options.m_file, result.m_revision));
