--- a/src/ctl/audit.cpp
+++ b/src/ctl/audit.cpp
@@ -26,7 +26,7 @@
 // may exceed the limit of open files.
 constexpr std::size_t chunk_bytes = 64U << 10U;
 
-// Upper bound of the length of a line. A longer line is counted as unreadable.
+// Longest line that is read whole. A longer line is cut and counted as unreadable.
 constexpr std::size_t max_line_bytes = 1U << 20U;
 
 // Position of a log line.
@@ -120,8 +120,7 @@
     return {value->get_string().data(), value->get_string().size()};
 }
 
-// Returns a numeric field as an integer, or nothing if it is absent, of another type or out of
-// range.
+// Returns a numeric field as an integer, or nothing if it is absent or not an integer in range.
 std::optional<std::int64_t> number_at(const json::object& object, json::string_view key) {
     const json::value* value = object.if_contains(key);
     if (value == nullptr || !value->is_number()) {
@@ -250,8 +249,8 @@
     if (found != state.m_instances.end() && found->second.m_left_at &&
         line.m_time - *found->second.m_left_at > audit_grace_period.count()) {
         add_breach(state, line.m_position, "work-after-leaving",
-                   fmt::format("a call started on {} {} ms after the instance left", instance,
-                               line.m_time - *found->second.m_left_at));
+                   fmt::format("a call started on {} {} ms after the instance began to leave",
+                               instance, line.m_time - *found->second.m_left_at));
     }
     const std::string_view data_centre = text_at(line.m_fields, "data_centre");
     const auto centre = state.m_data_centres.find(data_centre);
--- a/src/ctl/replay.hpp
+++ b/src/ctl/replay.hpp
@@ -54,8 +54,8 @@
 // Returns nothing and sets reason if a file can't be read.
 std::optional<std::string> read_trace(std::span<const std::string> files, error& reason);
 
-// Drops the lines of the part "admission" of all instances except admission_instances, and the
-// fields that a replay doesn't use.
+// Drops the lines of the component "admission" of all instances except admission_instances, and the
+// fields that a replay doesn't use. trace must come from read_trace; other lines make it throw.
 std::string trim_trace(std::string_view trace, const std::set<std::string>& admission_instances);
 
 // Writes a text to a file, compressed with zstd. Returns false and sets reason on failure.
--- a/src/ctl/replay_outcomes.cpp
+++ b/src/ctl/replay_outcomes.cpp
@@ -9,8 +9,7 @@
 namespace caraway {
 namespace {
 
-// A backend server in cold start may use one part in cold_divisor of its slots. The value is stated
-// here anew, so that the check doesn't depend on the decision code's own constant.
+// A backend server in cold start may use at most a quarter of its slots, as the design specifies.
 constexpr std::uint32_t cold_divisor = 4;
 
 constexpr std::array<std::string_view, 10> known_checks{
--- a/src/ctl/replay_player.hpp
+++ b/src/ctl/replay_player.hpp
@@ -52,9 +52,9 @@
     std::map<std::string, lease_keeper> m_leases; // by lease key
     distribution_state m_distribution;
     admission_state m_admission = make_admission({});
-    move_evidence m_evidence;               // of all instances, for the holder of the move's lease
-    move_evidence m_local_evidence;         // of this instance
-    std::vector<evidence_report> m_reports; // reports since evidence was last evaluated
+    move_evidence m_evidence;               // as holder of the move's lease: of all instances
+    move_evidence m_local_evidence;         // as backend side: of the own server only
+    std::vector<evidence_report> m_reports; // received since the last evaluation
     fact_table m_facts;
     std::string m_move_id;
     // Results of the last input, used to check outcomes.
--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -1,4 +1,4 @@
-// Tests of carawayctl's commands against a fake store, and of the audit of logs.
+// Tests of carawayctl's commands against a fake store, and of the log audit.
 #include <chrono>
 #include <filesystem>
 #include <fstream>
@@ -34,7 +34,7 @@
 service = "alpha"
 )";
 
-// A folder that is removed at the end of the case.
+// A temporary folder that is removed at the end of the test case.
 struct scratch_folder {
     std::filesystem::path m_path =
         std::filesystem::temp_directory_path() / fmt::format("caraway-ctl-test-{}", ::getpid());
@@ -55,17 +55,19 @@
     }
 };
 
-// How the fake store treats the next writes.
+// Fault of a write: the reply is lost before or after the write takes effect. In the last case the
+// written value is also overwritten at once by another writer.
 enum class put_fault : std::uint8_t { none, lost_before, lost_after, lost_after_and_overwritten };
 
+// An in-memory store with injected faults.
 struct fake_store {
     std::map<std::string, store_entry, std::less<>> m_keys;
     std::uint64_t m_revision = 10;
-    std::vector<put_fault> m_faults; // of the next writes, in order
-    bool m_down = false;
-    std::vector<store_entry> m_changes; // handed to a follower
-    std::size_t m_writes = 0;           // of the text
-    std::size_t m_delta_writes = 0;     // of its difference, which have no faults
+    std::vector<put_fault> m_faults;    // faults of the next text writes, in order
+    bool m_down = false;                // reads fail
+    std::vector<store_entry> m_changes; // changes that m_follow passes to the handler
+    std::size_t m_writes = 0;           // writes of keys other than the text's delta
+    std::size_t m_delta_writes = 0;     // writes of the text's delta, which have no faults
 
     void set(const std::string& key, std::string_view value) {
         m_keys[key] = {key, ++m_revision, std::string(value), false};
@@ -138,7 +140,7 @@
     }
 };
 
-// What a command printed.
+// Captures the output of a command.
 struct captured_output {
     std::string m_out;
     std::string m_err;
@@ -166,8 +168,9 @@
 
 BOOST_AUTO_TEST_SUITE(ctl)
 
-// Guards against a check that passes a bad text or hides where its faults stand.
-BOOST_AUTO_TEST_CASE(check_reports_faults_with_their_place) {
+// Guards against a check that accepts an invalid text or reports faults without their line and
+// column.
+BOOST_AUTO_TEST_CASE(check_reports_faults_with_line_and_column) {
     const scratch_folder folder;
     captured_output good;
     BOOST_TEST(check_text(good.open(), folder.write("good.toml", s_text), "", s_now) == exit_done);
@@ -182,7 +185,7 @@
     BOOST_TEST(check_text(absent.open(), "/nonexistent/x", "", s_now) == exit_usage);
 }
 
-// Guards against a change that the operator doesn't see before applying it.
+// Guards against changes that are missing from the diff, so that an operator applies them unseen.
 BOOST_AUTO_TEST_CASE(diff_lists_every_change) {
     const scratch_folder folder;
     const std::string before = folder.write("before.toml", s_text);
@@ -219,7 +222,7 @@
 }
 
 // Guards against a fetched file that can't be applied again, and against attribution lines that
-// pile up.
+// accumulate in the text with each apply.
 BOOST_AUTO_TEST_CASE(fetched_text_is_applied_from_its_revision) {
     const scratch_folder folder;
     fake_store store;
@@ -245,10 +248,9 @@
                                                "2027-01-15T00:00:00.000Z from revision 11\n");
 }
 
-// Guards against a submitted difference that gives the accepter another text, names another
-// revision, or replaces that of a later text, and against an accepted text that only the accepter
-// can restore.
-BOOST_AUTO_TEST_CASE(difference_of_a_submitted_text_restores_it) {
+// Guards against a submitted delta that restores another text, names another revision or replaces
+// the delta of a later text, and against an accepted delta that carawayctl can't restore.
+BOOST_AUTO_TEST_CASE(delta_of_a_submitted_text_restores_it) {
     const scratch_folder folder;
     const std::string accepted = std::string(s_text) + "timeout = \"3s\"\n";
     const std::uint64_t base_hash = hash_bytes(s_text);
@@ -276,7 +278,7 @@
     BOOST_TEST(delta->m_version == text.m_revision);
     BOOST_TEST(delta->m_base_version == 4U);
     BOOST_TEST((unpack_text(*delta, accepted, reason) == text.m_value));
-    // Another operator's text and difference come between this one's text and difference.
+    // Another operator writes a text and its delta between this operator's text and delta.
     store_interface late = store.calls();
     late.m_put = [&](std::string_view key, std::string_view value, std::uint64_t revision) {
         store_reply reply = store.put(key, value, revision);
@@ -290,7 +292,8 @@
     BOOST_TEST(store.m_keys["caraway/text-delta"].m_value == "later");
 }
 
-// Guards against an edit that silently undoes another operator's.
+// Guards against an edit that silently reverts another operator's edit, when both started from the
+// same revision.
 BOOST_AUTO_TEST_CASE(lost_race_names_the_winner_and_changes_nothing) {
     const scratch_folder folder;
     fake_store store;
@@ -311,8 +314,8 @@
     BOOST_TEST(folder.read("late.toml.revision").empty());
 }
 
-// Guards against a write that is taken for lost, or repeated over another's, when its answer was
-// lost.
+// Guards against a write whose reply is lost and that is then reported as failed although it took
+// effect, or repeated over another operator's write.
 BOOST_AUTO_TEST_CASE(write_is_read_back_after_a_lost_answer) {
     const scratch_folder folder;
     const std::string file = folder.write("text.toml", std::string(s_text) + "# own\n");
@@ -348,8 +351,8 @@
     BOOST_TEST(down.m_writes == 0U);
 }
 
-// Guards against a wait that ends with another text's verdict.
-BOOST_AUTO_TEST_CASE(wait_follows_to_the_verdict_of_the_own_text) {
+// Guards against a wait that ends with the verdict on another text.
+BOOST_AUTO_TEST_CASE(wait_ends_with_the_verdict_on_the_submitted_text) {
     const scratch_folder folder;
     const std::string file = folder.write("text.toml", s_text);
     const auto verdict = [](std::uint64_t version, int in_force, bool final_verdict) {
@@ -393,7 +396,8 @@
     }
 }
 
-// Guards against a report that hides a refusal, a missing instance or a rolled-back move.
+// Guards against a status or verdict that omits a refusal, a missing instance or a rolled-back
+// move.
 BOOST_AUTO_TEST_CASE(status_and_verdicts_show_what_the_store_holds) {
     fake_store store;
     captured_output empty;
@@ -431,7 +435,7 @@
     BOOST_TEST(show_verdicts(all.open(), store.calls(), {}) == exit_done);
     BOOST_TEST(contains(all.m_out, "move m1 of alpha from 1 to 2: taken_back"));
     BOOST_TEST(!contains(all.m_out, "running"));
-    // The record is still the former move's when following begins.
+    // When following begins, the stored record still belongs to the previous move.
     const std::string text =
         std::string(s_text) + "[service.alpha.move]\nto = \"2\"\ndeadline = 2027-02-01T00:00:00Z\n";
     const std::string id =
@@ -460,7 +464,7 @@
 
 namespace {
 
-// One log line of an instance in a data centre.
+// Returns one log line of an instance. The first four characters of its name name its data centre.
 std::string make_log_line(std::int64_t time, std::string_view instance, std::string_view event,
                           std::string_view fields) {
     return fmt::format(R"({{"time":{},"level":"info","event":"{}","instance":"{}",)"
@@ -470,6 +474,7 @@
                        fields);
 }
 
+// Returns the log line of a call that starts at a backend server.
 std::string make_start_line(std::int64_t time, std::string_view instance, int request,
                             std::string_view more = R"("key":"")") {
     return make_log_line(
@@ -478,6 +483,7 @@
                     more));
 }
 
+// Returns the log line of a call's outcome at the entry side.
 std::string make_end_line(std::int64_t time, std::string_view instance, int request,
                           std::string_view outcome, bool idempotent = false, bool sent = false) {
     return make_log_line(
@@ -487,7 +493,7 @@
                     request, outcome, sent, idempotent));
 }
 
-// The backend server stated that it did not run the started request.
+// Returns the log line of a call whose backend server reported that it did not run the request.
 std::string make_shed_line(std::int64_t time, std::string_view instance, int request,
                            std::string_view key) {
     return make_log_line(
@@ -500,13 +506,13 @@
 
 } // namespace
 
-// Guards against an audit that misses a breach or names a wrong line, and against one that accuses
-// a correct run.
+// Guards against an audit that misses a breach, names a wrong line or reports a breach in a correct
+// run.
 BOOST_AUTO_TEST_CASE(audit_finds_each_planted_breach_and_nothing_else) {
     const scratch_folder folder;
-    // A correct run: a restart, a resent call, an idempotent retry, a chain that passes on its
-    // request number, calls that a backend server shed, a leave, a data centre out and in, a move
-    // with its final record read back.
+    // A correct run: a restart, a resent call, an idempotent retry, a call chain that passes on its
+    // request number, calls shed by a backend server, a leave, a data centre that is taken out and
+    // put back in, and a move whose final record is read back.
     const std::string east =
         make_log_line(1'000, "east-1", "node_started", "") +
         make_log_line(1'001, "east-1", "config_applied", R"("version":3,"previous":0)") +
@@ -555,7 +561,7 @@
 
     struct planted_case {
         std::string_view m_kind;
-        std::uint64_t m_line; // of the third file
+        std::uint64_t m_line; // line of the breach in the third file
         std::string m_lines;
     };
     const planted_case cases[] = {
--- a/tests/replay_test.cpp
+++ b/tests/replay_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the replay of recorded decisions, and the replay of the committed traces.
+// Tests of the replay of recorded decisions, including the replay of the committed traces.
 #include <boost/test/unit_test.hpp>
 
 #include <array>
@@ -26,6 +26,7 @@
     return *trace;
 }
 
+// Replays a trace. The test case fails if the outcomes can't be parsed.
 replay_report replay_or_fail(const std::string& trace, const std::string& outcomes) {
     error reason;
     const auto report = replay_trace(trace, outcomes, reason);
@@ -33,14 +34,15 @@
     return *report;
 }
 
-// Replaces the first place of from, which must be there.
+// Replaces the first occurrence of from, which must exist.
 std::string replace_first(std::string text, std::string_view from, std::string_view to) {
     const std::size_t at = text.find(from);
     BOOST_REQUIRE(at != std::string::npos);
     return text.replace(at, from.size(), to);
 }
 
-// Breaches of one check after every place of from was replaced.
+// Replaces all occurrences of from, which must exist, and returns the number of breaches of one
+// check.
 std::uint64_t count_breaches(std::string trace, std::string_view from, std::string_view to,
                              std::string_view check) {
     BOOST_REQUIRE(trace.find(from) != std::string::npos);
@@ -52,9 +54,9 @@
 
 BOOST_AUTO_TEST_SUITE(replay)
 
-// Guards against a change of a decision that nobody meant, and against one that breaks an outcome
-// stated for a recorded run. After an intended change the traces are recorded again
-// (tools/record_traces).
+// Guards against an unintended change of a decision, and against a change that breaks an expected
+// outcome of a recorded run. After an intended change, record the traces again with
+// tools/record_traces.
 BOOST_AUTO_TEST_CASE(committed_traces_give_the_committed_signature) {
     error reason;
     const auto result = replay_folder(folder, reason);
@@ -78,15 +80,15 @@
     for (const auto& file : std::filesystem::directory_iterator(folder)) {
         bytes += file.file_size();
     }
-    BOOST_TEST(bytes < 1'000'000U); // the bound of what the repository carries
+    BOOST_TEST(bytes < 1'000'000U); // upper bound of the traces' size in the repository
     std::ifstream in(folder + "/SIGNATURE");
     std::string committed;
     in >> committed;
     BOOST_TEST(fmt::format("{:016x}", result->m_signature) == committed);
 }
 
-// Guards against a replay that repeats the recorded actions instead of deciding anew.
-BOOST_AUTO_TEST_CASE(changed_inputs_and_actions_are_noticed) {
+// Guards against a replay that returns the recorded actions instead of running the decision code.
+BOOST_AUTO_TEST_CASE(changed_inputs_and_actions_are_detected) {
     const std::string trace = load_trace("bad_move");
     const replay_report whole = replay_or_fail(trace, "[]");
     BOOST_TEST(whole.m_differing_actions == 0U);
@@ -105,7 +107,7 @@
     }
 }
 
-// Guards against stated outcomes that hold whatever the trace shows.
+// Guards against checks of outcomes that pass whatever the trace contains.
 BOOST_AUTO_TEST_CASE(outcomes_that_do_not_hold_are_breaches) {
     const std::string trace = load_trace("bad_move");
     for (const std::string outcome :
@@ -115,12 +117,12 @@
           R"({"check": "at_least", "of": "restarts", "count": 1})"}) {
         BOOST_TEST(replay_or_fail(trace, "[" + outcome + "]").m_breaches == 1U, outcome);
     }
-    // Each process runs twice, the second time from an older version on.
+    // Each process runs twice and starts the second time from an older version.
     BOOST_TEST(replay_or_fail(trace + trace, R"([{"check": "version_never_falls"}])").m_breaches ==
                1U);
     const std::string paused = load_trace("holder_paused");
     const std::string_view period = R"("period_ms":5000)";
-    // A lease that outlasts the pause is held by two.
+    // With a lease period longer than the holder's pause, two nodes hold the lease at once.
     BOOST_TEST(count_breaches(paused, period, R"("period_ms":15000)", "one_holder") == 1U);
     BOOST_TEST(count_breaches(paused, period, R"("period_ms":1)", "steps_under_lease") == 1U);
     BOOST_TEST(replay_or_fail(load_trace("cold_start"),
@@ -133,8 +135,8 @@
     BOOST_TEST(!replay_trace(trace, R"([{"check": "one_holder", "limit": 3}])", reason));
 }
 
-// Guards against a recording with dropped lines that passes for a whole one.
-BOOST_AUTO_TEST_CASE(a_gap_is_a_breach) {
+// Guards against a recording that passes as complete although lines were dropped from it.
+BOOST_AUTO_TEST_CASE(dropped_lines_are_a_breach) {
     const std::string gap =
         R"({"time":1,"event":"decisions_dropped","instance":"new-0","count":3})";
     BOOST_TEST(replay_or_fail(gap + "\n", "[]").m_breaches == 1U);
