--- a/src/ctl/audit.cpp
+++ b/src/ctl/audit.cpp
@@ -67,19 +67,19 @@
                 ++m_line;
                 return line;
             }
-            fill();
+            read_chunk();
         }
     }
 
     // Returns the number of the line that next() returned last.
-    std::uint64_t line() const { return m_line; }
+    std::uint64_t line_number() const { return m_line; }
     // Returns whether the file could not be read.
     bool failed() const { return m_failed; }
     const std::string& path() const { return m_path; }
 
 private:
     // Appends the next chunk of the file to the buffer.
-    void fill() {
+    void read_chunk() {
         m_buffer.erase(0, m_begin);
         m_begin = 0;
         // Replaces the start of an overlong line by a character that makes the line invalid JSON.
@@ -189,7 +189,7 @@
     std::map<std::string, data_centre_record, std::less<>> m_data_centres;
     std::map<std::string, tracked_move, std::less<>> m_moves;
     // Time of the first suspension, Unix milliseconds, by service and version.
-    std::map<std::pair<std::string, std::string>, std::int64_t> m_suspended;
+    std::map<std::pair<std::string, std::string>, std::int64_t> m_suspension_times;
     std::unordered_map<std::uint64_t, request_record> m_requests; // by identity_hash
     std::unordered_map<std::uint64_t, request_record> m_keys;     // by identity_hash
     std::unordered_map<std::uint64_t, bool> m_route_idempotent;   // by identity_hash of the route
@@ -260,9 +260,9 @@
                    fmt::format("a call started on {} {} ms after {} was taken out", instance,
                                line.m_time - *centre->second.m_out_at, data_centre));
     }
-    const auto suspended = state.m_suspended.find(
+    const auto suspended = state.m_suspension_times.find(
         {std::string(service), std::string(text_at(line.m_fields, "version"))});
-    if (suspended != state.m_suspended.end() &&
+    if (suspended != state.m_suspension_times.end() &&
         line.m_time - suspended->second > audit_grace_period.count()) {
         add_breach(state, line.m_position, "work-on-suspended-version",
                    fmt::format("a call started on {} {} {} ms after its suspension", service,
@@ -331,9 +331,9 @@
 void track_data_centre(audit_state& state, const log_line& line, bool out) {
     const auto version = number_at(line.m_fields, "version");
     // The field data_centre is that of the node that logged the line.
-    const std::string_view named = text_at(line.m_fields, "of");
+    const std::string_view subject = text_at(line.m_fields, "of");
     data_centre_record& record = state.m_data_centres[std::string(
-        named.empty() ? text_at(line.m_fields, "data_centre") : named)];
+        subject.empty() ? text_at(line.m_fields, "data_centre") : subject)];
     if (version && *version <= record.m_version && record.m_out_at.has_value() != out) {
         return;
     }
@@ -356,7 +356,7 @@
     move.m_service = service;
     if (added) {
         // A new move may retry a version that was suspended in an older move.
-        std::erase_if(state.m_suspended,
+        std::erase_if(state.m_suspension_times,
                       [&](const auto& entry) { return entry.first.first == service; });
     }
     // A record that is read back after a lost reply is logged again with the same revision.
@@ -383,7 +383,7 @@
         }
         service = move->second.m_service;
     }
-    state.m_suspended.try_emplace(
+    state.m_suspension_times.try_emplace(
         {std::move(service), std::string(text_at(line.m_fields, "version"))}, line.m_time);
 }
 
@@ -454,7 +454,7 @@
             ++state.m_report.m_unreadable_lines;
             continue;
         }
-        return log_line{{index, file.line()}, *time, std::move(parsed.get_object())};
+        return log_line{{index, file.line_number()}, *time, std::move(parsed.get_object())};
     }
     return std::nullopt;
 }
@@ -488,7 +488,7 @@
     check_start_counts(state, state.m_keys, "key");
     for (const log_file& file : readers) {
         if (file.failed()) {
-            state.m_report.m_missing_files.push_back(file.path());
+            state.m_report.m_unreadable_files.push_back(file.path());
         }
     }
     std::sort(state.m_report.m_breaches.begin(), state.m_report.m_breaches.end(),
@@ -512,7 +512,7 @@
                                   breach.m_text));
         }
     }
-    for (const std::string& file : report.m_missing_files) {
+    for (const std::string& file : report.m_unreadable_files) {
         out.m_err(fmt::format("{}: the file can't be read", file));
     }
     const std::uint64_t breaches = report.m_breach_count;
@@ -530,7 +530,7 @@
                               files.size(), report.m_lines, report.m_unreadable_lines,
                               report.m_end_count, report.m_start_count, breaches));
     }
-    if (!report.m_missing_files.empty()) {
+    if (!report.m_unreadable_files.empty()) {
         return exit_usage;
     }
     return breaches == 0 ? exit_done : exit_negative;
--- a/src/ctl/audit.hpp
+++ b/src/ctl/audit.hpp
@@ -35,7 +35,7 @@
     std::uint64_t m_end_count = 0;   // call_ended events of the entry side
     std::uint64_t m_breach_count = 0;
     std::vector<audit_breach> m_breaches;
-    std::vector<std::string> m_missing_files; // files that could not be read
+    std::vector<std::string> m_unreadable_files; // files that could not be read
 };
 
 // Reads each file once, merges the lines by their time and checks each of them. Memory use grows
--- a/src/ctl/commands.hpp
+++ b/src/ctl/commands.hpp
@@ -63,8 +63,8 @@
 
 struct verdict_options {
     bool m_follow = false; // continue with new verdicts and progress
-    std::string
-        m_service; // if not empty, only this service's moves; following ends with its verdict
+    // If not empty, only this service's moves are printed and following ends with its verdict.
+    std::string m_service;
     milliseconds m_timeout{0}; // upper bound of following; 0: none
 };
 
--- a/src/ctl/current_text.cpp
+++ b/src/ctl/current_text.cpp
@@ -52,7 +52,7 @@
 } // namespace
 
 std::optional<store_reply> read_accepted_config(const store_interface& store,
-                                                accepted_config& state) {
+                                                accepted_config& config) {
     const store_reply record = store.m_get("caraway/state/accepted");
     if (record.m_kind == error_kind::store_not_found) {
         return std::nullopt;
@@ -60,11 +60,11 @@
     if (record.m_kind != error_kind::none) {
         return record;
     }
-    state.m_accepted = parse_accepted(record.m_value);
-    if (!state.m_accepted) {
+    config.m_accepted = parse_accepted(record.m_value);
+    if (!config.m_accepted) {
         return std::nullopt;
     }
-    auto restored = read_accepted_text(store, *state.m_accepted);
+    auto restored = read_accepted_text(store, *config.m_accepted);
     if (restored.m_kind == error_kind::store_not_found) {
         return std::nullopt;
     }
@@ -72,8 +72,8 @@
         return restored;
     }
     std::vector<text_fault> faults;
-    state.m_text = std::move(restored.m_value);
-    state.m_mesh = parse_mesh(state.m_text, wall_time{}, nullptr, faults);
+    config.m_text = std::move(restored.m_value);
+    config.m_mesh = parse_mesh(config.m_text, wall_time{}, nullptr, faults);
     return std::nullopt;
 }
 
--- a/src/ctl/current_text.hpp
+++ b/src/ctl/current_text.hpp
@@ -22,6 +22,6 @@
 // Reads the accepted record and its text into state. Returns the failed reply if the store can't be
 // read, otherwise nothing.
 std::optional<store_reply> read_accepted_config(const store_interface& store,
-                                                accepted_config& state);
+                                                accepted_config& config);
 
 } // namespace caraway
--- a/src/ctl/records.cpp
+++ b/src/ctl/records.cpp
@@ -128,13 +128,13 @@
     return verdict.m_members > 0 && verdict.m_in_force >= verdict.m_members;
 }
 
-std::string format_unix_ms(std::int64_t at) {
-    if (at < 0 || at > max_unix_ms) {
-        return fmt::format("{} ms", at);
+std::string format_unix_ms(std::int64_t unix_milliseconds) {
+    if (unix_milliseconds < 0 || unix_milliseconds > max_unix_ms) {
+        return fmt::format("{} ms", unix_milliseconds);
     }
-    const std::chrono::sys_time<milliseconds> time{milliseconds(at)};
+    const std::chrono::sys_time<milliseconds> time{milliseconds(unix_milliseconds)};
     return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z",
-                       std::chrono::floor<std::chrono::seconds>(time), at % 1000);
+                       std::chrono::floor<std::chrono::seconds>(time), unix_milliseconds % 1000);
 }
 
 std::string describe(const accepted_view& accepted) {
--- a/src/ctl/records.hpp
+++ b/src/ctl/records.hpp
@@ -74,6 +74,6 @@
 constexpr std::int64_t max_unix_ms = 9'223'372'036'853;
 
 // Formats Unix milliseconds as a UTC date and time, or as a number if they are out of range.
-std::string format_unix_ms(std::int64_t at);
+std::string format_unix_ms(std::int64_t unix_milliseconds);
 
 } // namespace caraway
--- a/src/ctl/replay_outcomes.cpp
+++ b/src/ctl/replay_outcomes.cpp
@@ -111,9 +111,9 @@
                             kind == answer_for(error_kind::store_outcome_unknown).m_name;
         m_store_errors += failed ? 1 : 0;
     }
-    const auto holds = [&](const replayed_process& of) {
-        const auto keeper = of.m_leases.find(key);
-        return keeper != of.m_leases.end() && lease_held(keeper->second, input.m_now);
+    const auto holds = [&](const replayed_process& candidate) {
+        const auto keeper = candidate.m_leases.find(key);
+        return keeper != candidate.m_leases.end() && lease_held(keeper->second, input.m_now);
     };
     if (!holds(process)) {
         return;
@@ -132,7 +132,7 @@
     if (input.m_input_name == "finish") {
         instance_calls.m_running -= instance_calls.m_running > 0 ? 1 : 0;
         if (input.flag("failed")) {
-            m_failed[process.m_version].push_back(input.m_now);
+            m_failed_call_times[process.m_version].push_back(input.m_now);
         } else if (!instance_calls.m_first_answer && !input.flag("shed") &&
                    !input.flag("cancelled")) {
             instance_calls.m_first_answer = input.m_now;
@@ -157,7 +157,7 @@
 void outcome_checker::observe_distribution(const replayed_process& process) {
     for (const distribution_action& action : process.m_actions) {
         if (action.m_kind == distribution_action::kind::apply) {
-            std::uint64_t& applied = m_applied[process.m_instance];
+            std::uint64_t& applied = m_highest_applied[process.m_instance];
             ++m_apply_count;
             m_version_decreases += action.m_version < applied ? 1 : 0;
             applied = std::max(applied, action.m_version);
@@ -170,7 +170,7 @@
 void outcome_checker::observe_facts(const replayed_process& process, const replay_input& input,
                                     std::string_view action) {
     if (input.m_input_name == "suspension") {
-        m_suspended.try_emplace(input.text("version"), input.m_now);
+        m_suspension_times.try_emplace(input.text("version"), input.m_now);
     } else if (input.m_input_name == "record") {
         const std::uint64_t revision = input.count("revision");
         if (const auto record = decode_move(input.text("record"), revision)) {
@@ -262,24 +262,24 @@
     bool passed = !m_moves.empty();
     for (const auto& [id, history] : m_moves) {
         const auto& [revision, last] = *history.m_records.rbegin();
-        const double left =
+        const double seconds_left =
             static_cast<double>(last.m_deadline_ms - history.m_received_ms.at(revision)) / 1'000;
         passed = passed && move_state_name(last.m_state) == outcome.m_state &&
-                 (!outcome.m_by_deadline || left >= 0);
+                 (!outcome.m_by_deadline || seconds_left >= 0);
         text += fmt::format(" {} {:.1f} s before its deadline ({})", move_state_name(last.m_state),
-                            left, last.m_reason);
+                            seconds_left, last.m_reason);
     }
     return {passed, text};
 }
 
 outcome_checker::check_result
 outcome_checker::check_suspension_time(const expected_outcome& outcome) const {
-    if (m_suspended.empty() || outcome.m_count == 0) {
+    if (m_suspension_times.empty() || outcome.m_count == 0) {
         return {false, "suspended_within: never suspended"};
     }
-    const auto& [version, at] = *m_suspended.begin();
-    const auto failed = m_failed.find(version);
-    if (failed == m_failed.end() || failed->second.size() < outcome.m_count) {
+    const auto& [version, at] = *m_suspension_times.begin();
+    const auto failed = m_failed_call_times.find(version);
+    if (failed == m_failed_call_times.end() || failed->second.size() < outcome.m_count) {
         return {false, "suspended_within: the trace has fewer failed calls than failed_calls"};
     }
     std::vector<time_point> times = failed->second;
--- a/src/ctl/replay_outcomes.hpp
+++ b/src/ctl/replay_outcomes.hpp
@@ -78,7 +78,7 @@
     std::map<std::string, std::string> m_last_holder; // by lease key
     std::size_t m_holder_changes = 0;
     std::size_t m_lease_overlaps = 0;
-    std::size_t m_store_errors = 0;
+    std::size_t m_store_errors = 0; // lease calls that failed or whose outcome is unknown
     std::size_t m_steps = 0;
     std::size_t m_steps_without_lease = 0;
     std::map<std::string, call_state> m_calls; // by instance, reset at restart
@@ -87,14 +87,14 @@
     std::size_t m_calls_over_cold_share = 0;
     std::size_t m_max_running = 0;
     std::size_t m_max_running_cold = 0;
-    std::map<std::string, std::uint64_t>
-        m_applied; // highest version by instance, kept over restarts
+    std::map<std::string, std::uint64_t> m_highest_applied; // by instance, kept over restarts
     std::size_t m_apply_count = 0;
     std::size_t m_version_decreases = 0;
     std::map<std::string, std::size_t> m_ready_counts; // starts that became ready, by instance
-    std::map<std::string, move_history> m_moves;
-    std::map<std::string, std::vector<time_point>> m_failed; // times of failed calls, by version
-    std::map<std::string, time_point> m_suspended; // time of the first suspension, by version
+    std::map<std::string, move_history> m_moves;       // by move id
+    std::map<std::string, std::vector<time_point>> m_failed_call_times; // by version
+    std::map<std::string, time_point> m_suspension_times; // of the first suspension, by version
+    // Times that the weight of a suspended move was evaluated, and how often it was not 0.
     std::size_t m_weight_checks = 0;
     std::size_t m_nonzero_weights_after_suspension = 0;
 };
--- a/src/ctl/replay_player.cpp
+++ b/src/ctl/replay_player.cpp
@@ -77,9 +77,9 @@
         return distribution_parsed(state, version, input.flag("valid"), live, now);
     }
     if (name == "store_read") {
-        const bool any = version != 0;
+        const bool has_text = version != 0;
         return distribution_store_read(
-            state, any ? std::optional(substitute_text(input)) : std::nullopt, live, now);
+            state, has_text ? std::optional(substitute_text(input)) : std::nullopt, live, now);
     }
     const std::string instance = input.text("from_instance");
     if (name == "received") {
--- a/src/ctl/report_commands.cpp
+++ b/src/ctl/report_commands.cpp
@@ -197,8 +197,8 @@
 struct verdict_printer {
     const console* m_out = nullptr;
     const verdict_options* m_options = nullptr;
-    std::set<std::string> m_final_moves;   // ids of the moves whose final state was printed
-    std::optional<move_view> m_last_final; // the final state printed last
+    std::set<std::string> m_printed_move_ids; // moves whose final state was printed
+    std::optional<move_view> m_last_final;    // the final state printed last
 };
 
 void print_move(const verdict_printer& printer, const move_view& move) {
@@ -248,7 +248,7 @@
     const auto move = parse_move(entry.m_value);
     // The store holds a final state twice, in the move's record and in its verdict. It is printed
     // once.
-    if (!move || (is_final(*move) && !printer.m_final_moves.insert(move->m_move_id).second) ||
+    if (!move || (is_final(*move) && !printer.m_printed_move_ids.insert(move->m_move_id).second) ||
         (!is_final(*move) && !printer.m_options->m_follow)) {
         return;
     }
@@ -328,7 +328,7 @@
                 awaited_move_id = move_id(options.m_service, *service->second.m_move);
             }
         }
-        if (awaited_move_id.empty() || printer.m_final_moves.contains(awaited_move_id)) {
+        if (awaited_move_id.empty() || printer.m_printed_move_ids.contains(awaited_move_id)) {
             return exit_code();
         }
     }
@@ -337,7 +337,7 @@
     const error_kind follow_result =
         store.m_follow(prefixes, *revision, options.m_timeout, [&](const store_entry& entry) {
             print_entry(printer, entry);
-            return awaited_move_id.empty() || !printer.m_final_moves.contains(awaited_move_id);
+            return awaited_move_id.empty() || !printer.m_printed_move_ids.contains(awaited_move_id);
         });
     if (follow_result != error_kind::none && !awaited_move_id.empty()) {
         out.m_err(
--- a/src/ctl/store_session.cpp
+++ b/src/ctl/store_session.cpp
@@ -146,12 +146,12 @@
         for (const std::string& prefix : prefixes) {
             watch_prefix(state, prefix, after);
         }
-        const auto end = std::chrono::steady_clock::now() + limit;
+        const auto deadline = std::chrono::steady_clock::now() + limit;
         opened->m_context.restart();
         while (!state->m_stopped) {
             if (limit.count() == 0) {
                 opened->m_context.run_one();
-            } else if (opened->m_context.run_one_until(end) == 0) {
+            } else if (opened->m_context.run_one_until(deadline) == 0) {
                 state->m_stopped = true;
                 state->m_result = error_kind::deadline_after_send;
             }
--- a/src/ctl/text_commands.cpp
+++ b/src/ctl/text_commands.cpp
@@ -137,11 +137,11 @@
 // Returns the last attribution of a text, without attribution_prefix, or an empty view if it has
 // none.
 std::string_view attribution_of(std::string_view text) {
-    const std::size_t at = text.rfind(attribution_prefix);
-    if (at == std::string_view::npos || (at > 0 && text[at - 1] != '\n')) {
+    const std::size_t line_begin = text.rfind(attribution_prefix);
+    if (line_begin == std::string_view::npos || (line_begin > 0 && text[line_begin - 1] != '\n')) {
         return {};
     }
-    const std::string_view line = text.substr(at, text.find('\n', at) - at);
+    const std::string_view line = text.substr(line_begin, text.find('\n', line_begin) - line_begin);
     return line.substr(attribution_prefix.size());
 }
 
@@ -149,10 +149,10 @@
 // lines keep their numbers, so that faults refer to lines of the operator's file.
 std::string add_attribution(std::string_view text, std::string_view by, wall_time now,
                             std::uint64_t from) {
-    const std::size_t at = text.rfind(attribution_prefix);
-    if (at != std::string_view::npos && (at == 0 || text[at - 1] == '\n') &&
-        text.find('\n', at) >= text.size() - 1) {
-        text = text.substr(0, at);
+    const std::size_t line_begin = text.rfind(attribution_prefix);
+    if (line_begin != std::string_view::npos && (line_begin == 0 || text[line_begin - 1] == '\n') &&
+        text.find('\n', line_begin) >= text.size() - 1) {
+        text = text.substr(0, line_begin);
     }
     std::string author;
     for (const char c : by.substr(0, max_author_bytes)) {
@@ -214,9 +214,9 @@
 
 // Progress of waiting for the verdict on a submitted text.
 struct wait_state {
-    std::uint64_t m_revision = 0;   // of the submitted text
-    std::uint64_t m_version = 0;    // version that it was accepted as; 0 until then
-    std::optional<int> m_exit_code; // set once the wait is over
+    std::uint64_t m_revision = 0;         // of the submitted text
+    std::uint64_t m_accepted_version = 0; // version that it was accepted as; 0 until then
+    std::optional<int> m_exit_code;       // set once the wait is over
 };
 
 // Prints one step of a submitted text.
@@ -234,13 +234,13 @@
 // behind the submitted one either, so the wait ends successfully. When the text changes every few
 // seconds, many versions are superseded before they get a verdict of their own.
 void handle_verdict(const console& out, const config_verdict_view& verdict, wait_state& state) {
-    if (state.m_version == 0 || verdict.m_version < state.m_version) {
+    if (state.m_accepted_version == 0 || verdict.m_version < state.m_accepted_version) {
         return;
     }
     if (is_in_force(verdict)) {
         report_progress(out, "in_force", verdict.m_version, describe(verdict));
         state.m_exit_code = exit_done;
-    } else if (verdict.m_final && verdict.m_version == state.m_version) {
+    } else if (verdict.m_final && verdict.m_version == state.m_accepted_version) {
         report_progress(out, "not_in_force", verdict.m_version, describe(verdict));
         state.m_exit_code = exit_negative;
     }
@@ -248,12 +248,12 @@
 
 // Handles an acceptance, of the submitted text or of a later one.
 void handle_accepted(const console& out, const accepted_view& accepted, wait_state& state) {
-    if (state.m_version != 0) {
+    if (state.m_accepted_version != 0) {
         return;
     }
     if (accepted.m_source_revision == state.m_revision) {
-        state.m_version = accepted.m_version;
-        report_progress(out, "accepted", state.m_version, describe(accepted));
+        state.m_accepted_version = accepted.m_version;
+        report_progress(out, "accepted", state.m_accepted_version, describe(accepted));
     } else if (accepted.m_source_revision > state.m_revision) {
         report_progress(
             out, "superseded", accepted.m_version,
@@ -289,21 +289,21 @@
     wait_state state;
     state.m_revision = revision;
     const std::array<std::string, 2> prefixes{"caraway/state/", std::string(config_verdict_prefix)};
-    const auto end = std::chrono::steady_clock::now() + options.m_timeout;
+    const auto deadline = std::chrono::steady_clock::now() + options.m_timeout;
     while (!state.m_exit_code) {
-        const auto left =
-            std::chrono::duration_cast<milliseconds>(end - std::chrono::steady_clock::now());
-        const bool waiting = state.m_version == 0;
+        const auto time_left =
+            std::chrono::duration_cast<milliseconds>(deadline - std::chrono::steady_clock::now());
+        const bool version_unknown = state.m_accepted_version == 0;
         const change_handler handler = [&](const store_entry& entry) {
             if (!entry.m_deleted) {
                 handle_record(out, options.m_file, entry.m_key, entry.m_value, state);
             }
             // Once the version is known, restarts the watch to read verdicts that arrived before
             // it.
-            return !state.m_exit_code && !(waiting && state.m_version != 0);
+            return !state.m_exit_code && !(version_unknown && state.m_accepted_version != 0);
         };
-        if (left.count() <= 0 ||
-            store.m_follow(prefixes, revision, left, handler) != error_kind::none) {
+        if (time_left.count() <= 0 ||
+            store.m_follow(prefixes, revision, time_left, handler) != error_kind::none) {
             return report_failure(out, exit_negative, "no_verdict",
                                   fmt::format("no verdict on revision {} within {} s", revision,
                                               options.m_timeout.count() / 1000));
--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -175,9 +175,9 @@
     captured_output good;
     BOOST_TEST(check_text(good.open(), folder.write("good.toml", s_text), "", s_now) == exit_done);
     const std::string bad = folder.write("bad.toml", std::string(s_text) + "timout = \"1s\"\n");
-    captured_output shown;
-    BOOST_TEST(check_text(shown.open(), bad, "", s_now) == exit_refused);
-    BOOST_TEST(contains(shown.m_err, "bad.toml:9:1: found unknown key \"timout\""));
+    captured_output output;
+    BOOST_TEST(check_text(output.open(), bad, "", s_now) == exit_refused);
+    BOOST_TEST(contains(output.m_err, "bad.toml:9:1: found unknown key \"timout\""));
     captured_output as_json;
     BOOST_TEST(check_text(as_json.open(true), bad, "", s_now) == exit_refused);
     BOOST_TEST(contains(as_json.m_out, R"("line":9,"column":1,"found":"unknown key)"));
@@ -196,29 +196,29 @@
         "depends_on = [\"beta\"]\nmove = { to = \"2\", deadline = 2027-02-01T00:00:00Z }\n"
         "[service.beta]\nversion = \"4\"\n[[route]]\npath = \"/alpha\"\nservice = \"beta\"\n"
         "idempotent = true\nurgency = \"urgent\"\ntimeout = \"2s\"\n");
-    captured_output shown;
-    BOOST_TEST(diff_files(shown.open(), before, after, s_now) == exit_done);
-    BOOST_TEST(shown.m_out == "data_centre west: added, out of service\n"
-                              "service alpha: move none -> to 2 by 2027-02-01T00:00:00Z\n"
-                              "service alpha: depends_on [] -> [beta]\n"
-                              "service alpha: slots 12 -> 3\n"
-                              "service alpha: latency_limit none -> 1500ms\n"
-                              "service beta: added with version 4\n"
-                              "route /alpha: service alpha -> beta\n"
-                              "route /alpha: timeout 1s -> 2s\n"
-                              "route /alpha: idempotent false -> true\n"
-                              "route /alpha: urgency normal -> urgent\n");
-    captured_output back;
-    BOOST_TEST(diff_files(back.open(), after, before, s_now) == exit_done);
-    BOOST_TEST(contains(back.m_out, "data_centre west: removed\n"));
-    BOOST_TEST(contains(back.m_out, "service beta: removed\n"));
+    captured_output output;
+    BOOST_TEST(diff_files(output.open(), before, after, s_now) == exit_done);
+    BOOST_TEST(output.m_out == "data_centre west: added, out of service\n"
+                               "service alpha: move none -> to 2 by 2027-02-01T00:00:00Z\n"
+                               "service alpha: depends_on [] -> [beta]\n"
+                               "service alpha: slots 12 -> 3\n"
+                               "service alpha: latency_limit none -> 1500ms\n"
+                               "service beta: added with version 4\n"
+                               "route /alpha: service alpha -> beta\n"
+                               "route /alpha: timeout 1s -> 2s\n"
+                               "route /alpha: idempotent false -> true\n"
+                               "route /alpha: urgency normal -> urgent\n");
+    captured_output reverse;
+    BOOST_TEST(diff_files(reverse.open(), after, before, s_now) == exit_done);
+    BOOST_TEST(contains(reverse.m_out, "data_centre west: removed\n"));
+    BOOST_TEST(contains(reverse.m_out, "service beta: removed\n"));
 
     fake_store store;
     store.set("caraway/state/accepted", accepted_json(3, 5));
     store.set(fmt::format("caraway/accepted-text/3-{:016x}", hash_bytes(s_text)), s_text);
     captured_output against_store;
     BOOST_TEST(diff_accepted(against_store.open(), store.calls(), after, s_now) == exit_done);
-    BOOST_TEST(against_store.m_out == shown.m_out);
+    BOOST_TEST(against_store.m_out == output.m_out);
 }
 
 // Guards against a fetched file that can't be applied again, and against attribution lines that
@@ -227,22 +227,22 @@
     const scratch_folder folder;
     fake_store store;
     const std::string file = folder.write("text.toml", s_text);
-    captured_output shown;
+    captured_output output;
     apply_options options = make_apply_options(file, 0);
     options.m_from_revision.reset();
-    BOOST_TEST(apply_text(shown.open(), store.calls(), options, s_now) == exit_usage);
-    BOOST_TEST(apply_text(shown.open(), store.calls(), make_apply_options(file, 0), s_now) ==
+    BOOST_TEST(apply_text(output.open(), store.calls(), options, s_now) == exit_usage);
+    BOOST_TEST(apply_text(output.open(), store.calls(), make_apply_options(file, 0), s_now) ==
                exit_done);
     BOOST_TEST(folder.read("text.toml.revision") == "11\n");
     const std::string first = store.m_keys["caraway/text"].m_value;
     BOOST_TEST(first == std::string(s_text) + "# carawayctl: applied by ana at "
                                               "2027-01-15T00:00:00.000Z from revision 0\n");
     const std::string copy = (folder.m_path / "copy.toml").string();
-    BOOST_TEST(fetch_text(shown.open(), store.calls(), copy) == exit_done);
+    BOOST_TEST(fetch_text(output.open(), store.calls(), copy) == exit_done);
     BOOST_TEST(folder.read("copy.toml") == first);
     options.m_file = copy;
     options.m_author = "bo\n[service.x]";
-    BOOST_TEST(apply_text(shown.open(), store.calls(), options, s_now) == exit_done);
+    BOOST_TEST(apply_text(output.open(), store.calls(), options, s_now) == exit_done);
     const std::string& second = store.m_keys["caraway/text"].m_value;
     BOOST_TEST(second == std::string(s_text) + "# carawayctl: applied by bo?[service.x] at "
                                                "2027-01-15T00:00:00.000Z from revision 11\n");
@@ -264,11 +264,11 @@
               store_whole_text(3, base_hash, s_text));
     store.set(fmt::format("caraway/accepted-delta/4-{:016x}", hash),
               encode_stored_text(pack_text(4, hash, accepted, 3, s_text)));
-    captured_output shown;
+    captured_output output;
     const std::string file = folder.write("text.toml", accepted + "urgency = \"urgent\"\n");
-    BOOST_TEST(diff_accepted(shown.open(), store.calls(), file, s_now) == exit_done);
-    BOOST_TEST(shown.m_out == "route /alpha: urgency normal -> urgent\n");
-    BOOST_TEST(apply_text(shown.open(), store.calls(), make_apply_options(file, 0), s_now) ==
+    BOOST_TEST(diff_accepted(output.open(), store.calls(), file, s_now) == exit_done);
+    BOOST_TEST(output.m_out == "route /alpha: urgency normal -> urgent\n");
+    BOOST_TEST(apply_text(output.open(), store.calls(), make_apply_options(file, 0), s_now) ==
                exit_done);
     const store_entry text = store.m_keys["caraway/text"];
     const store_entry written = store.m_keys["caraway/text-delta"];
@@ -287,7 +287,7 @@
         }
         return reply;
     };
-    BOOST_TEST(apply_text(shown.open(), late, make_apply_options(file, text.m_revision), s_now) ==
+    BOOST_TEST(apply_text(output.open(), late, make_apply_options(file, text.m_revision), s_now) ==
                exit_done);
     BOOST_TEST(store.m_keys["caraway/text-delta"].m_value == "later");
 }
@@ -298,8 +298,8 @@
     const scratch_folder folder;
     fake_store store;
     const std::string file = folder.write("text.toml", s_text);
-    captured_output shown;
-    BOOST_TEST(apply_text(shown.open(), store.calls(), make_apply_options(file, 0), s_now) ==
+    captured_output output;
+    BOOST_TEST(apply_text(output.open(), store.calls(), make_apply_options(file, 0), s_now) ==
                exit_done);
     const std::string winner = store.m_keys["caraway/text"].m_value;
     apply_options late = make_apply_options(
@@ -334,19 +334,19 @@
     for (const lost_case& lost : cases) {
         fake_store store;
         store.m_faults = lost.m_faults;
-        captured_output shown;
-        BOOST_TEST(apply_text(shown.open(), store.calls(), make_apply_options(file, 0), s_now) ==
+        captured_output output;
+        BOOST_TEST(apply_text(output.open(), store.calls(), make_apply_options(file, 0), s_now) ==
                    lost.m_exit_code);
         BOOST_TEST(store.m_writes == lost.m_writes);
         BOOST_TEST(store.m_delta_writes == (lost.m_exit_code == exit_done ? 1U : 0U));
         if (lost.m_exit_code == exit_refused) {
-            BOOST_TEST(contains(shown.m_err, "may have stood before the winner's"));
+            BOOST_TEST(contains(output.m_err, "may have stood before the winner's"));
         }
     }
     fake_store down;
     down.m_down = true;
-    captured_output shown;
-    BOOST_TEST(apply_text(shown.open(), down.calls(), make_apply_options(file, 0), s_now) ==
+    captured_output output;
+    BOOST_TEST(apply_text(output.open(), down.calls(), make_apply_options(file, 0), s_now) ==
                exit_unreachable);
     BOOST_TEST(down.m_writes == 0U);
 }
@@ -390,9 +390,9 @@
         apply_options options = make_apply_options(file, 0);
         options.m_wait = true;
         options.m_timeout = milliseconds(200);
-        captured_output shown;
-        BOOST_TEST(apply_text(shown.open(), store.calls(), options, s_now) == waited.m_exit_code);
-        BOOST_TEST(contains(shown.m_out + shown.m_err, waited.m_expected_output));
+        captured_output output;
+        BOOST_TEST(apply_text(output.open(), store.calls(), options, s_now) == waited.m_exit_code);
+        BOOST_TEST(contains(output.m_out + output.m_err, waited.m_expected_output));
     }
 }
 
@@ -415,12 +415,12 @@
     store.set("caraway/state/move/alpha", move("m2", "running", 50));
     store.set("caraway/verdict/move/alpha/m1", move("m1", "taken_back", 0));
     store.set("caraway/lease/accepter", "n1 lease-2");
-    captured_output shown;
-    BOOST_TEST(show_status(shown.open(), store.calls()) == exit_negative);
-    BOOST_TEST(contains(shown.m_out, "version 7 accepted by n1 at 2027-01-15T08:00:00.000Z"));
-    BOOST_TEST(contains(shown.m_out, "not in force everywhere on 2 of 3 instances; missing n3"));
-    BOOST_TEST(contains(shown.m_out, "from 1 to 2: running, stage 1, weight 50 permille"));
-    BOOST_TEST(contains(shown.m_out, "lease accepter: held by n1"));
+    captured_output output;
+    BOOST_TEST(show_status(output.open(), store.calls()) == exit_negative);
+    BOOST_TEST(contains(output.m_out, "version 7 accepted by n1 at 2027-01-15T08:00:00.000Z"));
+    BOOST_TEST(contains(output.m_out, "not in force everywhere on 2 of 3 instances; missing n3"));
+    BOOST_TEST(contains(output.m_out, "from 1 to 2: running, stage 1, weight 50 permille"));
+    BOOST_TEST(contains(output.m_out, "lease accepter: held by n1"));
     store.set("caraway/text", "x");
     store.set("caraway/state/refused",
               fmt::format(R"({{"source_revision":{},"faults":[{{"line":1,"column":2,)"
@@ -600,13 +600,13 @@
             BOOST_TEST(report.m_breaches[0].m_line == planted.m_line);
             BOOST_TEST(report.m_breaches[0].m_file == with_breach[2]);
         }
-        captured_output shown;
-        BOOST_TEST(audit_files(shown.open(), with_breach) == exit_negative);
-        BOOST_TEST(contains(shown.m_out, planted.m_kind));
+        captured_output output;
+        BOOST_TEST(audit_files(output.open(), with_breach) == exit_negative);
+        BOOST_TEST(contains(output.m_out, planted.m_kind));
     }
-    captured_output shown;
-    BOOST_TEST(audit_files(shown.open(), files) == exit_done);
-    BOOST_TEST(audit_files(shown.open(), {"/nonexistent/log"}) == exit_usage);
+    captured_output output;
+    BOOST_TEST(audit_files(output.open(), files) == exit_done);
+    BOOST_TEST(audit_files(output.open(), {"/nonexistent/log"}) == exit_usage);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -397,7 +397,7 @@
     }
     const audit_report report = audit_logs({path, path});
     std::filesystem::remove(path);
-    if (!report.m_missing_files.empty() || report.m_unreadable_lines > report.m_lines ||
+    if (!report.m_unreadable_files.empty() || report.m_unreadable_lines > report.m_lines ||
         report.m_breaches.size() > max_audit_breaches) {
         return "an audit report that contradicts itself";
     }
