--- a/src/carawayctl/main.cpp
+++ b/src/carawayctl/main.cpp
@@ -55,8 +55,8 @@
 
 // The parsed command line.
 struct command_line {
-    std::vector<std::string> m_words; // command and arguments
-    std::set<int> m_given;            // options that were given
+    std::vector<std::string> m_positionals; // command and arguments
+    std::set<int> m_given_options;          // options that were given
     std::vector<ip_endpoint> m_store;
     std::optional<std::uint64_t> m_from;
     std::string m_by;
@@ -68,8 +68,8 @@
 // Which options a command takes, and how many arguments.
 struct command_rule {
     std::string_view m_name;
-    std::size_t m_least = 0;
-    std::size_t m_most = 0;
+    std::size_t m_min_arguments = 0;
+    std::size_t m_max_arguments = 0;
     std::set<int> m_options;
 };
 
@@ -86,16 +86,18 @@
     return rules;
 }
 
-int usage(std::string_view text) {
+int report_usage_error(std::string_view text) {
     fmt::print(stderr, "carawayctl: {}; see carawayctl --help\n", text);
     return exit_usage;
 }
 
 // Reads a whole number and unit ms, s or m.
-std::optional<milliseconds> parse_limit(std::string_view text) {
+std::optional<milliseconds> parse_timeout(std::string_view text) {
     std::uint32_t count = 0;
-    const auto [rest, failure] = std::from_chars(text.data(), text.data() + text.size(), count);
-    const std::string_view unit(rest, static_cast<std::size_t>(text.data() + text.size() - rest));
+    const auto [number_end, failure] =
+        std::from_chars(text.data(), text.data() + text.size(), count);
+    const std::string_view unit(number_end,
+                                static_cast<std::size_t>(text.data() + text.size() - number_end));
     if (failure != std::errc{} || count == 0) {
         return std::nullopt;
     }
@@ -110,15 +112,16 @@
 
 std::optional<std::uint64_t> parse_revision(std::string_view text) {
     std::uint64_t value = 0;
-    const auto [rest, failure] = std::from_chars(text.data(), text.data() + text.size(), value);
-    const bool whole = failure == std::errc{} && rest == text.data() + text.size();
-    return whole ? std::optional(value) : std::nullopt;
+    const auto [number_end, failure] =
+        std::from_chars(text.data(), text.data() + text.size(), value);
+    const bool complete = failure == std::errc{} && number_end == text.data() + text.size();
+    return complete ? std::optional(value) : std::nullopt;
 }
 
 // Takes one option with its argument; returns what is wrong with it, empty if nothing.
-std::string take_option(command_line& line, int given, const std::string& argument) {
-    line.m_given.insert(given);
-    switch (given) {
+std::string apply_option(command_line& line, int option_id, const std::string& argument) {
+    line.m_given_options.insert(option_id);
+    switch (option_id) {
     case option_store: {
         const auto endpoint = parse_endpoint(argument);
         if (!endpoint || endpoint->m_port == 0) {
@@ -134,7 +137,7 @@
         }
         break;
     case option_timeout:
-        line.m_timeout = parse_limit(argument);
+        line.m_timeout = parse_timeout(argument);
         if (!line.m_timeout) {
             return fmt::format("--timeout {}: expected a duration as 90s", argument);
         }
@@ -161,9 +164,10 @@
                           std::fflush(stdout);
                       },
                       [](std::string_view text) { fmt::print(stderr, "{}\n", text); },
-                      line.m_given.contains(option_json)};
-    const std::string& command = line.m_words.front();
-    const std::vector<std::string> arguments(line.m_words.begin() + 1, line.m_words.end());
+                      line.m_given_options.contains(option_json)};
+    const std::string& command = line.m_positionals.front();
+    const std::vector<std::string> arguments(line.m_positionals.begin() + 1,
+                                             line.m_positionals.end());
     const wall_time now = std::chrono::system_clock::now();
     if (command == "check") {
         return check_text(out, arguments[0], line.m_previous, now);
@@ -175,7 +179,7 @@
         return audit_files(out, arguments);
     }
     if (line.m_store.empty()) {
-        return usage(fmt::format("{} needs --store IP:PORT", command));
+        return report_usage_error(fmt::format("{} needs --store IP:PORT", command));
     }
     constexpr milliseconds call_timeout{3'000};
     const store_calls store = open_store(line.m_store, call_timeout);
@@ -190,39 +194,40 @@
     }
     if (command == "verdicts") {
         return show_verdicts(out, store,
-                             {line.m_given.contains(option_follow), line.m_service,
+                             {line.m_given_options.contains(option_follow), line.m_service,
                               line.m_timeout.value_or(milliseconds(0))});
     }
     apply_options options;
     options.m_file = arguments[0];
     options.m_from = line.m_from;
     options.m_by = line.m_by;
-    options.m_wait = line.m_given.contains(option_wait);
+    options.m_wait = line.m_given_options.contains(option_wait);
     options.m_limit = line.m_timeout.value_or(options.m_limit);
     return apply_text(out, store, options, now);
 }
 
 // Checks the command, its arguments and its options before anything is done.
 int check_and_run(command_line& line) {
-    if (line.m_given.contains(option_version)) {
+    if (line.m_given_options.contains(option_version)) {
         fmt::print("carawayctl {}, text format {}\n", program_version, mesh_format);
         return exit_done;
     }
-    if (line.m_words.empty()) {
-        return usage("no command");
+    if (line.m_positionals.empty()) {
+        return report_usage_error("no command");
     }
     for (const command_rule& rule : command_rules()) {
-        if (rule.m_name != line.m_words.front()) {
+        if (rule.m_name != line.m_positionals.front()) {
             continue;
         }
-        const std::size_t arguments = line.m_words.size() - 1;
-        if (arguments < rule.m_least || arguments > rule.m_most) {
-            return usage(fmt::format("wrong number of arguments for {}", rule.m_name));
+        const std::size_t argument_count = line.m_positionals.size() - 1;
+        if (argument_count < rule.m_min_arguments || argument_count > rule.m_max_arguments) {
+            return report_usage_error(fmt::format("wrong number of arguments for {}", rule.m_name));
         }
         // Scripts name the store before they choose the command.
-        for (const int given : line.m_given) {
-            if (given != option_store && !rule.m_options.contains(given)) {
-                return usage(fmt::format("an option that {} doesn't take", rule.m_name));
+        for (const int option_id : line.m_given_options) {
+            if (option_id != option_store && !rule.m_options.contains(option_id)) {
+                return report_usage_error(
+                    fmt::format("an option that {} doesn't take", rule.m_name));
             }
         }
         if (line.m_by.empty()) {
@@ -231,7 +236,7 @@
         }
         return run(line);
     }
-    return usage(fmt::format("unknown command {}", line.m_words.front()));
+    return report_usage_error(fmt::format("unknown command {}", line.m_positionals.front()));
 }
 
 } // namespace
@@ -261,23 +266,23 @@
         poptGetContext("carawayctl", argc, const_cast<const char**>(argv), options, 0);
     poptSetOtherOptionHelp(context, command_help);
     command_line line;
-    std::string wrong;
-    int given = 0;
-    while (wrong.empty() && (given = poptGetNextOpt(context)) > 0) {
+    std::string problem;
+    int option_id = 0;
+    while (problem.empty() && (option_id = poptGetNextOpt(context)) > 0) {
         char* argument = poptGetOptArg(context);
-        wrong = take_option(line, given, argument != nullptr ? argument : "");
+        problem = apply_option(line, option_id, argument != nullptr ? argument : "");
         std::free(argument);
     }
-    if (wrong.empty() && given < -1) {
-        wrong = fmt::format("{}: {}", poptBadOption(context, POPT_BADOPTION_NOALIAS),
-                            poptStrerror(given));
+    if (problem.empty() && option_id < -1) {
+        problem = fmt::format("{}: {}", poptBadOption(context, POPT_BADOPTION_NOALIAS),
+                              poptStrerror(option_id));
     }
-    while (const char* word = poptGetArg(context)) {
-        line.m_words.emplace_back(word);
+    while (const char* positional = poptGetArg(context)) {
+        line.m_positionals.emplace_back(positional);
     }
     poptFreeContext(context);
-    if (!wrong.empty()) {
-        return usage(wrong);
+    if (!problem.empty()) {
+        return report_usage_error(problem);
     }
     try {
         return check_and_run(line);
--- a/src/carawayd/main.cpp
+++ b/src/carawayd/main.cpp
@@ -25,10 +25,10 @@
 constexpr const char* version_text = "carawayd 0.1.0\n";
 
 struct arguments {
-    bool m_check = false;
-    bool m_version = false;
-    bool m_platform = false;
-    std::string m_file;
+    bool m_check_only = false;
+    bool m_print_version = false;
+    bool m_use_platform = false;
+    std::string m_settings_file;
 };
 
 std::optional<arguments> parse_arguments(int argc, char** argv) {
@@ -51,30 +51,30 @@
         fmt::print(stderr, "{}: {}\n", poptBadOption(context.get(), 0), poptStrerror(status));
         return std::nullopt;
     }
-    arguments out{check != 0, version != 0, platform != 0, {}};
+    arguments result{check != 0, version != 0, platform != 0, {}};
     const char* file = poptGetArg(context.get());
-    if (file == nullptr && !out.m_version) {
+    if (file == nullptr && !result.m_print_version) {
         poptPrintUsage(context.get(), stderr, 0);
         return std::nullopt;
     }
-    out.m_file = file == nullptr ? "" : file;
-    return out;
+    result.m_settings_file = file == nullptr ? "" : file;
+    return result;
 }
 
 std::optional<node_settings> load_settings(const arguments& parsed) {
-    std::ifstream in(parsed.m_file, std::ios::binary);
+    std::ifstream in(parsed.m_settings_file, std::ios::binary);
     if (!in) {
-        fmt::print(stderr, "{}: can't be read\n", parsed.m_file);
+        fmt::print(stderr, "{}: can't be read\n", parsed.m_settings_file);
         return std::nullopt;
     }
     const std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
     std::vector<text_fault> faults;
     auto settings = parse_settings(text, faults);
     for (const text_fault& fault : faults) {
-        fmt::print(stderr, "{}\n", format_fault(parsed.m_file, fault));
+        fmt::print(stderr, "{}\n", format_fault(parsed.m_settings_file, fault));
     }
-    if (settings && parsed.m_platform) {
-        settings->m_edge = platform::make_edge_headers();
+    if (settings && parsed.m_use_platform) {
+        settings->m_edge_headers = platform::make_edge_headers();
     }
     return settings;
 }
@@ -88,7 +88,7 @@
         if (auto settings = load_settings(parsed)) {
             running.reload(*settings);
         } else {
-            log_event(log_level::error, "settings_rejected", {{"file", parsed.m_file}});
+            log_event(log_level::error, "settings_rejected", {{"file", parsed.m_settings_file}});
         }
         reload_on_hangup(hangups, running, parsed);
     });
@@ -98,9 +98,9 @@
     const system_clock_source clock;
     boost::asio::io_context context(1);
     error reason;
-    const std::unique_ptr<node> running =
-        node::start(context, settings, parsed.m_platform ? platform::make_adapter() : own_adapter(),
-                    clock, reason);
+    const std::unique_ptr<node> running = node::start(
+        context, settings, parsed.m_use_platform ? platform::make_adapter() : default_adapter(),
+        clock, reason);
     if (!running) {
         log_event(log_level::error, "start_failed", {{"reason", reason.m_text}});
         return answer_for(reason.m_kind).m_exit_code;
@@ -125,7 +125,7 @@
     if (!parsed) {
         return answer_for(error_kind::usage).m_exit_code;
     }
-    if (parsed->m_version) {
+    if (parsed->m_print_version) {
         fmt::print("{}", version_text);
         return 0;
     }
@@ -133,5 +133,5 @@
     if (!settings) {
         return answer_for(error_kind::invalid_settings).m_exit_code;
     }
-    return parsed->m_check ? 0 : run(*settings, *parsed);
+    return parsed->m_check_only ? 0 : run(*settings, *parsed);
 }
--- a/src/config/adapter.cpp
+++ b/src/config/adapter.cpp
@@ -4,7 +4,7 @@
 
 namespace caraway {
 
-adapter own_adapter() {
+adapter default_adapter() {
     adapter out;
     out.m_encode_move = encode_move;
     out.m_decode_move = decode_move;
--- a/src/config/adapter.hpp
+++ b/src/config/adapter.hpp
@@ -32,24 +32,24 @@
 };
 
 struct adapter {
-    store_codec m_store = own_store_codec();
+    store_codec m_store_codec = own_store_codec();
     std::string m_readiness_path = "/readyz";
     // Keys below which operators keep their configuration and orders. Empty: the product's own
     // text, which an accepter judges; else the store accepts only what is valid, and nodes read it
     // without one.
-    std::string m_operator_prefix;
+    std::string m_operator_key_prefix;
     // Reads the items below the prefix as one mesh, whole or not at all.
     std::function<std::optional<mesh>(std::span<const store_entry> items, error& reason)>
         m_parse_items;
     // Where moves are recorded, with the service's name behind it, and in which form.
-    std::string m_move_prefix = "caraway/state/move/";
+    std::string m_move_key_prefix = "caraway/state/move/";
     std::function<std::string(const move_record&)> m_encode_move;
     std::function<std::optional<move_record>(std::string_view value, std::uint64_t revision)>
         m_decode_move;
-    server_report_interface m_reports;
+    server_report_interface m_report_interface;
 };
 
 // The product's own interface.
-adapter own_adapter();
+adapter default_adapter();
 
 } // namespace caraway
--- a/src/config/mesh.cpp
+++ b/src/config/mesh.cpp
@@ -48,8 +48,9 @@
                                                      "urgency"};
 constexpr std::array<std::string_view, 3> urgency_names{"urgent", "normal", "background"};
 
-constexpr std::string_view path_rule = "a path that begins with / and has no empty, . or .. "
-                                       "segment, no trailing / and only visible ASCII without ? #";
+constexpr std::string_view expected_path =
+    "a path that begins with / and has no empty, . or .. "
+    "segment, no trailing / and only visible ASCII without ? #";
 
 // A path as routes hold it. Only one spelling of a path is allowed, so that duplicates are found
 // by comparing strings.
@@ -74,55 +75,56 @@
 }
 
 std::string format_time(wall_time at) {
-    const auto whole = std::chrono::floor<std::chrono::seconds>(at);
-    const auto rest = std::chrono::duration_cast<milliseconds>(at - whole).count();
-    return fmt::format("{:%Y-%m-%dT%H:%M:%S}{}Z", whole,
-                       rest == 0 ? "" : fmt::format(".{:03}", rest));
+    const auto whole_seconds = std::chrono::floor<std::chrono::seconds>(at);
+    const auto fraction_ms = std::chrono::duration_cast<milliseconds>(at - whole_seconds).count();
+    return fmt::format("{:%Y-%m-%dT%H:%M:%S}{}Z", whole_seconds,
+                       fraction_ms == 0 ? "" : fmt::format(".{:03}", fraction_ms));
 }
 
 // A dependency as it stands in the text.
 struct dependency {
     std::string m_name;
-    position m_at;
+    position m_position;
 };
 using dependency_map = std::map<std::string, std::vector<dependency>, std::less<>>;
 
 // What the checks of one text share.
-struct checker {
+struct check_context {
     fault_sink m_faults;
     bool m_complete = true;
     wall_time m_now;
     const mesh* m_previous = nullptr;
     mesh m_mesh;
     dependency_map m_dependencies;
-    std::set<std::string, std::less<>> m_declared; // services whose table is there, even if faulty
-    std::size_t m_hints = 0;
+    std::set<std::string, std::less<>>
+        m_declared_services; // services whose table is there, even if faulty
+    std::size_t m_name_hints = 0;
 };
 
-void check_data_centres(checker& check, const table_reader& root) {
+void check_data_centres(check_context& context, const table_reader& root) {
     const auto tables = root.read_named_tables("data_centre", presence::required, max_data_centres);
-    bool any_in = false;
-    position last_out;
+    bool any_in_service = false;
+    position last_out_position;
     for (const auto& [name, at, table] : tables) {
         const table_reader reader(*table, fmt::format("data_centre.{}", name), data_centre_keys,
-                                  check.m_complete, check.m_faults);
+                                  context.m_complete, context.m_faults);
         data_centre_spec spec;
         spec.m_name = name;
-        const bool valid =
-            !reader.has("out") || reader.read_bool("out", presence::optional, spec.m_out);
-        if (spec.m_out) {
-            last_out = reader.where("out");
+        const bool valid = !reader.has("out") ||
+                           reader.read_bool("out", presence::optional, spec.m_out_of_service);
+        if (spec.m_out_of_service) {
+            last_out_position = reader.entry_position("out");
         }
-        any_in = any_in || !spec.m_out || !valid;
-        check.m_mesh.m_data_centres.emplace(name, std::move(spec));
+        any_in_service = any_in_service || !spec.m_out_of_service || !valid;
+        context.m_mesh.m_data_centres.emplace(name, std::move(spec));
     }
-    if (!tables.empty() && !any_in && check.m_complete) {
-        check.m_faults.add(last_out, "every data centre out",
-                           "at least one data centre with out = false");
+    if (!tables.empty() && !any_in_service && context.m_complete) {
+        context.m_faults.add(last_out_position, "every data centre out",
+                             "at least one data centre with out = false");
     }
 }
 
-void check_move(checker& check, const table_reader& service, service_spec& spec) {
+void check_move(check_context& context, const table_reader& service, service_spec& spec) {
     if (!service.has("move")) {
         return;
     }
@@ -131,34 +133,35 @@
         return;
     }
     const std::string label = fmt::format("service.{}.move", spec.m_name);
-    const table_reader reader(*table, label, move_keys, check.m_complete, check.m_faults);
+    const table_reader reader(*table, label, move_keys, context.m_complete, context.m_faults);
     move_spec move;
     const bool has_to = reader.read_name("to", presence::required, move.m_to);
     const bool has_deadline = reader.read_time("deadline", presence::required, move.m_deadline);
     if (has_to && move.m_to == spec.m_version) {
-        reader.fault("to", fmt::format("a move to {}, the version served", quote(move.m_to)),
-                     "another version than the service's");
+        reader.add_fault("to", fmt::format("a move to {}, the version served", quote(move.m_to)),
+                         "another version than the service's");
     }
     if (!has_to || !has_deadline) {
         return;
     }
-    bool known = false;
-    if (check.m_previous != nullptr) {
-        const auto before = check.m_previous->m_services.find(spec.m_name);
-        known = before != check.m_previous->m_services.end() && before->second.m_move == move;
+    bool is_previous_move = false;
+    if (context.m_previous != nullptr) {
+        const auto before = context.m_previous->m_services.find(spec.m_name);
+        is_previous_move =
+            before != context.m_previous->m_services.end() && before->second.m_move == move;
     }
-    if (!known && move.m_deadline <= check.m_now) {
-        reader.fault("deadline", fmt::format("the deadline {}", format_time(move.m_deadline)),
-                     fmt::format("a time after {}", format_time(check.m_now)));
+    if (!is_previous_move && move.m_deadline <= context.m_now) {
+        reader.add_fault("deadline", fmt::format("the deadline {}", format_time(move.m_deadline)),
+                         fmt::format("a time after {}", format_time(context.m_now)));
     }
     spec.m_move = std::move(move);
 }
 
-void check_services(checker& check, const table_reader& root) {
+void check_services(check_context& context, const table_reader& root) {
     const auto tables = root.read_named_tables("service", presence::required, max_services);
     for (const auto& [name, at, table] : tables) {
         const table_reader reader(*table, fmt::format("service.{}", name), service_keys,
-                                  check.m_complete, check.m_faults);
+                                  context.m_complete, context.m_faults);
         service_spec spec;
         spec.m_name = name;
         reader.read_name("version", presence::required, spec.m_version);
@@ -168,139 +171,149 @@
         reader.read_integer("queue", presence::optional, 0U, max_queue, spec.m_queue);
         reader.read_duration("latency_limit", presence::optional, milliseconds(1), max_timeout,
                              spec.m_latency_limit);
-        std::vector<table_reader::item> items;
-        reader.read_strings("depends_on", presence::optional, max_dependencies, items);
-        if (!items.empty()) {
-            std::vector<dependency>& dependencies = check.m_dependencies[name];
-            for (table_reader::item& item : items) {
-                const bool twice = std::find(spec.m_depends_on.begin(), spec.m_depends_on.end(),
-                                             item.m_text) != spec.m_depends_on.end();
-                if (twice) {
-                    check.m_faults.add(item.m_at, fmt::format("{} twice", quote(item.m_text)),
-                                       "each dependency once");
+        std::vector<table_reader::string_element> elements;
+        reader.read_strings("depends_on", presence::optional, max_dependencies, elements);
+        if (!elements.empty()) {
+            std::vector<dependency>& dependencies = context.m_dependencies[name];
+            for (table_reader::string_element& element : elements) {
+                const bool is_duplicate =
+                    std::find(spec.m_depends_on.begin(), spec.m_depends_on.end(), element.m_text) !=
+                    spec.m_depends_on.end();
+                if (is_duplicate) {
+                    context.m_faults.add(element.m_position,
+                                         fmt::format("{} twice", quote(element.m_text)),
+                                         "each dependency once");
                     continue;
                 }
-                spec.m_depends_on.push_back(item.m_text);
-                dependencies.push_back({std::move(item.m_text), item.m_at});
+                spec.m_depends_on.push_back(element.m_text);
+                dependencies.push_back({std::move(element.m_text), element.m_position});
             }
         }
-        check_move(check, reader, spec);
-        check.m_mesh.m_services.emplace(name, std::move(spec));
+        check_move(context, reader, spec);
+        context.m_mesh.m_services.emplace(name, std::move(spec));
     }
     // Names that are taken by something else than a valid table were reported already.
-    for (const auto& [name, spec] : check.m_mesh.m_services) {
-        check.m_declared.insert(name);
+    for (const auto& [name, spec] : context.m_mesh.m_services) {
+        context.m_declared_services.insert(name);
     }
 }
 
-std::string expected_service(checker& check, std::string_view name) {
-    if (check.m_hints++ < max_name_hints) {
-        const std::vector<std::string_view> names(check.m_declared.begin(), check.m_declared.end());
-        if (const auto close = text_check::nearest(name, names, (name.size() + 1) / 2)) {
-            return fmt::format("a service of this text; the nearest is \"{}\"", *close);
+std::string expected_service(check_context& context, std::string_view name) {
+    if (context.m_name_hints++ < max_name_hints) {
+        const std::vector<std::string_view> names(context.m_declared_services.begin(),
+                                                  context.m_declared_services.end());
+        if (const auto suggestion = text_check::find_nearest(name, names, (name.size() + 1) / 2)) {
+            return fmt::format("a service of this text; the nearest is \"{}\"", *suggestion);
         }
     }
     return "a service of this text";
 }
 
-void check_routes(checker& check, const table_reader& root) {
+void check_routes(check_context& context, const table_reader& root) {
     const auto tables = root.read_table_array("route", presence::optional, max_routes);
     std::unordered_map<std::string, position> paths;
-    check.m_mesh.m_routes.reserve(tables.size());
+    context.m_mesh.m_routes.reserve(tables.size());
     for (const auto& [name, at, table] : tables) {
-        const table_reader reader(*table, "route", route_keys, check.m_complete, check.m_faults);
+        const table_reader reader(*table, "route", route_keys, context.m_complete,
+                                  context.m_faults);
         route_spec route;
         std::string path;
-        if (reader.read_text("path", presence::required, path_rule, path)) {
+        if (reader.read_text("path", presence::required, expected_path, path)) {
             if (!is_route_path(path)) {
-                reader.fault("path", fmt::format("{} for route.path", quote(path)),
-                             fmt::format("at most {} bytes, {}", max_path_bytes, path_rule));
-            } else if (const auto [first, added] = paths.emplace(path, reader.where("path"));
+                reader.add_fault(
+                    "path", fmt::format("{} for route.path", quote(path)),
+                    fmt::format("at most {} bytes, {}", max_path_bytes, expected_path));
+            } else if (const auto [first, added] =
+                           paths.emplace(path, reader.entry_position("path"));
                        !added) {
-                reader.fault("path",
-                             fmt::format("{}, the path of the route in line {}", quote(path),
-                                         first->second.m_line),
-                             "each path once");
+                reader.add_fault("path",
+                                 fmt::format("{}, the path of the route in line {}", quote(path),
+                                             first->second.m_line),
+                                 "each path once");
             }
         }
         route.m_path = std::move(path);
-        if (reader.read_name("service", presence::required, route.m_service) && check.m_complete &&
-            !check.m_declared.contains(route.m_service)) {
-            reader.fault("service",
-                         fmt::format("a route to the unknown service {}", quote(route.m_service)),
-                         expected_service(check, route.m_service));
+        if (reader.read_name("service", presence::required, route.m_service) &&
+            context.m_complete && !context.m_declared_services.contains(route.m_service)) {
+            reader.add_fault(
+                "service", fmt::format("a route to the unknown service {}", quote(route.m_service)),
+                expected_service(context, route.m_service));
         }
         reader.read_duration("timeout", presence::optional, milliseconds(1), max_timeout,
                              route.m_timeout);
         reader.read_bool("idempotent", presence::optional, route.m_idempotent);
-        std::string word;
-        constexpr std::string_view urgency_rule = "\"urgent\", \"normal\" or \"background\"";
-        if (reader.read_text("urgency", presence::optional, urgency_rule, word)) {
-            const auto* const found = std::find(urgency_names.begin(), urgency_names.end(), word);
+        std::string urgency_word;
+        constexpr std::string_view expected_urgency = "\"urgent\", \"normal\" or \"background\"";
+        if (reader.read_text("urgency", presence::optional, expected_urgency, urgency_word)) {
+            const auto* const found =
+                std::find(urgency_names.begin(), urgency_names.end(), urgency_word);
             if (found == urgency_names.end()) {
-                reader.fault("urgency", fmt::format("{} for route.urgency", quote(word)),
-                             std::string(urgency_rule));
+                reader.add_fault("urgency",
+                                 fmt::format("{} for route.urgency", quote(urgency_word)),
+                                 std::string(expected_urgency));
             } else {
                 route.m_urgency = static_cast<urgency>(found - urgency_names.begin());
             }
         }
-        check.m_mesh.m_routes.push_back(std::move(route));
+        context.m_mesh.m_routes.push_back(std::move(route));
     }
-    sort_routes(check.m_mesh.m_routes);
+    sort_routes(context.m_mesh.m_routes);
 }
 
 // Reports dependencies on unknown services and one fault for every dependency that closes a cycle.
 // The walk keeps its own stack, since a chain may be as long as the list of services.
-void check_dependencies(checker& check) {
-    enum class mark : std::uint8_t { fresh, open, closed };
+void check_dependencies(check_context& context) {
+    enum class visit_state : std::uint8_t { unvisited, in_progress, done };
     struct frame {
         std::string_view m_name;
         const std::vector<dependency>* m_edges;
         std::size_t m_next = 0;
     };
-    static const std::vector<dependency> none;
+    static const std::vector<dependency> no_dependencies;
     const auto edges_of = [&](std::string_view name) {
-        const auto found = check.m_dependencies.find(name);
-        return found == check.m_dependencies.end() ? &none : &found->second;
+        const auto found = context.m_dependencies.find(name);
+        return found == context.m_dependencies.end() ? &no_dependencies : &found->second;
     };
-    std::unordered_map<std::string_view, mark> marks;
-    for (const auto& [root, edges] : check.m_dependencies) {
-        if (marks[root] != mark::fresh) {
+    std::unordered_map<std::string_view, visit_state> states;
+    for (const auto& [root, edges] : context.m_dependencies) {
+        if (states[root] != visit_state::unvisited) {
             continue;
         }
         std::vector<frame> stack{{root, &edges}};
-        marks[root] = mark::open;
+        states[root] = visit_state::in_progress;
         while (!stack.empty()) {
             frame& top = stack.back();
             if (top.m_next == top.m_edges->size()) {
-                marks[top.m_name] = mark::closed;
+                states[top.m_name] = visit_state::done;
                 stack.pop_back();
                 continue;
             }
             const dependency& edge = (*top.m_edges)[top.m_next++];
-            if (!check.m_declared.contains(edge.m_name)) {
-                check.m_faults.add(edge.m_at,
-                                   fmt::format("a dependency of {} on the unknown service {}",
-                                               quote(top.m_name), quote(edge.m_name)),
-                                   expected_service(check, edge.m_name));
+            if (!context.m_declared_services.contains(edge.m_name)) {
+                context.m_faults.add(edge.m_position,
+                                     fmt::format("a dependency of {} on the unknown service {}",
+                                                 quote(top.m_name), quote(edge.m_name)),
+                                     expected_service(context, edge.m_name));
                 continue;
             }
-            mark& state = marks[edge.m_name];
-            if (state == mark::fresh) {
-                state = mark::open;
+            visit_state& state = states[edge.m_name];
+            if (state == visit_state::unvisited) {
+                state = visit_state::in_progress;
                 stack.push_back({edge.m_name, edges_of(edge.m_name)});
-            } else if (state == mark::open) {
-                auto from = std::find_if(stack.begin(), stack.end(), [&](const frame& entry) {
-                    return entry.m_name == edge.m_name;
-                });
+            } else if (state == visit_state::in_progress) {
+                auto cycle_entry =
+                    std::find_if(stack.begin(), stack.end(),
+                                 [&](const frame& entry) { return entry.m_name == edge.m_name; });
                 std::string cycle;
                 // A long cycle is cut, so that the message stays readable.
-                for (std::size_t shown = 0; from != stack.end() && shown < 20; ++from, ++shown) {
-                    cycle += fmt::format("{} -> ", from->m_name);
+                for (std::size_t shown_count = 0; cycle_entry != stack.end() && shown_count < 20;
+                     ++cycle_entry, ++shown_count) {
+                    cycle += fmt::format("{} -> ", cycle_entry->m_name);
                 }
-                cycle += from == stack.end() ? edge.m_name : fmt::format("... -> {}", edge.m_name);
-                check.m_faults.add(edge.m_at, fmt::format("the dependency cycle {}", cycle),
-                                   "dependencies without a cycle");
+                cycle += cycle_entry == stack.end() ? edge.m_name
+                                                    : fmt::format("... -> {}", edge.m_name);
+                context.m_faults.add(edge.m_position, fmt::format("the dependency cycle {}", cycle),
+                                     "dependencies without a cycle");
             }
         }
     }
@@ -308,7 +321,7 @@
 
 // Visits the keys of both maps in order, with null for an entry that one of them lacks.
 template <typename map_type, typename visitor>
-void merge_keys(const map_type& before, const map_type& after, visitor visit) {
+void visit_merged_keys(const map_type& before, const map_type& after, visitor visit) {
     auto left = before.begin();
     auto right = after.begin();
     while (left != before.end() || right != after.end()) {
@@ -402,11 +415,11 @@
                           fmt::format("at most {} bytes", max_text_bytes)});
         return std::nullopt;
     }
-    checker check;
-    check.m_now = now;
-    check.m_previous = previous;
-    const text_check::document parsed = text_check::parse_document(text, check.m_faults);
-    check.m_complete = parsed.m_complete;
+    check_context context;
+    context.m_now = now;
+    context.m_previous = previous;
+    const text_check::document parsed = text_check::parse_document(text, context.m_faults);
+    context.m_complete = parsed.m_complete;
 
     // Keys of a newer format are unknown here, so that further faults would mislead.
     fault_sink format_faults;
@@ -416,28 +429,28 @@
     if (format_reader.read_integer("format", presence::optional, std::uint64_t{1},
                                    std::uint64_t{INT64_MAX}, format) &&
         format > mesh_format) {
-        check.m_faults.add(
-            format_reader.where("format"), fmt::format("format {}", format),
+        context.m_faults.add(
+            format_reader.entry_position("format"), fmt::format("format {}", format),
             fmt::format("a format up to {}, the newest that this program knows", mesh_format));
-        faults = check.m_faults.take();
+        faults = context.m_faults.take_sorted();
         return std::nullopt;
     }
 
-    const table_reader root(*parsed.m_root, "", root_keys, parsed.m_complete, check.m_faults);
+    const table_reader root(*parsed.m_root, "", root_keys, parsed.m_complete, context.m_faults);
     root.read_integer("format", presence::required, std::uint64_t{1}, std::uint64_t{mesh_format},
                       format);
-    root.read_name("name", presence::required, check.m_mesh.m_name);
-    check_data_centres(check, root);
-    check_services(check, root);
-    check_routes(check, root);
+    root.read_name("name", presence::required, context.m_mesh.m_name);
+    check_data_centres(context, root);
+    check_services(context, root);
+    check_routes(context, root);
     if (parsed.m_complete) {
-        check_dependencies(check);
+        check_dependencies(context);
     }
-    if (!check.m_faults.empty()) {
-        faults = check.m_faults.take();
+    if (!context.m_faults.empty()) {
+        faults = context.m_faults.take_sorted();
         return std::nullopt;
     }
-    return std::move(check.m_mesh);
+    return std::move(context.m_mesh);
 }
 
 std::string format_fault(std::string_view file, const text_fault& fault) {
@@ -453,23 +466,24 @@
     if (before.m_name != after.m_name) {
         lines.push_back(fmt::format("name: {} -> {}", before.m_name, after.m_name));
     }
-    merge_keys(before.m_data_centres, after.m_data_centres,
-               [&](const data_centre_spec* old_spec, const data_centre_spec* new_spec) {
-                   if (new_spec == nullptr) {
-                       lines.push_back(fmt::format("data_centre {}: removed", old_spec->m_name));
-                   } else if (old_spec == nullptr) {
-                       lines.push_back(fmt::format("data_centre {}: added{}", new_spec->m_name,
-                                                   new_spec->m_out ? ", out of service" : ""));
-                   } else if (old_spec->m_out != new_spec->m_out) {
-                       lines.push_back(fmt::format("data_centre {}: {}", new_spec->m_name,
-                                                   new_spec->m_out ? "taken out of service"
-                                                                   : "returned to service"));
-                   }
-               });
-    merge_keys(before.m_services, after.m_services,
-               [&](const service_spec* old_spec, const service_spec* new_spec) {
-                   diff_service(old_spec, new_spec, lines);
-               });
+    visit_merged_keys(
+        before.m_data_centres, after.m_data_centres,
+        [&](const data_centre_spec* old_spec, const data_centre_spec* new_spec) {
+            if (new_spec == nullptr) {
+                lines.push_back(fmt::format("data_centre {}: removed", old_spec->m_name));
+            } else if (old_spec == nullptr) {
+                lines.push_back(fmt::format("data_centre {}: added{}", new_spec->m_name,
+                                            new_spec->m_out_of_service ? ", out of service" : ""));
+            } else if (old_spec->m_out_of_service != new_spec->m_out_of_service) {
+                lines.push_back(fmt::format("data_centre {}: {}", new_spec->m_name,
+                                            new_spec->m_out_of_service ? "taken out of service"
+                                                                       : "returned to service"));
+            }
+        });
+    visit_merged_keys(before.m_services, after.m_services,
+                      [&](const service_spec* old_spec, const service_spec* new_spec) {
+                          diff_service(old_spec, new_spec, lines);
+                      });
     std::map<std::string_view, route_spec> old_routes;
     std::map<std::string_view, route_spec> new_routes;
     for (const route_spec& route : before.m_routes) {
@@ -478,16 +492,16 @@
     for (const route_spec& route : after.m_routes) {
         new_routes.emplace(route.m_path, route);
     }
-    merge_keys(old_routes, new_routes,
-               [&](const route_spec* old_route, const route_spec* new_route) {
-                   diff_route(old_route, new_route, lines);
-               });
+    visit_merged_keys(old_routes, new_routes,
+                      [&](const route_spec* old_route, const route_spec* new_route) {
+                          diff_route(old_route, new_route, lines);
+                      });
     return lines;
 }
 
 namespace {
 
-bool route_before(const route_spec& route, std::string_view path, std::string_view host) {
+bool precedes(const route_spec& route, std::string_view path, std::string_view host) {
     if (route.m_path.size() != path.size()) {
         return route.m_path.size() > path.size();
     }
@@ -496,15 +510,16 @@
 
 const route_spec* find_route(const mesh& config, std::string_view host, std::string_view path) {
     const auto at = std::lower_bound(config.m_routes.begin(), config.m_routes.end(), path,
-                                     [host](const route_spec& route, std::string_view wanted) {
-                                         return route_before(route, wanted, host);
+                                     [host](const route_spec& route, std::string_view wanted_path) {
+                                         return precedes(route, wanted_path, host);
                                      });
     const bool found = at != config.m_routes.end() && at->m_path == path && at->m_host == host;
     return found ? &*at : nullptr;
 }
 
 // The route with exactly this prefix, for the host or for any.
-const route_spec* find_prefix(const mesh& config, std::string_view host, std::string_view path) {
+const route_spec* find_exact_prefix(const mesh& config, std::string_view host,
+                                    std::string_view path) {
     if (!host.empty()) {
         if (const route_spec* route = find_route(config, host, path)) {
             return route;
@@ -517,7 +532,7 @@
 
 void sort_routes(std::vector<route_spec>& routes) {
     std::sort(routes.begin(), routes.end(), [](const route_spec& left, const route_spec& right) {
-        return route_before(left, right.m_path, right.m_host);
+        return precedes(left, right.m_path, right.m_host);
     });
 }
 
@@ -531,18 +546,18 @@
     std::size_t end = path.size();
     const std::size_t longest = config.m_routes.front().m_path.size();
     while (end > 0) {
-        const std::size_t behind_slash = std::min(end + 1, path.size());
-        for (const std::size_t length : {behind_slash, end}) {
+        const std::size_t after_slash = std::min(end + 1, path.size());
+        for (const std::size_t length : {after_slash, end}) {
             if (length > longest) {
                 continue;
             }
-            if (const route_spec* route = find_prefix(config, host, path.substr(0, length))) {
+            if (const route_spec* route = find_exact_prefix(config, host, path.substr(0, length))) {
                 return route;
             }
         }
         end = path.rfind('/', end - 1);
     }
-    return find_prefix(config, host, "/");
+    return find_exact_prefix(config, host, "/");
 }
 
 const route_spec* match_route(const mesh& config, std::string_view path) {
@@ -558,8 +573,9 @@
 
 std::string move_id(std::string_view service, const move_spec& move) {
     const std::string key =
-        move.m_order != 0 ? fmt::format("{}\n{}\norder {}", service, move.m_to, move.m_order)
-                          : fmt::format("{}\n{}\n{}", service, move.m_to, unix_ms(move.m_deadline));
+        move.m_order_revision != 0
+            ? fmt::format("{}\n{}\norder {}", service, move.m_to, move.m_order_revision)
+            : fmt::format("{}\n{}\n{}", service, move.m_to, unix_ms(move.m_deadline));
     return fmt::format("{:016x}", hash_bytes(key));
 }
 
--- a/src/config/mesh.hpp
+++ b/src/config/mesh.hpp
@@ -36,7 +36,7 @@
     wall_time m_deadline; // done or taken back by this time
     // A move ordered with a duration instead of a deadline: the order's revision tells it from
     // other orders, and the deadline follows from the time at which the holder begins it.
-    std::uint64_t m_order = 0; // 0: m_deadline counts
+    std::uint64_t m_order_revision = 0; // 0: m_deadline counts
     milliseconds m_duration{0};
     friend bool operator==(const move_spec&, const move_spec&) = default;
 };
@@ -53,15 +53,15 @@
     std::uint32_t m_queue = 48;        // calls that wait for a slot
     milliseconds m_latency_limit{0};   // answers slower than this count as failures; 0 = none
     // Calls that a backend server bears in a second while it says that it is cold; 0: not known.
-    double m_warmup_per_second = 0;
+    double m_warmup_calls_per_second = 0;
     friend bool operator==(const service_spec&, const service_spec&) = default;
 };
 
 // A service's part of a route that is split.
-struct route_part {
+struct weighted_service {
     std::string m_service;
     std::uint32_t m_weight = 1; // relative to the sum of the route's weights
-    friend bool operator==(const route_part&, const route_part&) = default;
+    friend bool operator==(const weighted_service&, const weighted_service&) = default;
 };
 
 // One route: calls to the host whose path has the prefix go to the service.
@@ -71,17 +71,17 @@
     milliseconds m_timeout{1000};
     bool m_idempotent = false;
     urgency m_urgency = urgency::normal;
-    std::string m_host{};              // empty: any
-    std::vector<route_part> m_split{}; // if not empty, instead of m_service
-    std::uint32_t m_attempts = 2;      // backend servers that one call may be sent to
-    milliseconds m_target_latency{0};  // an answer within it is worth most to the caller; 0 = none
+    std::string m_host{};                    // empty: any
+    std::vector<weighted_service> m_split{}; // if not empty, instead of m_service
+    std::uint32_t m_attempts = 2;            // backend servers that one call may be sent to
+    milliseconds m_target_latency{0}; // an answer within it is worth most to the caller; 0 = none
     friend bool operator==(const route_spec&, const route_spec&) = default;
 };
 
 // One data centre; an out data centre gets no new work.
 struct data_centre_spec {
     std::string m_name;
-    bool m_out = false;
+    bool m_out_of_service = false;
     friend bool operator==(const data_centre_spec&, const data_centre_spec&) = default;
 };
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t max_store_addresses = 16;
 constexpr std::size_t max_seeds = 64;
 
-constexpr std::string_view endpoint_rule =
+constexpr std::string_view expected_endpoint =
     "an IP address with a port from 1 to 65535, as \"127.0.0.1:7001\" or \"[::1]:7001\"";
 
 constexpr std::array<std::string_view, 10> root_keys{
@@ -54,12 +54,12 @@
 bool read_endpoint(const table_reader& reader, std::string_view key, presence need,
                    ip_endpoint& result) {
     std::string text;
-    if (!reader.read_text(key, need, endpoint_rule, text)) {
+    if (!reader.read_text(key, need, expected_endpoint, text)) {
         return false;
     }
     auto endpoint = parse_endpoint(text);
     if (!endpoint || endpoint->m_port == 0) {
-        reader.fault(key, quote(text), std::string(endpoint_rule));
+        reader.add_fault(key, quote(text), std::string(expected_endpoint));
         return false;
     }
     result = std::move(*endpoint);
@@ -67,18 +67,18 @@
 }
 
 void read_endpoints(const table_reader& reader, std::string_view key, presence need,
-                    std::size_t most, fault_sink& faults, std::vector<ip_endpoint>& result) {
-    std::vector<table_reader::item> items;
-    if (!reader.read_strings(key, need, most, items)) {
+                    std::size_t max_count, fault_sink& faults, std::vector<ip_endpoint>& result) {
+    std::vector<table_reader::string_element> elements;
+    if (!reader.read_strings(key, need, max_count, elements)) {
         return;
     }
-    if (items.empty() && need == required) {
-        reader.fault(key, fmt::format("an empty array for {}", key), "at least one address");
+    if (elements.empty() && need == required) {
+        reader.add_fault(key, fmt::format("an empty array for {}", key), "at least one address");
     }
-    for (const table_reader::item& item : items) {
-        auto endpoint = parse_endpoint(item.m_text);
+    for (const table_reader::string_element& element : elements) {
+        auto endpoint = parse_endpoint(element.m_text);
         if (!endpoint || endpoint->m_port == 0) {
-            faults.add(item.m_at, quote(item.m_text), std::string(endpoint_rule));
+            faults.add(element.m_position, quote(element.m_text), std::string(expected_endpoint));
         } else {
             result.push_back(std::move(*endpoint));
         }
@@ -89,9 +89,9 @@
 // required keys are reported and its defaults apply.
 class section_reader {
 public:
-    section_reader(const table_reader& root, const toml::table& empty, bool complete,
+    section_reader(const table_reader& root, const toml::table& empty_table, bool complete,
                    fault_sink& faults)
-        : m_root(&root), m_empty(&empty), m_complete(complete), m_faults(&faults) {}
+        : m_root(&root), m_empty(&empty_table), m_complete(complete), m_faults(&faults) {}
 
     table_reader open(std::string_view name, std::span<const std::string_view> keys) const {
         const toml::table* table = m_root->read_table(name, optional);
@@ -107,15 +107,15 @@
 };
 
 void read_source(const table_reader& reader, std::string& result) {
-    constexpr std::string_view rule = "an IP address without a port, as \"10.0.0.7\"";
+    constexpr std::string_view expected = "an IP address without a port, as \"10.0.0.7\"";
     std::string text;
-    if (!reader.read_text("source", optional, rule, text)) {
+    if (!reader.read_text("source", optional, expected, text)) {
         return;
     }
     const auto endpoint =
         parse_endpoint(text.find(':') == std::string::npos ? text + ":1" : "[" + text + "]:1");
     if (!endpoint) {
-        reader.fault("source", quote(text), std::string(rule));
+        reader.add_fault("source", quote(text), std::string(expected));
         return;
     }
     result = endpoint->m_address;
@@ -134,7 +134,7 @@
     read_endpoint(reader, "announce_traffic", optional, settings.m_announce_traffic);
     read_endpoint(reader, "announce_udp", optional, settings.m_announce_udp);
     read_endpoint(reader, "announce_bulk", optional, settings.m_announce_bulk);
-    read_source(reader, settings.m_source);
+    read_source(reader, settings.m_source_address);
 }
 
 void read_peers(const table_reader& reader, fault_sink& faults, node_settings& settings) {
@@ -145,11 +145,11 @@
                          settings.m_probe_timeout);
     // An unanswered probe must be known before the next one is due.
     if (settings.m_probe_timeout >= settings.m_probe_interval) {
-        reader.fault(reader.has("probe_timeout") ? "probe_timeout" : "probe_interval",
-                     fmt::format("probe_timeout {} with probe_interval {}",
-                                 text_check::format_duration(settings.m_probe_timeout),
-                                 text_check::format_duration(settings.m_probe_interval)),
-                     "a probe_timeout below the probe_interval");
+        reader.add_fault(reader.has("probe_timeout") ? "probe_timeout" : "probe_interval",
+                         fmt::format("probe_timeout {} with probe_interval {}",
+                                     text_check::format_duration(settings.m_probe_timeout),
+                                     text_check::format_duration(settings.m_probe_interval)),
+                         "a probe_timeout below the probe_interval");
     }
     reader.read_duration("fetch_timeout", optional, milliseconds(100), milliseconds(60'000),
                          settings.m_fetch_timeout);
@@ -166,11 +166,11 @@
                          settings.m_lease_period);
     // A renewal that waits as long as the lease lasts can't save it.
     if (settings.m_store_timeout >= settings.m_lease_period) {
-        reader.fault(reader.has("timeout") ? "timeout" : "lease_period",
-                     fmt::format("store.timeout {} with store.lease_period {}",
-                                 text_check::format_duration(settings.m_store_timeout),
-                                 text_check::format_duration(settings.m_lease_period)),
-                     "a timeout below the lease_period");
+        reader.add_fault(reader.has("timeout") ? "timeout" : "lease_period",
+                         fmt::format("store.timeout {} with store.lease_period {}",
+                                     text_check::format_duration(settings.m_store_timeout),
+                                     text_check::format_duration(settings.m_lease_period)),
+                         "a timeout below the lease_period");
     }
 }
 
@@ -197,12 +197,12 @@
     std::string_view address;
     std::string_view port;
     if (text.starts_with('[')) {
-        const std::size_t close = text.find("]:");
-        if (close == std::string_view::npos) {
+        const std::size_t closing_bracket = text.find("]:");
+        if (closing_bracket == std::string_view::npos) {
             return std::nullopt;
         }
-        address = text.substr(1, close - 1);
-        port = text.substr(close + 2);
+        address = text.substr(1, closing_bracket - 1);
+        port = text.substr(closing_bracket + 2);
     } else {
         const std::size_t colon = text.find(':');
         if (colon == std::string_view::npos) {
@@ -216,13 +216,13 @@
     if (failure || parsed.is_v6() != text.starts_with('[')) {
         return std::nullopt;
     }
-    std::uint16_t number = 0;
+    std::uint16_t port_number = 0;
     const char* const end = port.data() + port.size();
-    const auto [rest, bad] = std::from_chars(port.data(), end, number);
-    if (port.empty() || bad != std::errc{} || rest != end) {
+    const auto [port_end, port_error] = std::from_chars(port.data(), end, port_number);
+    if (port.empty() || port_error != std::errc{} || port_end != end) {
         return std::nullopt;
     }
-    return ip_endpoint{parsed.to_string(), number};
+    return ip_endpoint{parsed.to_string(), port_number};
 }
 
 std::string format_endpoint(const ip_endpoint& endpoint) {
@@ -242,9 +242,9 @@
     }
     fault_sink sink;
     const text_check::document parsed = text_check::parse_document(text, sink);
-    const text_check::document empty = text_check::parse_document("", sink);
+    const text_check::document empty_table = text_check::parse_document("", sink);
     const table_reader root(*parsed.m_root, "", root_keys, parsed.m_complete, sink);
-    const section_reader sections(root, *empty.m_root, parsed.m_complete, sink);
+    const section_reader sections(root, *empty_table.m_root, parsed.m_complete, sink);
     node_settings settings;
 
     const table_reader instance = sections.open("instance", instance_keys);
@@ -289,7 +289,7 @@
                       settings.m_seed);
 
     if (!sink.empty()) {
-        faults = sink.take();
+        faults = sink.take_sorted();
         return std::nullopt;
     }
     return settings;
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -33,7 +33,7 @@
     std::string m_not_run = "x-caraway-backend-shed"; // a server's word that it didn't run the call
     std::string m_expected_server;                    // the server that alone may run the call
     std::string m_caller_service; // service of the instance where the call began
-    std::string m_server_seal;    // on every answer that a server made itself
+    std::string m_server_marker;  // on every answer that a server made itself
     friend bool operator==(const edge_headers&, const edge_headers&) = default;
 };
 
@@ -59,7 +59,7 @@
     ip_endpoint m_announce_udp;
     ip_endpoint m_announce_bulk;
     // Local IP address of TCP connections to other nodes; empty: the system chooses.
-    std::string m_source;
+    std::string m_source_address;
     // [backend_server]
     ip_endpoint m_backend_server;           // required
     milliseconds m_health_interval{10'000}; // 0 = no probing; a probe costs the server time
@@ -104,7 +104,7 @@
     // [random]
     std::uint64_t m_seed = 0; // 0 = from the random device at start
     // Not in the file: set by the deployment's adapter.
-    edge_headers m_edge;
+    edge_headers m_edge_headers;
     friend bool operator==(const node_settings&, const node_settings&) = default;
 };
 
--- a/src/config/text_check.cpp
+++ b/src/config/text_check.cpp
@@ -96,28 +96,31 @@
 // Turns the library's message into what was found. It begins with the construct being parsed
 // ("Error while parsing key-value pair: ..."), which the position already tells.
 text_fault syntax_fault(const toml::parse_error& failure) {
-    std::string_view what = failure.description();
+    std::string_view description = failure.description();
     constexpr std::string_view prefix = "Error while parsing ";
-    if (what.starts_with(prefix)) {
-        const std::size_t colon = what.find(": ");
+    if (description.starts_with(prefix)) {
+        const std::size_t colon = description.find(": ");
         if (colon != std::string_view::npos) {
-            what.remove_prefix(colon + 2);
+            description.remove_prefix(colon + 2);
         }
     }
-    const position at = position_of(failure.source());
-    constexpr std::string_view redefine = "cannot redefine existing ";
-    constexpr std::string_view wanted = "expected ";
-    constexpr std::string_view seen = ", saw ";
-    const std::size_t saw = what.find(seen);
-    if (what.starts_with(redefine)) {
-        return {at.m_line, at.m_column, fmt::format("a second {}", what.substr(redefine.size())),
+    const position start = position_of(failure.source());
+    constexpr std::string_view redefinition_prefix = "cannot redefine existing ";
+    constexpr std::string_view expected_prefix = "expected ";
+    constexpr std::string_view found_separator = ", saw ";
+    const std::size_t separator_at = description.find(found_separator);
+    if (description.starts_with(redefinition_prefix)) {
+        return {start.m_line, start.m_column,
+                fmt::format("a second {}", description.substr(redefinition_prefix.size())),
                 "each name once"};
     }
-    if (what.starts_with(wanted) && saw != std::string_view::npos) {
-        return {at.m_line, at.m_column, std::string(what.substr(saw + seen.size())),
-                std::string(what.substr(wanted.size(), saw - wanted.size()))};
+    if (description.starts_with(expected_prefix) && separator_at != std::string_view::npos) {
+        return {start.m_line, start.m_column,
+                std::string(description.substr(separator_at + found_separator.size())),
+                std::string(description.substr(expected_prefix.size(),
+                                               separator_at - expected_prefix.size()))};
     }
-    return {at.m_line, at.m_column, std::string(what), "valid TOML"};
+    return {start.m_line, start.m_column, std::string(description), "valid TOML"};
 }
 
 std::size_t line_begin(std::string_view text, std::uint32_t line) {
@@ -134,13 +137,14 @@
 
 // Blanks the faulty line, and after a faulty table header also the lines up to the next header,
 // since they would be read into the wrong table. Returns false when there was nothing to blank.
-bool blank_line(std::string& text, std::uint32_t line) {
+bool blank_out_line(std::string& text, std::uint32_t line) {
     if (line == 0) {
         return false;
     }
     const std::size_t begin = line_begin(text, line);
-    const std::size_t first = text.find_first_not_of(" \t", begin);
-    const bool header = first != std::string::npos && text[first] == '[';
+    const std::size_t first_character = text.find_first_not_of(" \t", begin);
+    const bool is_table_header =
+        first_character != std::string::npos && text[first_character] == '[';
     bool changed = false;
     std::size_t at = begin;
     while (at < text.size()) {
@@ -154,7 +158,7 @@
             text[at] = ' ';
         }
         ++at;
-        if (!header) {
+        if (!is_table_header) {
             break;
         }
     }
@@ -163,21 +167,21 @@
 
 } // namespace
 
-std::string printable(std::string_view text, std::size_t limit) {
+std::string to_printable(std::string_view text, std::size_t limit) {
     std::string result;
     std::size_t at = 0;
     while (at < text.size()) {
         const std::size_t length = utf8_length(text.substr(at));
-        std::string piece(text.substr(at, length));
+        std::string character(text.substr(at, length));
         if (length == 0) {
-            piece.assign(1, '?');
-        } else if (static_cast<unsigned char>(piece[0]) < 0x20 || piece[0] == 0x7f) {
-            piece = fmt::format("\\x{:02x}", static_cast<unsigned char>(piece[0]));
+            character.assign(1, '?');
+        } else if (static_cast<unsigned char>(character[0]) < 0x20 || character[0] == 0x7f) {
+            character = fmt::format("\\x{:02x}", static_cast<unsigned char>(character[0]));
         }
-        if (result.size() + piece.size() > limit) {
+        if (result.size() + character.size() > limit) {
             return result + "...";
         }
-        result += piece;
+        result += character;
         at += std::max<std::size_t>(length, 1);
     }
     return result;
@@ -188,11 +192,11 @@
         ++m_omitted;
         return;
     }
-    m_faults.push_back({at.m_line, at.m_column, printable(found, max_message_bytes),
-                        printable(expected, max_message_bytes)});
+    m_faults.push_back({at.m_line, at.m_column, to_printable(found, max_message_bytes),
+                        to_printable(expected, max_message_bytes)});
 }
 
-std::vector<text_fault> fault_sink::take() {
+std::vector<text_fault> fault_sink::take_sorted() {
     std::stable_sort(m_faults.begin(), m_faults.end(), [](const auto& a, const auto& b) {
         return std::pair(a.m_line, a.m_column) < std::pair(b.m_line, b.m_column);
     });
@@ -205,11 +209,12 @@
 }
 
 std::string quote(std::string_view text) {
-    return fmt::format("\"{}\"", printable(text, max_quoted_bytes));
+    return fmt::format("\"{}\"", to_printable(text, max_quoted_bytes));
 }
 
-std::optional<std::string_view>
-nearest(std::string_view word, std::span<const std::string_view> candidates, std::size_t limit) {
+std::optional<std::string_view> find_nearest(std::string_view word,
+                                             std::span<const std::string_view> candidates,
+                                             std::size_t limit) {
     std::optional<std::string_view> best;
     std::vector<std::size_t> row;
     word = word.substr(0, max_quoted_bytes);
@@ -247,11 +252,11 @@
     if (text.empty() || text[0] < '0' || text[0] > '9') {
         return std::nullopt;
     }
-    const auto [rest, failure] = std::from_chars(text.data(), end, count);
+    const auto [unit_begin, failure] = std::from_chars(text.data(), end, count);
     if (failure != std::errc{}) {
         return std::nullopt;
     }
-    const std::string_view unit(rest, static_cast<std::size_t>(end - rest));
+    const std::string_view unit(unit_begin, static_cast<std::size_t>(end - unit_begin));
     const std::int64_t factor = unit == "ms" ? 1 : unit == "s" ? 1'000 : unit == "m" ? 60'000 : 0;
     if (factor == 0 || count > std::numeric_limits<std::int64_t>::max() / factor) {
         return std::nullopt;
@@ -287,15 +292,16 @@
     if (result) {
         return {std::make_shared<const toml::table>(std::move(result).table()), true};
     }
-    std::string rest(text);
+    std::string remaining(text);
     for (std::size_t errors = 0; errors < max_syntax_errors; ++errors) {
-        const text_fault found = syntax_fault(result.error());
-        const std::uint32_t line = found.m_line;
-        faults.add({found.m_line, found.m_column}, found.m_found, found.m_expected);
-        if (!blank_line(rest, line) || (errors + 1) * text.size() > max_reparsed_bytes) {
+        const text_fault syntax_error = syntax_fault(result.error());
+        const std::uint32_t line = syntax_error.m_line;
+        faults.add({syntax_error.m_line, syntax_error.m_column}, syntax_error.m_found,
+                   syntax_error.m_expected);
+        if (!blank_out_line(remaining, line) || (errors + 1) * text.size() > max_reparsed_bytes) {
             break;
         }
-        result = toml::parse(std::string_view(rest));
+        result = toml::parse(std::string_view(remaining));
         if (result) {
             return {std::make_shared<const toml::table>(std::move(result).table()), false};
         }
@@ -304,22 +310,23 @@
 }
 
 table_reader::table_reader(const toml::table& table, std::string label,
-                           std::span<const std::string_view> known, bool complete,
+                           std::span<const std::string_view> known_keys, bool complete,
                            fault_sink& faults)
     : m_table(&table), m_label(std::move(label)), m_complete(complete), m_faults(&faults) {
     for (const auto& [key, value] : table) {
-        if (std::find(known.begin(), known.end(), key.str()) != known.end()) {
+        if (std::find(known_keys.begin(), known_keys.end(), key.str()) != known_keys.end()) {
             continue;
         }
-        const auto close = nearest(key.str(), known, std::numeric_limits<std::size_t>::max());
+        const auto suggestion =
+            find_nearest(key.str(), known_keys, std::numeric_limits<std::size_t>::max());
         faults.add(position_of(key.source()),
                    fmt::format("unknown key {}{}", quote(key.str()),
                                m_label.empty() ? "" : fmt::format(" in {}", m_label)),
-                   fmt::format("a known key; the nearest is \"{}\"", close.value_or("")));
+                   fmt::format("a known key; the nearest is \"{}\"", suggestion.value_or("")));
     }
 }
 
-position table_reader::where(std::string_view key) const {
+position table_reader::entry_position(std::string_view key) const {
     const toml::node* node = m_table->get(key);
     return position_of(node != nullptr ? node->source() : m_table->source());
 }
@@ -328,9 +335,9 @@
     return m_table->get(key) != nullptr;
 }
 
-void table_reader::fault(std::string_view key, std::string_view found,
-                         std::string_view expected) const {
-    m_faults->add(where(key), found, expected);
+void table_reader::add_fault(std::string_view key, std::string_view found,
+                             std::string_view expected) const {
+    m_faults->add(entry_position(key), found, expected);
 }
 
 const toml::node* table_reader::find(std::string_view key, presence need,
@@ -347,8 +354,8 @@
     return node;
 }
 
-void table_reader::wrong_type(const toml::node& node, std::string_view key,
-                              std::string_view expected) const {
+void table_reader::add_type_fault(const toml::node& node, std::string_view key,
+                                  std::string_view expected) const {
     m_faults->add(position_of(node.source()),
                   fmt::format("{} for {}", describe(node), join_label(m_label, key)), expected);
 }
@@ -361,7 +368,7 @@
     }
     const auto* text = node->as_string();
     if (text == nullptr) {
-        wrong_type(*node, key, expected);
+        add_type_fault(*node, key, expected);
         return false;
     }
     result = text->get();
@@ -376,7 +383,7 @@
         return false;
     }
     if (!is_name(text)) {
-        fault(key, fmt::format("{} for {}", quote(text), join_label(m_label, key)), expected);
+        add_fault(key, fmt::format("{} for {}", quote(text), join_label(m_label, key)), expected);
         return false;
     }
     result = std::move(text);
@@ -390,53 +397,53 @@
     }
     const auto* flag = node->as_boolean();
     if (flag == nullptr) {
-        wrong_type(*node, key, "true or false");
+        add_type_fault(*node, key, "true or false");
         return false;
     }
     result = flag->get();
     return true;
 }
 
-bool table_reader::read_integer(std::string_view key, presence need, std::uint64_t least,
-                                std::uint64_t most, std::uint64_t& result) const {
-    const std::string expected = fmt::format("an integer from {} to {}", least, most);
+bool table_reader::read_integer(std::string_view key, presence need, std::uint64_t min_value,
+                                std::uint64_t max_value, std::uint64_t& result) const {
+    const std::string expected = fmt::format("an integer from {} to {}", min_value, max_value);
     const toml::node* node = find(key, need, expected);
     if (node == nullptr) {
         return false;
     }
     const auto* number = node->as_integer();
     if (number == nullptr || number->get() < 0 ||
-        static_cast<std::uint64_t>(number->get()) < least ||
-        static_cast<std::uint64_t>(number->get()) > most) {
-        wrong_type(*node, key, expected);
+        static_cast<std::uint64_t>(number->get()) < min_value ||
+        static_cast<std::uint64_t>(number->get()) > max_value) {
+        add_type_fault(*node, key, expected);
         return false;
     }
     result = static_cast<std::uint64_t>(number->get());
     return true;
 }
 
-bool table_reader::read_integer(std::string_view key, presence need, std::uint32_t least,
-                                std::uint32_t most, std::uint32_t& result) const {
+bool table_reader::read_integer(std::string_view key, presence need, std::uint32_t min_value,
+                                std::uint32_t max_value, std::uint32_t& result) const {
     std::uint64_t wide = 0;
-    if (!read_integer(key, need, std::uint64_t{least}, std::uint64_t{most}, wide)) {
+    if (!read_integer(key, need, std::uint64_t{min_value}, std::uint64_t{max_value}, wide)) {
         return false;
     }
     result = static_cast<std::uint32_t>(wide);
     return true;
 }
 
-bool table_reader::read_duration(std::string_view key, presence need, milliseconds least,
-                                 milliseconds most, milliseconds& result) const {
+bool table_reader::read_duration(std::string_view key, presence need, milliseconds min_value,
+                                 milliseconds max_value, milliseconds& result) const {
     const std::string expected =
-        fmt::format("a string with a unit (ms, s, m) from \"{}\" to \"{}\"", format_duration(least),
-                    format_duration(most));
+        fmt::format("a string with a unit (ms, s, m) from \"{}\" to \"{}\"",
+                    format_duration(min_value), format_duration(max_value));
     std::string text;
     if (!read_text(key, need, expected, text)) {
         return false;
     }
     const auto value = parse_duration(text);
-    if (!value || *value < least || *value > most) {
-        fault(key, fmt::format("{} for {}", quote(text), join_label(m_label, key)), expected);
+    if (!value || *value < min_value || *value > max_value) {
+        add_fault(key, fmt::format("{} for {}", quote(text), join_label(m_label, key)), expected);
         return false;
     }
     result = *value;
@@ -452,27 +459,29 @@
     }
     const auto* value = node->as_date_time();
     if (value == nullptr) {
-        wrong_type(*node, key, expected);
+        add_type_fault(*node, key, expected);
         return false;
     }
-    const toml::date_time& at = value->get();
+    const toml::date_time& date_time = value->get();
     // Years outside this range would overflow the system clock's nanoseconds.
-    if (!at.offset || at.date.year < 2000 || at.date.year > 2200) {
+    if (!date_time.offset || date_time.date.year < 2000 || date_time.date.year > 2200) {
         m_faults->add(
             position_of(node->source()),
-            at.offset
-                ? fmt::format("the year {} for {}", at.date.year, join_label(m_label, key))
+            date_time.offset
+                ? fmt::format("the year {} for {}", date_time.date.year, join_label(m_label, key))
                 : fmt::format("a date-time without an offset for {}", join_label(m_label, key)),
             expected);
         return false;
     }
-    const std::chrono::year_month_day day{std::chrono::year(at.date.year),
-                                          std::chrono::month(at.date.month),
-                                          std::chrono::day(at.date.day)};
-    const milliseconds of_day =
-        std::chrono::hours(at.time.hour) + std::chrono::minutes(at.time.minute) +
-        std::chrono::seconds(at.time.second) + milliseconds(at.time.nanosecond / 1'000'000);
-    result = std::chrono::sys_days(day) + of_day - std::chrono::minutes(at.offset->minutes);
+    const std::chrono::year_month_day date{std::chrono::year(date_time.date.year),
+                                           std::chrono::month(date_time.date.month),
+                                           std::chrono::day(date_time.date.day)};
+    const milliseconds time_of_day = std::chrono::hours(date_time.time.hour) +
+                                     std::chrono::minutes(date_time.time.minute) +
+                                     std::chrono::seconds(date_time.time.second) +
+                                     milliseconds(date_time.time.nanosecond / 1'000'000);
+    result =
+        std::chrono::sys_days(date) + time_of_day - std::chrono::minutes(date_time.offset->minutes);
     return true;
 }
 
@@ -483,25 +492,25 @@
         return nullptr;
     }
     if (!node->is_table()) {
-        wrong_type(*node, key, expected);
+        add_type_fault(*node, key, expected);
         return nullptr;
     }
     return node->as_table();
 }
 
-bool table_reader::read_strings(std::string_view key, presence need, std::size_t most,
-                                std::vector<item>& result) const {
-    const std::string expected = fmt::format("an array of at most {} strings", most);
+bool table_reader::read_strings(std::string_view key, presence need, std::size_t max_count,
+                                std::vector<string_element>& result) const {
+    const std::string expected = fmt::format("an array of at most {} strings", max_count);
     const toml::node* node = find(key, need, expected);
     if (node == nullptr) {
         return false;
     }
     const toml::array* elements = node->as_array();
     if (elements == nullptr) {
-        wrong_type(*node, key, expected);
+        add_type_fault(*node, key, expected);
         return false;
     }
-    if (elements->size() > most) {
+    if (elements->size() > max_count) {
         m_faults->add(position_of(node->source()),
                       fmt::format("{} elements in {}", elements->size(), join_label(m_label, key)),
                       expected);
@@ -512,7 +521,7 @@
         if (const auto* text = element.as_string()) {
             result.push_back({text->get(), position_of(element.source())});
         } else {
-            wrong_type(element, key, expected);
+            add_type_fault(element, key, expected);
             valid = false;
         }
     }
@@ -520,26 +529,26 @@
 }
 
 std::vector<table_reader::subtable>
-table_reader::read_named_tables(std::string_view key, presence need, std::size_t most) const {
+table_reader::read_named_tables(std::string_view key, presence need, std::size_t max_count) const {
     std::vector<subtable> result;
-    const std::string expected = fmt::format("1 to {} tables [{}.NAME]", most, key);
+    const std::string expected = fmt::format("1 to {} tables [{}.NAME]", max_count, key);
     const toml::node* node = find(key, need, expected);
     if (node == nullptr) {
         return result;
     }
     const toml::table* tables = node->as_table();
     if (tables == nullptr) {
-        wrong_type(*node, key, expected);
+        add_type_fault(*node, key, expected);
         return result;
     }
-    if (tables->size() > most || (tables->empty() && need == presence::required)) {
+    if (tables->size() > max_count || (tables->empty() && need == presence::required)) {
         m_faults->add(position_of(node->source()),
                       fmt::format("{} tables below {}", tables->size(), key), expected);
     }
     for (const auto& [name, value] : *tables) {
         const position at = position_of(name.source());
         if (!value.is_table()) {
-            wrong_type(value, fmt::format("{}.{}", key, name.str()), expected);
+            add_type_fault(value, fmt::format("{}.{}", key, name.str()), expected);
         } else if (!is_name(name.str())) {
             m_faults->add(at, fmt::format("{} as the name of a {}", quote(name.str()), key),
                           "1 to 64 characters A-Z a-z 0-9 . _ -, beginning with a letter or digit");
@@ -551,19 +560,19 @@
 }
 
 std::vector<table_reader::subtable>
-table_reader::read_table_array(std::string_view key, presence need, std::size_t most) const {
+table_reader::read_table_array(std::string_view key, presence need, std::size_t max_count) const {
     std::vector<subtable> result;
-    const std::string expected = fmt::format("at most {} tables [[{}]]", most, key);
+    const std::string expected = fmt::format("at most {} tables [[{}]]", max_count, key);
     const toml::node* node = find(key, need, expected);
     if (node == nullptr) {
         return result;
     }
     const toml::array* elements = node->as_array();
     if (elements == nullptr) {
-        wrong_type(*node, key, expected);
+        add_type_fault(*node, key, expected);
         return result;
     }
-    if (elements->size() > most) {
+    if (elements->size() > max_count) {
         m_faults->add(position_of(node->source()),
                       fmt::format("{} tables [[{}]]", elements->size(), key), expected);
     }
@@ -571,7 +580,7 @@
         if (element.is_table()) {
             result.push_back({{}, position_of(element.source()), element.as_table()});
         } else {
-            wrong_type(element, key, expected);
+            add_type_fault(element, key, expected);
         }
     }
     return result;
--- a/src/config/text_check.hpp
+++ b/src/config/text_check.hpp
@@ -39,7 +39,7 @@
     void add(position at, std::string_view found, std::string_view expected);
     bool empty() const { return m_faults.empty(); }
     // Moves the faults out, ordered by line and column, with a last one for those left out.
-    std::vector<text_fault> take();
+    std::vector<text_fault> take_sorted();
 
 private:
     std::vector<text_fault> m_faults;
@@ -48,14 +48,15 @@
 
 // Returns the text on one line of valid UTF-8 for logs and records: control characters escaped,
 // bytes that are no UTF-8 replaced, and cut with "..." after limit bytes.
-std::string printable(std::string_view text, std::size_t limit);
+std::string to_printable(std::string_view text, std::size_t limit);
 
 // Quotes a piece of the text for a message.
 std::string quote(std::string_view text);
 
 // Returns the candidate with the smallest edit distance to the word, if that is at most limit.
-std::optional<std::string_view>
-nearest(std::string_view word, std::span<const std::string_view> candidates, std::size_t limit);
+std::optional<std::string_view> find_nearest(std::string_view word,
+                                             std::span<const std::string_view> candidates,
+                                             std::size_t limit);
 
 // Reads an unsigned number with the unit ms, s or m, as in "250ms".
 std::optional<milliseconds> parse_duration(std::string_view text);
@@ -83,54 +84,55 @@
     // Adds a fault for each key that is not in known. label names the table in messages, empty for
     // the root.
     table_reader(const toml::table& table, std::string label,
-                 std::span<const std::string_view> known, bool complete, fault_sink& faults);
+                 std::span<const std::string_view> known_keys, bool complete, fault_sink& faults);
 
     // Position of the entry's value, or of the table when the entry is absent.
-    position where(std::string_view key) const;
+    position entry_position(std::string_view key) const;
     bool has(std::string_view key) const;
 
     bool read_name(std::string_view key, presence need, std::string& result) const;
     bool read_text(std::string_view key, presence need, std::string_view expected,
                    std::string& result) const;
     bool read_bool(std::string_view key, presence need, bool& result) const;
-    bool read_integer(std::string_view key, presence need, std::uint64_t least, std::uint64_t most,
-                      std::uint64_t& result) const;
-    bool read_integer(std::string_view key, presence need, std::uint32_t least, std::uint32_t most,
-                      std::uint32_t& result) const;
-    bool read_duration(std::string_view key, presence need, milliseconds least, milliseconds most,
-                       milliseconds& result) const;
+    bool read_integer(std::string_view key, presence need, std::uint64_t min_value,
+                      std::uint64_t max_value, std::uint64_t& result) const;
+    bool read_integer(std::string_view key, presence need, std::uint32_t min_value,
+                      std::uint32_t max_value, std::uint32_t& result) const;
+    bool read_duration(std::string_view key, presence need, milliseconds min_value,
+                       milliseconds max_value, milliseconds& result) const;
     // An offset date-time, truncated to milliseconds.
     bool read_time(std::string_view key, presence need, wall_time& result) const;
     const toml::table* read_table(std::string_view key, presence need) const;
 
     // One string of an array with its position.
-    struct item {
+    struct string_element {
         std::string m_text;
-        position m_at;
+        position m_position;
     };
     // An array of strings. False also when an element has another type.
-    bool read_strings(std::string_view key, presence need, std::size_t most,
-                      std::vector<item>& result) const;
+    bool read_strings(std::string_view key, presence need, std::size_t max_count,
+                      std::vector<string_element>& result) const;
 
     // One table of a table of tables ([service.NAME]) or of an array of tables ([[route]]).
     struct subtable {
-        std::string m_name; // empty in an array
-        position m_at;      // of the name, or of the element
+        std::string m_name;  // empty in an array
+        position m_position; // of the name, or of the element
         const toml::table* m_table = nullptr;
     };
     // The tables below key, in name order; faults for entries that are no tables or whose name is
     // no name, and one for more than most.
     std::vector<subtable> read_named_tables(std::string_view key, presence need,
-                                            std::size_t most) const;
+                                            std::size_t max_count) const;
     // The elements of an array of tables, in the text's order.
     std::vector<subtable> read_table_array(std::string_view key, presence need,
-                                           std::size_t most) const;
+                                           std::size_t max_count) const;
 
-    void fault(std::string_view key, std::string_view found, std::string_view expected) const;
+    void add_fault(std::string_view key, std::string_view found, std::string_view expected) const;
 
 private:
     const toml::node* find(std::string_view key, presence need, std::string_view expected) const;
-    void wrong_type(const toml::node& node, std::string_view key, std::string_view expected) const;
+    void add_type_fault(const toml::node& node, std::string_view key,
+                        std::string_view expected) const;
 
     const toml::table* m_table;
     std::string m_label;
--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -306,7 +306,7 @@
 
 // Removes the record of a move unless the record of a later move has replaced it.
 void remove_move_record(control& state, const std::string& service, const std::string& id) {
-    const std::string key = std::string(state.m_adapter.m_move_prefix) + service;
+    const std::string key = std::string(state.m_adapter.m_move_key_prefix) + service;
     state.m_store->get(key, [&state, key, id](const store_reply& reply) {
         const auto record = reply.m_kind == error_kind::none
                                 ? decode_move(reply.m_value, reply.m_revision)
--- a/src/node/config_sync.cpp
+++ b/src/node/config_sync.cpp
@@ -67,10 +67,11 @@
         bool was_taken_out = false;
         if (before != nullptr) {
             const auto old_spec = before->m_data_centres.find(name);
-            was_taken_out = old_spec != before->m_data_centres.end() && old_spec->second.m_out;
+            was_taken_out =
+                old_spec != before->m_data_centres.end() && old_spec->second.m_out_of_service;
         }
-        if (spec.m_out != was_taken_out) {
-            log_event(log_level::info, spec.m_out ? "data_centre_out" : "data_centre_in",
+        if (spec.m_out_of_service != was_taken_out) {
+            log_event(log_level::info, spec.m_out_of_service ? "data_centre_out" : "data_centre_in",
                       {{"of", name}, {"version", version}});
         }
     }
--- a/src/node/control.hpp
+++ b/src/node/control.hpp
@@ -238,7 +238,7 @@
     time_point now() const { return m_clock.now(); }
     // Returns true if the store itself accepts configurations, so that no accepter or reader is
     // needed.
-    bool reads_operator_items() const { return !m_adapter.m_operator_prefix.empty(); }
+    bool reads_operator_items() const { return !m_adapter.m_operator_key_prefix.empty(); }
 };
 
 // gossip.cpp: membership protocol and the exchange of facts.
--- a/src/node/move_control.cpp
+++ b/src/node/move_control.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t max_reports = 4'096;
 
 std::string record_key(const control& state, std::string_view service) {
-    return state.m_adapter.m_move_prefix + std::string(service);
+    return state.m_adapter.m_move_key_prefix + std::string(service);
 }
 
 // Returns the own service if the text has a move of it, otherwise null.
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -188,12 +188,12 @@
             if (command.m_key.starts_with(entry_point_prefix)) {
                 return "entry_points";
             }
-            if (!platform_adapter.m_operator_prefix.empty() &&
-                command.m_key.starts_with(platform_adapter.m_operator_prefix)) {
+            if (!platform_adapter.m_operator_key_prefix.empty() &&
+                command.m_key.starts_with(platform_adapter.m_operator_key_prefix)) {
                 return "operator_items";
             }
-            if (!platform_adapter.m_move_prefix.empty() &&
-                command.m_key.starts_with(platform_adapter.m_move_prefix)) {
+            if (!platform_adapter.m_move_key_prefix.empty() &&
+                command.m_key.starts_with(platform_adapter.m_move_key_prefix)) {
                 return "moves";
             }
             return "other";
@@ -213,7 +213,7 @@
 
     void open_store() {
         m_state.m_store = store_client::create(
-            m_context, m_state.m_settings.m_store, m_state.m_adapter.m_store,
+            m_context, m_state.m_settings.m_store, m_state.m_adapter.m_store_codec,
             m_state.m_settings.m_store_timeout,
             [this](const store_command& command, error_kind result, std::uint64_t sent,
                    std::uint64_t received) {
@@ -245,7 +245,7 @@
             [&metrics](std::uint64_t sent, std::uint64_t received) {
                 metrics.count_control_bytes("bulk", sent, received);
             },
-            reason, m_state.m_settings.m_source);
+            reason, m_state.m_settings.m_source_address);
         return m_state.m_bulk != nullptr;
     }
 
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -103,7 +103,7 @@
 void list_items(control& state) {
     operator_watch& watch = state.m_operator;
     watch.m_call_pending = true;
-    state.m_store->list(state.m_adapter.m_operator_prefix, [&state](const store_reply& reply) {
+    state.m_store->list(state.m_adapter.m_operator_key_prefix, [&state](const store_reply& reply) {
         operator_watch& current_watch = state.m_operator;
         current_watch.m_call_pending = false;
         update_store_access(state, reply);
@@ -151,8 +151,8 @@
             apply_items(state);
         }
     };
-    state.m_store->watch(state.m_adapter.m_operator_prefix, watch.m_watch_revision, watch_timeout,
-                         on_reply);
+    state.m_store->watch(state.m_adapter.m_operator_key_prefix, watch.m_watch_revision,
+                         watch_timeout, on_reply);
 }
 
 // Reads the records of all moves once, so that a node that starts after the end of a move knows the
@@ -160,7 +160,7 @@
 void read_records(control& state) {
     operator_watch& watch = state.m_operator;
     watch.m_records_call_pending = true;
-    state.m_store->list(state.m_adapter.m_move_prefix, [&state](const store_reply& reply) {
+    state.m_store->list(state.m_adapter.m_move_key_prefix, [&state](const store_reply& reply) {
         operator_watch& current_watch = state.m_operator;
         current_watch.m_records_call_pending = false;
         current_watch.m_records_retry_at = state.now() + store_retry_pause;
--- a/src/node/recorded.cpp
+++ b/src/node/recorded.cpp
@@ -329,7 +329,7 @@
     // A duration counts from the order, which this node first saw at `m_ordered_at`.
     const auto time_since_order =
         std::chrono::duration_cast<milliseconds>(state.now() - state.m_move.m_first_seen_at);
-    const wall_time deadline = service.m_move->m_order == 0
+    const wall_time deadline = service.m_move->m_order_revision == 0
                                    ? service.m_move->m_deadline
                                    : wall_time_now + service.m_move->m_duration - time_since_order;
     move_record record = start_move(id, service.m_name, service.m_version, service.m_move->m_to,
--- a/src/node/server_reports.cpp
+++ b/src/node/server_reports.cpp
@@ -42,7 +42,7 @@
 // Handles a report of the server with the given name; answers an unreadable one with 400.
 admin_answer handle_report(control& state, std::string_view server, std::string_view body) {
     error reason;
-    const auto report = state.m_adapter.m_reports.m_decode_report(server, body, reason);
+    const auto report = state.m_adapter.m_report_interface.m_decode_report(server, body, reason);
     if (!report) {
         log_event(log_level::warning, "server_report_unreadable",
                   {{"server", server}, {"reason", reason.m_text}});
@@ -61,7 +61,7 @@
 // Handles a leave of the server with the given name; answers an unreadable one with 400.
 admin_answer handle_leave(control& state, std::string_view server, std::string_view body) {
     error reason;
-    const auto leave = state.m_adapter.m_reports.m_decode_leave(server, body, reason);
+    const auto leave = state.m_adapter.m_report_interface.m_decode_leave(server, body, reason);
     if (!leave) {
         log_event(log_level::warning, "server_leave_unreadable",
                   {{"server", server}, {"reason", reason.m_text}});
@@ -132,7 +132,7 @@
 }
 
 admin_answer answer_server_request(control& state, const admin_request& request) {
-    const server_report_interface& reports = state.m_adapter.m_reports;
+    const server_report_interface& reports = state.m_adapter.m_report_interface;
     if (!request.m_get && request.m_path.starts_with(reports.m_report_path)) {
         return handle_report(state, request.m_path.substr(reports.m_report_path.size()),
                              request.m_body);
--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -8,7 +8,7 @@
 bool accepts_work(const mesh& config, std::string_view data_centre) {
     const auto found = config.m_data_centres.find(data_centre);
     return found == config.m_data_centres.end() ? !config.m_lists_data_centres
-                                                : !found->second.m_out;
+                                                : !found->second.m_out_of_service;
 }
 
 // Returns the counters of an instance, which are created on first use.
--- a/src/node/store_roles.cpp
+++ b/src/node/store_roles.cpp
@@ -47,7 +47,7 @@
                 log_event(log_level::error, "accepted_record_malformed",
                           {{"reason", reason.m_text}});
             }
-        } else if (entry.m_key.starts_with(state.m_adapter.m_move_prefix)) {
+        } else if (entry.m_key.starts_with(state.m_adapter.m_move_key_prefix)) {
             if (auto record = state.m_adapter.m_decode_move(entry.m_value, entry.m_revision)) {
                 records.push_back(std::move(*record));
             }
--- a/src/traffic/admission_gate.cpp
+++ b/src/traffic/admission_gate.cpp
@@ -47,7 +47,7 @@
     limits.m_queue = spec.m_queue;
     limits.m_detect_cold_start = !reports;
     limits.m_cold_until = server.m_cold_until;
-    limits.m_cold_calls_per_second = spec.m_warmup_per_second;
+    limits.m_cold_calls_per_second = spec.m_warmup_calls_per_second;
     set_admission_limits(m_state, limits);
     if (is_recording()) {
         record_input(part, "limits", m_clock.now(),
--- a/src/traffic/backend_side.cpp
+++ b/src/traffic/backend_side.cpp
@@ -85,7 +85,8 @@
 // answers would do.
 bool is_mismatched(const traffic_context& context, const http_response& answer,
                    const call_info& info) {
-    const std::string_view number = header_of(answer, context.m_settings.m_edge.m_request_number);
+    const std::string_view number =
+        header_of(answer, context.m_settings.m_edge_headers.m_request_number);
     return !number.empty() && !info.m_request_number.empty() && number != info.m_request_number;
 }
 
@@ -105,7 +106,7 @@
 // started within the retention time grants them.
 void rewrite_for_server(const traffic_context& context, const call_info& info,
                         const trace_context& trace, http_request& request) {
-    const edge_headers& edge = context.m_settings.m_edge;
+    const edge_headers& edge = context.m_settings.m_edge_headers;
     const own_server_view& own = context.m_snapshot.load()->m_own;
     if (!edge.m_expected_server.empty() && !own.m_server.empty()) {
         set_header(request, edge.m_expected_server, own.m_server);
@@ -122,7 +123,7 @@
 // Turns an answer that states that the request did not run into a refusal, and one that the server
 // can't have made into a cut connection.
 void judge_answer(const traffic_context& context, connection& used, server_result& result) {
-    const edge_headers& edge = context.m_settings.m_edge;
+    const edge_headers& edge = context.m_settings.m_edge_headers;
     const unsigned status = result.m_answer->result_int();
     const bool may_refuse = std::find(not_run_statuses.begin(), not_run_statuses.end(), status) !=
                             not_run_statuses.end();
@@ -139,7 +140,8 @@
         fail(result.m_reason, error_kind::backend_shed, "the backend server is overloaded");
         return;
     }
-    if (!edge.m_server_seal.empty() && header_of(*result.m_answer, edge.m_server_seal).empty()) {
+    if (!edge.m_server_marker.empty() &&
+        header_of(*result.m_answer, edge.m_server_marker).empty()) {
         used.m_reusable = false;
         result.m_answer.reset();
         fail(result.m_reason, error_kind::connection_cut, "the answer lacks the server's seal");
@@ -157,7 +159,7 @@
              "the call ended before it was sent");
         return result;
     }
-    set_number(request, context.m_settings.m_edge.m_deadline_ms, left);
+    set_number(request, context.m_settings.m_edge_headers.m_deadline_ms, left);
     log_start(info, info.m_version);
     result.m_sent = true;
     const auto belongs = [&context, &info](const http_response& answer) {
@@ -398,7 +400,7 @@
 bool leads_to(const route_spec& route, std::string_view service) {
     return route.m_split.empty() ? route.m_service == service
                                  : std::any_of(route.m_split.begin(), route.m_split.end(),
-                                               [service](const route_part& part) {
+                                               [service](const weighted_service& part) {
                                                    return part.m_service == service;
                                                });
 }
@@ -413,7 +415,7 @@
     info.m_service = header_of(request, header::service);
     info.m_version = header_of(request, header::backend_version);
     info.m_key = header_of(request, header::idempotency_key);
-    info.m_request_number = header_of(request, context.m_settings.m_edge.m_request_number);
+    info.m_request_number = header_of(request, context.m_settings.m_edge_headers.m_request_number);
     info.m_first_sent_ms = number_header(request, header::first_sent);
     info.m_hop = static_cast<std::uint32_t>(
         std::min<std::uint64_t>(number_header(request, header::hop).value_or(1), max_hops + 1));
--- a/src/traffic/entry_side.cpp
+++ b/src/traffic/entry_side.cpp
@@ -422,7 +422,7 @@
         return route.m_service;
     }
     std::vector<std::uint32_t> weights;
-    for (const route_part& part : route.m_split) {
+    for (const weighted_service& part : route.m_split) {
         weights.push_back(part.m_weight);
     }
     const std::lock_guard lock(context.m_entry_mutex);
@@ -501,7 +501,7 @@
         return refused(error_kind::no_backend_server, "the service is not known here");
     }
     call.m_service = &service->second;
-    const auto stated = time_left(request, context.m_settings.m_edge.m_deadline_ms);
+    const auto stated = time_left(request, context.m_settings.m_edge_headers.m_deadline_ms);
     const milliseconds allowed = std::min(route->m_timeout, stated.value_or(route->m_timeout));
     if (allowed.count() <= 0) {
         return refused(error_kind::deadline_before_send, "the caller's deadline has passed");
@@ -513,8 +513,8 @@
     }
     control.begin_call(now + allowed);
     strip_hop_by_hop(request);
-    if (!context.m_settings.m_edge.m_caller_service.empty()) {
-        set_header(request, context.m_settings.m_edge.m_caller_service,
+    if (!context.m_settings.m_edge_headers.m_caller_service.empty()) {
+        set_header(request, context.m_settings.m_edge_headers.m_caller_service,
                    call.m_snapshot->m_own.m_service);
     }
     return run_attempts(context, control, call, request, yield);
@@ -540,7 +540,8 @@
     call.m_snapshot = context.m_snapshot.load();
     call.m_info.m_key = header_of(request, header::idempotency_key);
     call.m_info.m_first_sent_ms = number_header(request, header::first_sent);
-    call.m_info.m_request_number = header_of(request, context.m_settings.m_edge.m_request_number);
+    call.m_info.m_request_number =
+        header_of(request, context.m_settings.m_edge_headers.m_request_number);
     call.m_info.m_hop = 1 + static_cast<std::uint32_t>(std::min<std::uint64_t>(
                                 number_header(request, header::hop).value_or(0), max_hops));
     call.m_info.m_trace = continue_trace(header_of(request, header::traceparent), control.random());
--- a/src/traffic/traffic_context.cpp
+++ b/src/traffic/traffic_context.cpp
@@ -26,7 +26,7 @@
     : m_settings(settings), m_clock(clock), m_snapshot(snapshot), m_metrics(metrics),
       m_hooks(std::move(hooks)), m_io(io),
       m_peers(io, clock, max_idle_per_peer, settings.m_max_connections, max_idle_time_peers,
-              settings.m_source),
+              settings.m_source_address),
       m_own_server(io, clock, max_idle_own_server, max_idle_own_server, max_idle_time_own_server),
       m_gate(io, clock), m_keys(settings, clock) {}
 
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -180,7 +180,7 @@
     settings.m_instance = "n1";
     settings.m_data_centre = "north";
     settings.m_traffic = {"127.0.0.1", free_port()};
-    control state(io, settings, own_adapter(), clock, 1);
+    control state(io, settings, default_adapter(), clock, 1);
     error reason;
     state.m_traffic = traffic_server::start(state.m_settings, clock, state.m_snapshot,
                                             *state.m_metrics, {}, reason);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 // A valid text; a case appends its fault, which then stands from line first_added_line on.
-constexpr std::string_view s_base = R"(format = 1
+constexpr std::string_view s_valid_text = R"(format = 1
 name = "small"
 [data_centre.east]
 out = false
@@ -34,16 +34,16 @@
 path = "/alpha"
 service = "alpha"
 )";
-constexpr std::uint32_t first_added_line = 14;
+constexpr std::uint32_t first_appended_line = 14;
 
-std::vector<text_fault> faults_of(std::string_view text) {
+std::vector<text_fault> parse_faults(std::string_view text) {
     std::vector<text_fault> faults;
-    const auto parsed = parse_mesh(text, s_now, nullptr, faults);
-    BOOST_TEST(parsed.has_value() == faults.empty());
+    const auto config = parse_mesh(text, s_now, nullptr, faults);
+    BOOST_TEST(config.has_value() == faults.empty());
     return faults;
 }
 
-mesh parsed(std::string_view text) {
+mesh parse_valid(std::string_view text) {
     std::vector<text_fault> faults;
     auto result = parse_mesh(text, s_now, nullptr, faults);
     for (const text_fault& fault : faults) {
@@ -53,7 +53,7 @@
     return *result;
 }
 
-std::string replaced(std::string_view text, std::string_view from, std::string_view to) {
+std::string replace_first(std::string_view text, std::string_view from, std::string_view to) {
     std::string result(text);
     const std::size_t at = result.find(from);
     BOOST_REQUIRE(at != std::string::npos);
@@ -61,8 +61,8 @@
 }
 
 // Requires exactly one fault, at the given place, whose two parts contain the given words.
-void require_fault(const std::vector<text_fault>& faults, std::uint32_t line, std::uint32_t column,
-                   std::string_view found, std::string_view expected) {
+void require_single_fault(const std::vector<text_fault>& faults, std::uint32_t line,
+                          std::uint32_t column, std::string_view found, std::string_view expected) {
     BOOST_TEST(faults.size() == 1U);
     if (faults.empty()) {
         return;
@@ -77,8 +77,8 @@
 }
 
 struct fault_case {
-    std::string_view m_added; // appended to the valid text
-    std::uint32_t m_line;     // counted from the first added line
+    std::string_view m_appended; // appended to the valid text
+    std::uint32_t m_line;        // counted from the first appended line
     std::uint32_t m_column;
     std::string_view m_found;
     std::string_view m_expected;
@@ -126,7 +126,7 @@
      "with an offset"},
 };
 
-std::string file_text(const std::string& path) {
+std::string read_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     BOOST_REQUIRE_MESSAGE(file.good(), "run the tests from the root of the repository: " << path);
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
@@ -170,41 +170,43 @@
 BOOST_AUTO_TEST_SUITE(config)
 
 // Guards against a fault that passes unseen, at a wrong place, or with follow-up faults.
-BOOST_AUTO_TEST_CASE(each_kind_of_fault_is_found_where_it_stands) {
-    BOOST_TEST(faults_of(s_base).empty());
+BOOST_AUTO_TEST_CASE(each_kind_of_fault_is_reported_at_its_position) {
+    BOOST_TEST(parse_faults(s_valid_text).empty());
     for (const fault_case& fault : s_fault_cases) {
-        const std::string text = std::string(s_base) + std::string(fault.m_added);
-        BOOST_TEST_CONTEXT(fault.m_added) {
-            require_fault(faults_of(text), first_added_line - 1 + fault.m_line, fault.m_column,
-                          fault.m_found, fault.m_expected);
+        const std::string text = std::string(s_valid_text) + std::string(fault.m_appended);
+        BOOST_TEST_CONTEXT(fault.m_appended) {
+            require_single_fault(parse_faults(text), first_appended_line - 1 + fault.m_line,
+                                 fault.m_column, fault.m_found, fault.m_expected);
         }
     }
 }
 
 // Guards against a mesh without any data centre that takes calls, and against texts that this
 // program can't judge.
-BOOST_AUTO_TEST_CASE(faults_of_the_whole_text_are_found) {
-    const std::string one_out = replaced(s_base, "out = false", "out = true");
-    BOOST_TEST(faults_of(one_out).empty());
-    require_fault(faults_of(replaced(one_out, "west]\n", "west]\nout = true\n")), 6, 7,
-                  "every data centre out", "at least one");
-    require_fault(faults_of(replaced(s_base, "format = 1", "format = 2\nnew_key = 1")), 1, 10,
-                  "format 2", "up to 1");
-    require_fault(faults_of(replaced(s_base, "format = 1", "")), 1, 1, "no format", "1 to 1");
-    require_fault(faults_of(std::string(s_base) + std::string(max_text_bytes, '#')), 0, 0, "bytes",
-                  "at most 1048576");
-    std::string full(s_base);
+BOOST_AUTO_TEST_CASE(faults_of_the_text_as_a_whole_are_reported) {
+    const std::string one_out = replace_first(s_valid_text, "out = false", "out = true");
+    BOOST_TEST(parse_faults(one_out).empty());
+    require_single_fault(parse_faults(replace_first(one_out, "west]\n", "west]\nout = true\n")), 6,
+                         7, "every data centre out", "at least one");
+    require_single_fault(
+        parse_faults(replace_first(s_valid_text, "format = 1", "format = 2\nnew_key = 1")), 1, 10,
+        "format 2", "up to 1");
+    require_single_fault(parse_faults(replace_first(s_valid_text, "format = 1", "")), 1, 1,
+                         "no format", "1 to 1");
+    require_single_fault(parse_faults(std::string(s_valid_text) + std::string(max_text_bytes, '#')),
+                         0, 0, "bytes", "at most 1048576");
+    std::string full(s_valid_text);
     full += std::string(max_text_bytes - full.size(), '#');
-    BOOST_TEST(faults_of(full).empty());
+    BOOST_TEST(parse_faults(full).empty());
 }
 
 // Guards against an operator who has to submit a text once for every fault in it.
-BOOST_AUTO_TEST_CASE(all_faults_are_found_in_one_pass_in_order) {
+BOOST_AUTO_TEST_CASE(all_faults_are_reported_in_one_pass_in_order) {
     const std::string text =
         "format = 1\nname = 3\n[data_centre.a]\nout = 1\n[service.a]\nversion = "
         "\"1\"\nversion = \"2\"\nslots = -1\n[service.b\nversion = \"1\"\n"
         "[[route]]\npath = \"a\"\nservice = \"c\"\n";
-    const auto faults = faults_of(text);
+    const auto faults = parse_faults(text);
     std::vector<std::uint32_t> lines;
     lines.reserve(faults.size());
     for (const text_fault& fault : faults) {
@@ -217,52 +219,52 @@
 
 // Guards against a refusal that is too large for the store.
 BOOST_AUTO_TEST_CASE(reported_faults_are_bounded) {
-    std::string text(s_base);
+    std::string text(s_valid_text);
     for (int i = 0; i < 30'000; ++i) {
         text += "[[route]]\npath = \"x\"\n";
     }
-    const auto faults = faults_of(text);
+    const auto faults = parse_faults(text);
     BOOST_TEST(faults.size() == max_text_faults);
     BOOST_TEST(faults.back().m_found.find("more faults") != std::string::npos);
 }
 
 // Guards against a text full of syntax errors that holds up the accepter.
-BOOST_AUTO_TEST_CASE(parses_after_syntax_errors_are_bounded) {
-    std::string small(s_base);
-    std::string large(s_base);
+BOOST_AUTO_TEST_CASE(reparsing_after_syntax_errors_is_bounded) {
+    std::string small(s_valid_text);
+    std::string large(s_valid_text);
     for (int i = 0; i < 100; ++i) {
         small += "= 1\n";
         large += "= 1\n" + std::string(10'000, '#') + "\n";
     }
-    BOOST_TEST(faults_of(small).size() == 20U);
-    BOOST_TEST(faults_of(large).size() == 5U);
+    BOOST_TEST(parse_faults(small).size() == 20U);
+    BOOST_TEST(parse_faults(large).size() == 5U);
 }
 
 // Guards against refusing an unrelated change while the verdict's move still stands in the text.
 BOOST_AUTO_TEST_CASE(old_move_of_the_previous_mesh_may_be_past_its_deadline) {
-    const std::string text =
-        std::string(s_base) + "[service.alpha.move]\nto = \"2\"\ndeadline = 2027-01-16T00:00:00Z\n";
-    const mesh previous = parsed(text);
+    const std::string text = std::string(s_valid_text) +
+                             "[service.alpha.move]\nto = \"2\"\ndeadline = 2027-01-16T00:00:00Z\n";
+    const mesh previous = parse_valid(text);
     const wall_time later = s_now + std::chrono::hours(48);
     std::vector<text_fault> faults;
     BOOST_TEST(!parse_mesh(text, later, nullptr, faults).has_value());
     BOOST_TEST(parse_mesh(text, later, &previous, faults).has_value());
     BOOST_TEST(parse_mesh(text, wall_time{}, nullptr, faults).has_value());
-    const std::string changed = replaced(text, "\"2\"", "\"3\"");
+    const std::string changed = replace_first(text, "\"2\"", "\"3\"");
     BOOST_TEST(!parse_mesh(changed, later, &previous, faults).has_value());
 }
 
 // Guards against defaults and units that differ from the reference.
 BOOST_AUTO_TEST_CASE(values_and_defaults_are_read) {
-    const mesh read = parsed(replaced(
-        s_base, "[[route]]",
+    const mesh config = parse_valid(replace_first(
+        s_valid_text, "[[route]]",
         "[service.alpha.move]\nto = \"2\"\ndeadline = 2027-02-01T02:00:00.5+02:00\n[[route]]\n"
         "timeout = \"2s\"\nidempotent = true\nurgency = \"urgent\""));
-    const service_spec& alpha = read.m_services.at("alpha");
+    const service_spec& alpha = config.m_services.at("alpha");
     BOOST_TEST(alpha.m_slots == 12U);
     BOOST_TEST(alpha.m_depends_on.at(0) == "beta");
     BOOST_TEST(unix_ms(alpha.m_move.value().m_deadline) == 1'801'440'000'500);
-    const route_spec& route = read.m_routes.at(0);
+    const route_spec& route = config.m_routes.at(0);
     BOOST_TEST(route.m_timeout.count() == 2000);
     BOOST_TEST(route.m_idempotent);
     BOOST_TEST(urgency_name(route.m_urgency) == "urgent");
@@ -270,11 +272,11 @@
 
 // Guards against a call sent to the service of a shorter or of an only seemingly equal prefix.
 BOOST_AUTO_TEST_CASE(longest_prefix_at_a_segment_boundary_matches) {
-    const mesh read =
-        parsed(std::string(s_base) + "[[route]]\npath = \"/alpha/deep/er\"\nservice = \"beta\"\n"
-                                     "[[route]]\npath = \"/beta1\"\nservice = \"beta\"\n");
+    const mesh config = parse_valid(std::string(s_valid_text) +
+                                    "[[route]]\npath = \"/alpha/deep/er\"\nservice = \"beta\"\n"
+                                    "[[route]]\npath = \"/beta1\"\nservice = \"beta\"\n");
     const auto match = [&](std::string_view path) {
-        const route_spec* route = match_route(read, path);
+        const route_spec* route = match_route(config, path);
         return route == nullptr ? std::string("none") : route->m_path;
     };
     BOOST_TEST(match("/alpha") == "/alpha");
@@ -289,7 +291,7 @@
     BOOST_TEST(match("") == "none");
     BOOST_TEST(match("alpha") == "none");
     const mesh with_root =
-        parsed(std::string(s_base) + "[[route]]\npath = \"/\"\nservice = \"beta\"\n");
+        parse_valid(std::string(s_valid_text) + "[[route]]\npath = \"/\"\nservice = \"beta\"\n");
     BOOST_TEST(match_route(with_root, "/other")->m_path == "/");
     BOOST_TEST(match_route(with_root, "/alpha/x")->m_path == "/alpha");
 }
@@ -305,27 +307,27 @@
 
 // Guards against examples that the program refuses.
 BOOST_AUTO_TEST_CASE(examples_are_valid) {
-    const mesh nilegrid = parsed(file_text("examples/nilegrid.toml"));
+    const mesh nilegrid = parse_valid(read_file("examples/nilegrid.toml"));
     BOOST_TEST(nilegrid.m_data_centres.size() == 4U);
     BOOST_TEST(!match_route(nilegrid, "/pour/bookings/17")->m_idempotent);
-    const mesh tallapoosa = parsed(file_text("examples/tallapoosa.toml"));
+    const mesh tallapoosa = parse_valid(read_file("examples/tallapoosa.toml"));
     BOOST_TEST(tallapoosa.m_data_centres.size() == 3U);
     BOOST_TEST(!match_route(tallapoosa, "/rake/cycles")->m_idempotent);
     std::vector<text_fault> faults;
-    const auto settings = parse_settings(file_text("examples/node.toml"), faults);
+    const auto settings = parse_settings(read_file("examples/node.toml"), faults);
     BOOST_REQUIRE(settings.has_value());
     BOOST_TEST(settings->m_announce_bulk.m_port == settings->m_peer_bulk.m_port);
 }
 
 // Guards against a text that crashes the program or is accepted in part, and against messages that
 // break a log line or a record. CARAWAY_SEED replays a failing run.
-BOOST_AUTO_TEST_CASE(mutated_texts_give_a_mesh_or_faults) {
+BOOST_AUTO_TEST_CASE(mutated_texts_yield_a_mesh_or_faults) {
     const std::uint64_t seed = given_seed().value_or(std::random_device{}());
     BOOST_TEST_MESSAGE("CARAWAY_SEED=" << seed);
     random_source random(seed);
-    const std::string texts[] = {file_text("examples/nilegrid.toml"),
-                                 file_text("examples/tallapoosa.toml"),
-                                 file_text("examples/node.toml")};
+    const std::string texts[] = {read_file("examples/nilegrid.toml"),
+                                 read_file("examples/tallapoosa.toml"),
+                                 read_file("examples/node.toml")};
     for (int i = 0; i < 3'000; ++i) {
         std::string text = texts[random.below(3)];
         for (std::uint64_t change = random.below(4); change < 4; ++change) {
@@ -335,18 +337,20 @@
         const bool is_mesh = parse_mesh(text, s_now, nullptr, mesh_faults).has_value();
         std::vector<text_fault> settings_faults;
         const bool is_settings = parse_settings(text, settings_faults).has_value();
-        bool sound = is_mesh == mesh_faults.empty() && is_settings == settings_faults.empty();
+        bool is_consistent =
+            is_mesh == mesh_faults.empty() && is_settings == settings_faults.empty();
         for (const auto* faults : {&mesh_faults, &settings_faults}) {
             for (const text_fault& fault : *faults) {
-                boost::json::error_code broken;
+                boost::json::error_code json_error;
                 boost::json::parse(
                     boost::json::serialize(boost::json::string(format_fault("text", fault))),
-                    broken);
-                sound = sound && !broken && !fault.m_found.empty() && !fault.m_expected.empty() &&
-                        format_fault("text", fault).find('\n') == std::string::npos;
+                    json_error);
+                is_consistent = is_consistent && !json_error && !fault.m_found.empty() &&
+                                !fault.m_expected.empty() &&
+                                format_fault("text", fault).find('\n') == std::string::npos;
             }
         }
-        if (!sound) {
+        if (!is_consistent) {
             BOOST_ERROR("seed " << seed << ", text " << i << ":\n" << text);
             return;
         }
@@ -354,11 +358,11 @@
 }
 
 // Guards against settings that are silently out of bounds, incomplete or misspelt.
-BOOST_AUTO_TEST_CASE(faults_of_settings_are_found) {
-    const std::string base = file_text("examples/node.toml");
+BOOST_AUTO_TEST_CASE(faults_of_settings_are_reported) {
+    const std::string base = read_file("examples/node.toml");
     struct settings_case {
-        std::string_view m_from;
-        std::string_view m_to;
+        std::string_view m_original;
+        std::string_view m_replacement;
         std::string_view m_found;
         std::string_view m_expected;
     };
@@ -380,20 +384,20 @@
         {"record_lines = 0", "record_lines = 1000001", "the integer 1000001", "from 0 to 1000000"},
         {"drain_timeout = \"30s\"", "drain_timeout = 30", "the integer 30", "unit"},
     };
-    for (const settings_case& wrong : cases) {
-        const std::string text = replaced(base, wrong.m_from, wrong.m_to);
-        const auto place = static_cast<std::uint32_t>(
+    for (const settings_case& tested : cases) {
+        const std::string text = replace_first(base, tested.m_original, tested.m_replacement);
+        const auto expected_line = static_cast<std::uint32_t>(
             1 + std::count(base.begin(),
-                           base.begin() + static_cast<std::ptrdiff_t>(base.find(wrong.m_from)),
+                           base.begin() + static_cast<std::ptrdiff_t>(base.find(tested.m_original)),
                            '\n'));
         std::vector<text_fault> faults;
-        BOOST_TEST_CONTEXT(wrong.m_to) {
+        BOOST_TEST_CONTEXT(tested.m_replacement) {
             BOOST_TEST(!parse_settings(text, faults).has_value());
             BOOST_REQUIRE(faults.size() == 1U);
-            BOOST_TEST(contains(faults[0].m_found, wrong.m_found));
-            BOOST_TEST(contains(faults[0].m_expected, wrong.m_expected));
-            if (!wrong.m_to.empty()) {
-                BOOST_TEST(faults[0].m_line == place);
+            BOOST_TEST(contains(faults[0].m_found, tested.m_found));
+            BOOST_TEST(contains(faults[0].m_expected, tested.m_expected));
+            if (!tested.m_replacement.empty()) {
+                BOOST_TEST(faults[0].m_line == expected_line);
             }
         }
     }
@@ -404,21 +408,21 @@
 
 // Guards against example defaults that differ from the program's.
 BOOST_AUTO_TEST_CASE(settings_have_the_documented_defaults) {
-    const std::string shown = file_text("examples/node.toml");
-    std::string least = shown.substr(0, shown.find("[peers]"));
+    const std::string full_text = read_file("examples/node.toml");
+    std::string minimal_text = full_text.substr(0, full_text.find("[peers]"));
     for (const std::string_view line :
          {"health_interval = \"10s\"\n", "timeout = \"2s\"\n", "lease_period = \"5s\"\n"}) {
-        least = replaced(least, line, "");
+        minimal_text = replace_first(minimal_text, line, "");
     }
     std::vector<text_fault> faults;
-    const auto explicit_values = parse_settings(shown, faults);
-    const auto defaults = parse_settings(least, faults);
+    const auto explicit_values = parse_settings(full_text, faults);
+    const auto defaults = parse_settings(minimal_text, faults);
     BOOST_REQUIRE(explicit_values.has_value());
     BOOST_REQUIRE(defaults.has_value());
     BOOST_TEST((*explicit_values == *defaults));
-    const std::string announced =
-        replaced(shown, "[backend_server]", "announce_udp = \"[::1]:99\"\n[backend_server]");
-    const auto behind_proxy = parse_settings(announced, faults);
+    const std::string text_with_announced_address = replace_first(
+        full_text, "[backend_server]", "announce_udp = \"[::1]:99\"\n[backend_server]");
+    const auto behind_proxy = parse_settings(text_with_announced_address, faults);
     BOOST_REQUIRE(behind_proxy.has_value());
     BOOST_TEST(format_endpoint(behind_proxy->m_announce_udp) == "[::1]:99");
     BOOST_TEST(format_endpoint(behind_proxy->m_announce_traffic) == "127.0.0.1:7000");
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -70,13 +70,13 @@
     BOOST_TEST((split->m_urgency == urgency::background));
     BOOST_TEST(!match_route(*read, "other.example", "/a/x"));
     BOOST_TEST(!match_route(*read, "h.example", "/ab/x"));
-    BOOST_TEST(read->m_services.at("s1").m_warmup_per_second == 14.0);
+    BOOST_TEST(read->m_services.at("s1").m_warmup_calls_per_second == 14.0);
     const auto& move = read->m_services.at("s1").m_move;
     BOOST_REQUIRE(move);
     BOOST_TEST(move->m_to == "v2");
-    BOOST_TEST(move->m_order == 9U);
+    BOOST_TEST(move->m_order_revision == 9U);
     BOOST_TEST((move->m_duration == milliseconds(12'000)));
-    BOOST_TEST(read->m_data_centres.at("z2").m_out);
+    BOOST_TEST(read->m_data_centres.at("z2").m_out_of_service);
     BOOST_TEST(!read->m_lists_data_centres);
 }
 
