--- a/src/carawayctl/main.cpp
+++ b/src/carawayctl/main.cpp
@@ -1,4 +1,4 @@
-// carawayctl: the operators' and the auditor's program. Reads the command line and starts a
+// carawayctl: command-line tool for operators and auditors. Parses the command line and runs a
 // command of src/ctl.
 #include <array>
 #include <charconv>
@@ -30,16 +30,17 @@
     "COMMAND [ARGUMENT...]\n\n"
     "Commands:\n"
     "  check FILE             validate a text offline (--previous)\n"
-    "  diff FILE              what would change from the accepted text (--store)\n"
-    "  diff OLD NEW           what would change from one file to another\n"
+    "  diff FILE              show the changes from the accepted text (--store)\n"
+    "  diff OLD NEW           show the changes from one file to another\n"
     "  fetch FILE             write the current text and FILE.revision (--store)\n"
     "  apply FILE             submit a text (--store, --from, --by, --wait, --timeout)\n"
-    "  status                 accepted version, refusal, moves, verdict, leases (--store)\n"
-    "  verdicts               final verdicts (--store, --follow, --service, --timeout)\n"
+    "  status                 show accepted version, refusal, moves, verdict, leases (--store)\n"
+    "  verdicts               show final verdicts (--store, --follow, --service, --timeout)\n"
     "  audit LOG...           check the guarantees against log files\n\n"
     "Exit codes: 0 done, 1 refused, 2 usage, 3 store unreachable, 4 negative verdict\n\n"
     "Options:";
 
+// Identifiers of the options; they start at 1 because popt does not return an option with value 0.
 enum option : std::uint8_t {
     option_store = 1,
     option_json,
@@ -65,7 +66,7 @@
     std::optional<milliseconds> m_timeout;
 };
 
-// Which options a command takes, and how many arguments.
+// The number of arguments and the options that a command accepts.
 struct command_rule {
     std::string_view m_name;
     std::size_t m_min_arguments = 0;
@@ -86,12 +87,13 @@
     return rules;
 }
 
+// Prints a usage error and returns its exit code.
 int report_usage_error(std::string_view text) {
     fmt::print(stderr, "carawayctl: {}; see carawayctl --help\n", text);
     return exit_usage;
 }
 
-// Reads a whole number and unit ms, s or m.
+// Parses a positive integer with the unit ms, s or m.
 std::optional<milliseconds> parse_timeout(std::string_view text) {
     std::uint32_t count = 0;
     const auto [number_end, failure] =
@@ -110,6 +112,7 @@
     return unit == "m" ? std::optional<milliseconds>(std::chrono::minutes(count)) : std::nullopt;
 }
 
+// Parses a revision; the whole text must be a decimal number.
 std::optional<std::uint64_t> parse_revision(std::string_view text) {
     std::uint64_t value = 0;
     const auto [number_end, failure] =
@@ -118,7 +121,8 @@
     return complete ? std::optional(value) : std::nullopt;
 }
 
-// Takes one option with its argument; returns what is wrong with it, empty if nothing.
+// Stores an option and its argument in the command line. Returns an error message, which is empty
+// on success.
 std::string apply_option(command_line& line, int option_id, const std::string& argument) {
     line.m_given_options.insert(option_id);
     switch (option_id) {
@@ -139,7 +143,7 @@
     case option_timeout:
         line.m_timeout = parse_timeout(argument);
         if (!line.m_timeout) {
-            return fmt::format("--timeout {}: expected a duration as 90s", argument);
+            return fmt::format("--timeout {}: expected a duration such as 90s", argument);
         }
         break;
     case option_by:
@@ -157,10 +161,11 @@
     return {};
 }
 
+// Runs a command whose arguments and options were checked; returns the exit code.
 int run(const command_line& line) {
     const console out{[](std::string_view text) {
                           fmt::print("{}\n", text);
-                          // A follower of the output sees each line at once.
+                          // Flushes each line, so that a reader of a pipe receives it immediately.
                           std::fflush(stdout);
                       },
                       [](std::string_view text) { fmt::print(stderr, "{}\n", text); },
@@ -206,7 +211,7 @@
     return apply_text(out, store, options, now);
 }
 
-// Checks the command, its arguments and its options before anything is done.
+// Validates the command, its arguments and its options, then runs it. Returns the exit code.
 int check_and_run(command_line& line) {
     if (line.m_given_options.contains(option_version)) {
         fmt::print("carawayctl {}, text format {}\n", program_version, mesh_format);
@@ -223,11 +228,11 @@
         if (argument_count < rule.m_min_arguments || argument_count > rule.m_max_arguments) {
             return report_usage_error(fmt::format("wrong number of arguments for {}", rule.m_name));
         }
-        // Scripts name the store before they choose the command.
+        // Every command accepts --store, since scripts set it before they choose the command.
         for (const int option_id : line.m_given_options) {
             if (option_id != option_store && !rule.m_options.contains(option_id)) {
                 return report_usage_error(
-                    fmt::format("an option that {} doesn't take", rule.m_name));
+                    fmt::format("an option that {} does not accept", rule.m_name));
             }
         }
         if (line.m_by.empty()) {
@@ -245,21 +250,22 @@
     const poptOption options[] = {
         {"store", 0, POPT_ARG_STRING, nullptr, option_store, "address of the store; repeatable",
          "IP:PORT"},
-        {"json", 0, POPT_ARG_NONE, nullptr, option_json, "print JSON objects, one a line", nullptr},
+        {"json", 0, POPT_ARG_NONE, nullptr, option_json, "print JSON objects, one per line",
+         nullptr},
         {"from", 0, POPT_ARG_STRING, nullptr, option_from,
          "revision that FILE was edited from (default: FILE.revision)", "REVISION"},
         {"by", 0, POPT_ARG_STRING, nullptr, option_by,
-         "who applies, for the text's last line (default: $USER)", "NAME"},
+         "name to record in the text's last line (default: $USER)", "NAME"},
         {"wait", 0, POPT_ARG_NONE, nullptr, option_wait,
-         "follow until accepted or refused, and in force", nullptr},
+         "wait until the text is refused, or accepted and in force", nullptr},
         {"timeout", 0, POPT_ARG_STRING, nullptr, option_timeout,
-         "limit of --wait (default 60s) and --follow (default none)", "DURATION"},
+         "time limit of --wait (default 60s) and --follow (default none)", "DURATION"},
         {"previous", 0, POPT_ARG_STRING, nullptr, option_previous,
          "text in force, whose moves may be past their deadlines", "FILE"},
         {"follow", 0, POPT_ARG_NONE, nullptr, option_follow,
-         "go on with new verdicts and the progress of moves", nullptr},
+         "continue with new verdicts and the progress of moves", nullptr},
         {"service", 0, POPT_ARG_STRING, nullptr, option_service,
-         "only this service's moves; --follow ends with its verdict", "NAME"},
+         "show only this service's moves; --follow ends with its verdict", "NAME"},
         {"version", 0, POPT_ARG_NONE, nullptr, option_version, "print the version", nullptr},
         POPT_AUTOHELP POPT_TABLEEND};
     poptContext context =
--- a/src/carawayd/main.cpp
+++ b/src/carawayd/main.cpp
@@ -1,4 +1,4 @@
-// carawayd: the process beside each backend server instance.
+// carawayd: the node process beside each backend server instance.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -24,6 +24,7 @@
 
 constexpr const char* version_text = "carawayd 0.1.0\n";
 
+// The parsed command line.
 struct arguments {
     bool m_check_only = false;
     bool m_print_version = false;
@@ -31,6 +32,7 @@
     std::string m_settings_file;
 };
 
+// Parses the command line. On failure, prints the reason or the usage and returns nothing.
 std::optional<arguments> parse_arguments(int argc, char** argv) {
     int check = 0;
     int version = 0;
@@ -40,7 +42,7 @@
         poptOption{"version", 'V', POPT_ARG_NONE, &version, 0, "print the version and exit",
                    nullptr},
         poptOption{"platform", 'p', POPT_ARG_NONE, &platform, 0,
-                   "speak with the platform instead of the product's own surroundings", nullptr},
+                   "use the platform's interfaces instead of the built-in ones", nullptr},
         poptOption POPT_AUTOHELP poptOption POPT_TABLEEND};
     const std::unique_ptr<poptContext_s, decltype(&poptFreeContext)> context(
         poptGetContext(nullptr, argc, const_cast<const char**>(argv), options.data(), 0),
@@ -61,10 +63,11 @@
     return result;
 }
 
+// Loads and validates the settings file. On failure, prints every fault and returns nothing.
 std::optional<node_settings> load_settings(const arguments& parsed) {
     std::ifstream in(parsed.m_settings_file, std::ios::binary);
     if (!in) {
-        fmt::print(stderr, "{}: can't be read\n", parsed.m_settings_file);
+        fmt::print(stderr, "{}: cannot be read\n", parsed.m_settings_file);
         return std::nullopt;
     }
     const std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
@@ -79,7 +82,8 @@
     return settings;
 }
 
-// Waits for SIGHUP again and again; settings that can't be read leave those in force.
+// Reloads the settings on each SIGHUP. If the new ones are invalid, the current settings stay in
+// force.
 void reload_on_hangup(boost::asio::signal_set& hangups, node& running, const arguments& parsed) {
     hangups.async_wait([&hangups, &running, &parsed](const boost::system::error_code& ec, int) {
         if (ec) {
@@ -94,6 +98,7 @@
     });
 }
 
+// Runs a node until SIGTERM or SIGINT has shut it down; returns the exit code.
 int run(const node_settings& settings, const arguments& parsed) {
     const system_clock_source clock;
     boost::asio::io_context context(1);
--- a/src/config/adapter.hpp
+++ b/src/config/adapter.hpp
@@ -1,6 +1,6 @@
-// What the surroundings of a deployment speak where that differs from the product's own interface.
-// A node gets one at start; the default is the product's own. Everything behind it is in the
-// product's types, so that no other code knows another spelling.
+// Translates between a deployment's external interfaces and the internal types. A node receives one
+// adapter at start; the default implements the built-in formats. Code outside the adapter uses the
+// internal types only and never depends on a deployment's names or formats.
 #pragma once
 
 #include <functional>
@@ -17,12 +17,13 @@
 
 namespace caraway {
 
-// How backend servers report to the node beside them over HTTP. The paths are prefixes, followed by
-// the server's identity.
+// HTTP interface through which a backend server reports to the node beside it. Each path is a
+// prefix that is followed by the server's identity.
 struct server_report_interface {
     std::string m_report_path;
     std::string m_leave_path;
-    // Reads a heartbeat or a leave; on failure the reason says what is wrong with it.
+    // Decode the body of a heartbeat or a leave notice. On failure they return nothing and set
+    // reason.
     std::function<std::optional<server_report>(std::string_view server, std::string_view body,
                                                error& reason)>
         m_decode_report;
@@ -31,17 +32,20 @@
         m_decode_leave;
 };
 
+// The formats, paths and store keys of one deployment.
 struct adapter {
     store_codec m_store_codec = own_store_codec();
     std::string m_readiness_path = "/readyz";
-    // Keys below which operators keep their configuration and orders. Empty: the product's own
-    // text, which an accepter judges; else the store accepts only what is valid, and nodes read it
-    // without one.
+    // Prefix of the store keys of the operators' configuration and move orders. If empty, operators
+    // submit one text, which an accepter validates. Otherwise the store rejects invalid items
+    // itself, and nodes read them without an accepter.
     std::string m_operator_key_prefix;
-    // Reads the items below the prefix as one mesh, whole or not at all.
+    // Builds a mesh from all items below the prefix. If any item is invalid, returns nothing and
+    // sets reason.
     std::function<std::optional<mesh>(std::span<const store_entry> items, error& reason)>
         m_parse_items;
-    // Where moves are recorded, with the service's name behind it, and in which form.
+    // Prefix of the store keys of move records, followed by the service's name, and the codec of
+    // the records.
     std::string m_move_key_prefix = "caraway/state/move/";
     std::function<std::string(const move_record&)> m_encode_move;
     std::function<std::optional<move_record>(std::string_view value, std::uint64_t revision)>
@@ -49,7 +53,7 @@
     server_report_interface m_report_interface;
 };
 
-// The product's own interface.
+// Returns the adapter for the built-in formats.
 adapter default_adapter();
 
 } // namespace caraway
--- a/src/config/mesh.cpp
+++ b/src/config/mesh.cpp
@@ -22,8 +22,8 @@
 using text_check::quote;
 using text_check::table_reader;
 
-// Bounds of the operators' text. The counts are several times the target scale (8 data centres,
-// 2,600 services), so that they stop only mistakes.
+// Limits of the operators' text. The counts are several times the target scale of 8 data centres
+// and 2,600 services, so that only a mistake exceeds them.
 constexpr std::size_t max_data_centres = 64;
 constexpr std::size_t max_services = 10'000;
 constexpr std::size_t max_routes = 20'000;
@@ -34,8 +34,9 @@
 constexpr std::uint32_t max_queue = 100'000;
 constexpr milliseconds max_timeout{300'000};
 
-// Unknown names for which a nearest one is searched. The search compares with every service and
-// would take seconds for a text in which a thousand are wrong.
+// Maximum number of unknown names for which the nearest known name is suggested. The search
+// compares a name with every service and would take seconds for a text with a thousand unknown
+// names.
 constexpr std::size_t max_name_hints = 20;
 
 constexpr std::array<std::string_view, 5> root_keys{"format", "name", "data_centre", "service",
@@ -52,8 +53,8 @@
     "a path that begins with / and has no empty, . or .. "
     "segment, no trailing / and only visible ASCII without ? #";
 
-// A path as routes hold it. Only one spelling of a path is allowed, so that duplicates are found
-// by comparing strings.
+// Returns true for a valid path of a route. Only the normalised spelling of a path is valid, so
+// that a string comparison finds duplicates.
 bool is_route_path(std::string_view path) {
     if (path.empty() || path[0] != '/' || path.size() > max_path_bytes) {
         return false;
@@ -74,6 +75,7 @@
                        [](char c) { return c > ' ' && c < 0x7f && c != '?' && c != '#'; });
 }
 
+// Formats a time as ISO 8601 in UTC, with milliseconds only if they are not zero.
 std::string format_time(wall_time at) {
     const auto whole_seconds = std::chrono::floor<std::chrono::seconds>(at);
     const auto fraction_ms = std::chrono::duration_cast<milliseconds>(at - whole_seconds).count();
@@ -81,14 +83,14 @@
                        fraction_ms == 0 ? "" : fmt::format(".{:03}", fraction_ms));
 }
 
-// A dependency as it stands in the text.
+// A dependency on a service and its position in the text.
 struct dependency {
     std::string m_name;
     position m_position;
 };
 using dependency_map = std::map<std::string, std::vector<dependency>, std::less<>>;
 
-// What the checks of one text share.
+// State that the checks of one text share.
 struct check_context {
     fault_sink m_faults;
     bool m_complete = true;
@@ -96,8 +98,8 @@
     const mesh* m_previous = nullptr;
     mesh m_mesh;
     dependency_map m_dependencies;
-    std::set<std::string, std::less<>>
-        m_declared_services; // services whose table is there, even if faulty
+    // Services that have a table, even one with faults.
+    std::set<std::string, std::less<>> m_declared_services;
     std::size_t m_name_hints = 0;
 };
 
@@ -192,12 +194,15 @@
         check_move(context, reader, spec);
         context.m_mesh.m_services.emplace(name, std::move(spec));
     }
-    // Names that are taken by something else than a valid table were reported already.
+    // Entries that are not tables or have invalid names are missing here; they already have a
+    // fault.
     for (const auto& [name, spec] : context.m_mesh.m_services) {
         context.m_declared_services.insert(name);
     }
 }
 
+// Returns the expected part of a fault about an unknown service, with the nearest declared service
+// while the limit of suggestions allows it.
 std::string expected_service(check_context& context, std::string_view name) {
     if (context.m_name_hints++ < max_name_hints) {
         const std::vector<std::string_view> names(context.m_declared_services.begin(),
@@ -260,8 +265,9 @@
     sort_routes(context.m_mesh.m_routes);
 }
 
-// Reports dependencies on unknown services and one fault for every dependency that closes a cycle.
-// The walk keeps its own stack, since a chain may be as long as the list of services.
+// Adds a fault for each dependency on an unknown service and for each dependency that closes a
+// cycle. The depth-first search uses an explicit stack, since a chain can be as long as the list of
+// services.
 void check_dependencies(check_context& context) {
     enum class visit_state : std::uint8_t { unvisited, in_progress, done };
     struct frame {
@@ -305,7 +311,7 @@
                     std::find_if(stack.begin(), stack.end(),
                                  [&](const frame& entry) { return entry.m_name == edge.m_name; });
                 std::string cycle;
-                // A long cycle is cut, so that the message stays readable.
+                // A long cycle is truncated to keep the message readable.
                 for (std::size_t shown_count = 0; cycle_entry != stack.end() && shown_count < 20;
                      ++cycle_entry, ++shown_count) {
                     cycle += fmt::format("{} -> ", cycle_entry->m_name);
@@ -319,7 +325,8 @@
     }
 }
 
-// Visits the keys of both maps in order, with null for an entry that one of them lacks.
+// Calls visit for each key of either map in ascending order, with pointers to the two values. The
+// pointer is null if the map lacks the key.
 template <typename map_type, typename visitor>
 void visit_merged_keys(const map_type& before, const map_type& after, visitor visit) {
     auto left = before.begin();
@@ -348,7 +355,7 @@
     return limit.count() == 0 ? std::string("none") : format_duration(limit);
 }
 
-// Adds "LABEL: KEY OLD -> NEW" when the values differ.
+// Appends "LABEL: KEY OLD -> NEW" to lines if the values differ.
 template <typename value_type>
 void diff_value(std::string_view label, std::string_view key, const value_type& before,
                 const value_type& after, std::vector<std::string>& lines) {
@@ -421,7 +428,7 @@
     const text_check::document parsed = text_check::parse_document(text, context.m_faults);
     context.m_complete = parsed.m_complete;
 
-    // Keys of a newer format are unknown here, so that further faults would mislead.
+    // A newer format may have keys that are unknown here, so further faults would be misleading.
     fault_sink format_faults;
     const table_reader format_reader(*parsed.m_root, "", root_keys, parsed.m_complete,
                                      format_faults);
@@ -501,6 +508,7 @@
 
 namespace {
 
+// Returns true if the route sorts before the path and host in the order of mesh::m_routes.
 bool precedes(const route_spec& route, std::string_view path, std::string_view host) {
     if (route.m_path.size() != path.size()) {
         return route.m_path.size() > path.size();
@@ -508,6 +516,7 @@
     return route.m_path != path ? route.m_path < path : route.m_host < host;
 }
 
+// Returns the route with exactly this host and path, or null.
 const route_spec* find_route(const mesh& config, std::string_view host, std::string_view path) {
     const auto at = std::lower_bound(config.m_routes.begin(), config.m_routes.end(), path,
                                      [host](const route_spec& route, std::string_view wanted_path) {
@@ -517,7 +526,7 @@
     return found ? &*at : nullptr;
 }
 
-// The route with exactly this prefix, for the host or for any.
+// Returns the route with exactly this prefix for the host, otherwise the one for any host, or null.
 const route_spec* find_exact_prefix(const mesh& config, std::string_view host,
                                     std::string_view path) {
     if (!host.empty()) {
@@ -541,8 +550,8 @@
     if (path.empty() || path[0] != '/' || config.m_routes.empty()) {
         return nullptr;
     }
-    // Prefixes end where the path ends, or before or behind a slash. Those longer than the longest
-    // route are skipped, which bounds the work for a long path.
+    // A prefix ends at the end of the path, before a slash or after one. Prefixes longer than the
+    // longest route are skipped, which bounds the work for a long path.
     std::size_t end = path.size();
     const std::size_t longest = config.m_routes.front().m_path.size();
     while (end > 0) {
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -51,6 +51,7 @@
 constexpr std::array<std::string_view, 3> log_keys{"trace_spans", "record_lines", "flush_interval"};
 constexpr std::array<std::string_view, 1> random_keys{"seed"};
 
+// Reads an endpoint with a port other than 0.
 bool read_endpoint(const table_reader& reader, std::string_view key, presence need,
                    ip_endpoint& result) {
     std::string text;
@@ -66,6 +67,7 @@
     return true;
 }
 
+// Appends the valid endpoints of an array of at most max_count; a required array must not be empty.
 void read_endpoints(const table_reader& reader, std::string_view key, presence need,
                     std::size_t max_count, fault_sink& faults, std::vector<ip_endpoint>& result) {
     std::vector<table_reader::string_element> elements;
@@ -85,14 +87,15 @@
     }
 }
 
-// Opens the sections of one settings text. An absent section reads as an empty one, so that its
-// required keys are reported and its defaults apply.
+// Opens the sections of a settings text. An absent section is read as an empty one, so that its
+// missing required keys are reported and its defaults apply.
 class section_reader {
 public:
     section_reader(const table_reader& root, const toml::table& empty_table, bool complete,
                    fault_sink& faults)
         : m_root(&root), m_empty(&empty_table), m_complete(complete), m_faults(&faults) {}
 
+    // Opens a section and adds a fault for each key that is not in keys.
     table_reader open(std::string_view name, std::span<const std::string_view> keys) const {
         const toml::table* table = m_root->read_table(name, optional);
         return {table != nullptr ? *table : *m_empty, std::string(name), keys, m_complete,
@@ -106,6 +109,7 @@
     fault_sink* m_faults;
 };
 
+// Reads the source address as an endpoint with a dummy port, which shares the address validation.
 void read_source(const table_reader& reader, std::string& result) {
     constexpr std::string_view expected = "an IP address without a port, as \"10.0.0.7\"";
     std::string text;
@@ -143,7 +147,7 @@
                          settings.m_probe_interval);
     reader.read_duration("probe_timeout", optional, milliseconds(10), milliseconds(30'000),
                          settings.m_probe_timeout);
-    // An unanswered probe must be known before the next one is due.
+    // A probe must time out before the next one is due.
     if (settings.m_probe_timeout >= settings.m_probe_interval) {
         reader.add_fault(reader.has("probe_timeout") ? "probe_timeout" : "probe_interval",
                          fmt::format("probe_timeout {} with probe_interval {}",
@@ -164,7 +168,7 @@
                          settings.m_store_timeout);
     reader.read_duration("lease_period", optional, milliseconds(500), milliseconds(60'000),
                          settings.m_lease_period);
-    // A renewal that waits as long as the lease lasts can't save it.
+    // A renewal that takes as long as the lease period would complete only after the lease expired.
     if (settings.m_store_timeout >= settings.m_lease_period) {
         reader.add_fault(reader.has("timeout") ? "timeout" : "lease_period",
                          fmt::format("store.timeout {} with store.lease_period {}",
--- a/src/config/text_check.cpp
+++ b/src/config/text_check.cpp
@@ -12,15 +12,16 @@
 namespace caraway::text_check {
 namespace {
 
-// Longest piece of the text that a message quotes, in bytes.
+// Maximum size of a part of the text quoted in a message.
 constexpr std::size_t max_quoted_bytes = 64;
 
-// Longest half of a message, in bytes. With max_text_faults it keeps the record of a refusal below
-// the megabyte that the store takes, even if each byte is escaped.
+// Maximum size of the found part and of the expected part of a fault. Together with
+// max_text_faults, it keeps the record of a refusal below the store's limit of one megabyte, even
+// if each byte is escaped.
 constexpr std::size_t max_message_bytes = 400;
 
-// Each syntax error costs one more parse of the text, some 50 ms per megabyte. These bounds keep a
-// text full of errors from holding up the accepter's control thread.
+// Each syntax error requires another parse of the text, at about 50 ms per megabyte. These limits
+// prevent a text with many errors from blocking the accepter's control thread.
 constexpr std::size_t max_syntax_errors = 20;
 constexpr std::size_t max_reparsed_bytes = 4U << 20U;
 
@@ -55,7 +56,8 @@
     return "nothing";
 }
 
-// Names a value in a message: its type, and its text where that is short.
+// Describes a value for a message: its type, and for a string, integer or boolean also its value (a
+// long string is truncated).
 std::string describe(const toml::node& node) {
     if (const auto* text = node.as_string()) {
         return fmt::format("the string {}", quote(text->get()));
@@ -69,11 +71,13 @@
     return std::string(type_name(node));
 }
 
+// Returns the dotted name of a key in the table with the label, which is empty for the root.
 std::string join_label(std::string_view label, std::string_view key) {
     return label.empty() ? std::string(key) : fmt::format("{}.{}", label, key);
 }
 
-// Length of the UTF-8 sequence that the text begins with, 0 if it is none.
+// Returns the length of the UTF-8 sequence at the start of the text, or 0 if it is invalid. The
+// text must not be empty.
 std::size_t utf8_length(std::string_view text) {
     const auto lead = static_cast<unsigned char>(text[0]);
     const std::size_t length = lead < 0x80   ? 1
@@ -93,8 +97,9 @@
     return length;
 }
 
-// Turns the library's message into what was found. It begins with the construct being parsed
-// ("Error while parsing key-value pair: ..."), which the position already tells.
+// Converts a syntax error of the library to a fault. Drops the start of the library's message,
+// which names the construct being parsed ("Error while parsing key-value pair: ..."), since the
+// position already shows it.
 text_fault syntax_fault(const toml::parse_error& failure) {
     std::string_view description = failure.description();
     constexpr std::string_view prefix = "Error while parsing ";
@@ -123,6 +128,7 @@
     return {start.m_line, start.m_column, std::string(description), "valid TOML"};
 }
 
+// Returns the offset of a line, counted from 1, or the size of the text if it has fewer lines.
 std::size_t line_begin(std::string_view text, std::uint32_t line) {
     std::size_t begin = 0;
     for (std::uint32_t i = 1; i < line; ++i) {
@@ -135,8 +141,9 @@
     return begin;
 }
 
-// Blanks the faulty line, and after a faulty table header also the lines up to the next header,
-// since they would be read into the wrong table. Returns false when there was nothing to blank.
+// Overwrites the faulty line with spaces. If it is a table header, also overwrites the lines up to
+// the next header, since they would otherwise be read into the wrong table. Returns false if
+// nothing changed.
 bool blank_out_line(std::string& text, std::uint32_t line) {
     if (line == 0) {
         return false;
@@ -345,7 +352,7 @@
     const toml::node* node = m_table->get(key);
     if (node == nullptr && need == presence::required && m_complete) {
         position at = position_of(m_table->source());
-        // The root has no header; its entries may stand anywhere.
+        // The root table has no header, so its fault refers to the start of the text.
         if (at.m_line == 0) {
             at = {1, 1};
         }
@@ -463,7 +470,7 @@
         return false;
     }
     const toml::date_time& date_time = value->get();
-    // Years outside this range would overflow the system clock's nanoseconds.
+    // Years far outside this range would overflow the system clock's 64-bit nanoseconds.
     if (!date_time.offset || date_time.date.year < 2000 || date_time.date.year > 2200) {
         m_faults->add(
             position_of(node->source()),
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the operators' text and of the settings: every kind of fault, and the lookups.
+// Tests of the parsers of the operators' text and of the settings, and of the route lookup.
 #include <algorithm>
 #include <chrono>
 #include <fstream>
@@ -19,7 +19,7 @@
 
 namespace {
 
-// A valid text; a case appends its fault, which then stands from line first_added_line on.
+// A valid text. A case appends lines with a fault, which begin at first_appended_line.
 constexpr std::string_view s_valid_text = R"(format = 1
 name = "small"
 [data_centre.east]
@@ -36,6 +36,7 @@
 )";
 constexpr std::uint32_t first_appended_line = 14;
 
+// Returns the faults of a text and checks that it is accepted only without faults.
 std::vector<text_fault> parse_faults(std::string_view text) {
     std::vector<text_fault> faults;
     const auto config = parse_mesh(text, s_now, nullptr, faults);
@@ -43,6 +44,7 @@
     return faults;
 }
 
+// Parses a text that must be valid.
 mesh parse_valid(std::string_view text) {
     std::vector<text_fault> faults;
     auto result = parse_mesh(text, s_now, nullptr, faults);
@@ -53,6 +55,7 @@
     return *result;
 }
 
+// Returns the text with the first occurrence of from, which must exist, replaced.
 std::string replace_first(std::string_view text, std::string_view from, std::string_view to) {
     std::string result(text);
     const std::size_t at = result.find(from);
@@ -60,7 +63,7 @@
     return result.replace(at, from.size(), to);
 }
 
-// Requires exactly one fault, at the given place, whose two parts contain the given words.
+// Requires exactly one fault, at the given position, whose two parts contain the given texts.
 void require_single_fault(const std::vector<text_fault>& faults, std::uint32_t line,
                           std::uint32_t column, std::string_view found, std::string_view expected) {
     BOOST_TEST(faults.size() == 1U);
@@ -132,7 +135,7 @@
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-// Changes the text in one place: a byte, a piece cut or doubled, or a line moved.
+// Applies one random mutation: replaces a byte, deletes or duplicates a part, or moves a line.
 void mutate_text(std::string& text, random_source& random) {
     if (text.empty()) {
         return;
@@ -169,7 +172,8 @@
 
 BOOST_AUTO_TEST_SUITE(config)
 
-// Guards against a fault that passes unseen, at a wrong place, or with follow-up faults.
+// Guards against a fault that is accepted, reported at the wrong position or followed by spurious
+// faults.
 BOOST_AUTO_TEST_CASE(each_kind_of_fault_is_reported_at_its_position) {
     BOOST_TEST(parse_faults(s_valid_text).empty());
     for (const fault_case& fault : s_fault_cases) {
@@ -181,8 +185,8 @@
     }
 }
 
-// Guards against a mesh without any data centre that takes calls, and against texts that this
-// program can't judge.
+// Guards against accepting a mesh whose data centres are all out of service, or a text that this
+// program cannot validate because of its format or size.
 BOOST_AUTO_TEST_CASE(faults_of_the_text_as_a_whole_are_reported) {
     const std::string one_out = replace_first(s_valid_text, "out = false", "out = true");
     BOOST_TEST(parse_faults(one_out).empty());
@@ -200,7 +204,8 @@
     BOOST_TEST(parse_faults(full).empty());
 }
 
-// Guards against an operator who has to submit a text once for every fault in it.
+// Guards against a parser that stops at the first fault, so that an operator has to submit the text
+// again for each one.
 BOOST_AUTO_TEST_CASE(all_faults_are_reported_in_one_pass_in_order) {
     const std::string text =
         "format = 1\nname = 3\n[data_centre.a]\nout = 1\n[service.a]\nversion = "
@@ -212,12 +217,13 @@
     for (const text_fault& fault : faults) {
         lines.push_back(fault.m_line);
     }
-    // The route's service may be the one whose header is broken, so it is not reported.
+    // The service "c" is not reported as unknown, since the faulty header could have declared it.
     const std::vector<std::uint32_t> expected{2, 4, 7, 8, 9, 12};
     BOOST_TEST(lines == expected, boost::test_tools::per_element());
 }
 
-// Guards against a refusal that is too large for the store.
+// Guards against a refusal record that exceeds the store's value size because a text has many
+// faults.
 BOOST_AUTO_TEST_CASE(reported_faults_are_bounded) {
     std::string text(s_valid_text);
     for (int i = 0; i < 30'000; ++i) {
@@ -228,7 +234,8 @@
     BOOST_TEST(faults.back().m_found.find("more faults") != std::string::npos);
 }
 
-// Guards against a text full of syntax errors that holds up the accepter.
+// Guards against a text with many syntax errors that blocks the accepter, since each error causes
+// another parse.
 BOOST_AUTO_TEST_CASE(reparsing_after_syntax_errors_is_bounded) {
     std::string small(s_valid_text);
     std::string large(s_valid_text);
@@ -240,7 +247,8 @@
     BOOST_TEST(parse_faults(large).size() == 5U);
 }
 
-// Guards against refusing an unrelated change while the verdict's move still stands in the text.
+// Guards against refusing an unrelated change because the text still contains a move that has its
+// verdict and whose deadline has passed.
 BOOST_AUTO_TEST_CASE(old_move_of_the_previous_mesh_may_be_past_its_deadline) {
     const std::string text = std::string(s_valid_text) +
                              "[service.alpha.move]\nto = \"2\"\ndeadline = 2027-01-16T00:00:00Z\n";
@@ -254,7 +262,7 @@
     BOOST_TEST(!parse_mesh(changed, later, &previous, faults).has_value());
 }
 
-// Guards against defaults and units that differ from the reference.
+// Guards against values, units or defaults that are parsed differently from the documentation.
 BOOST_AUTO_TEST_CASE(values_and_defaults_are_read) {
     const mesh config = parse_valid(replace_first(
         s_valid_text, "[[route]]",
@@ -270,7 +278,8 @@
     BOOST_TEST(urgency_name(route.m_urgency) == "urgent");
 }
 
-// Guards against a call sent to the service of a shorter or of an only seemingly equal prefix.
+// Guards against sending a call to the service of a shorter prefix, or of a prefix that ends within
+// a path segment.
 BOOST_AUTO_TEST_CASE(longest_prefix_at_a_segment_boundary_matches) {
     const mesh config = parse_valid(std::string(s_valid_text) +
                                     "[[route]]\npath = \"/alpha/deep/er\"\nservice = \"beta\"\n"
@@ -296,7 +305,7 @@
     BOOST_TEST(match_route(with_root, "/alpha/x")->m_path == "/alpha");
 }
 
-// Guards against a verdict that is taken for another move's.
+// Guards against assigning a verdict to the wrong move because two moves have the same identifier.
 BOOST_AUTO_TEST_CASE(move_id_depends_on_service_target_and_deadline) {
     const move_spec move{"2", s_now};
     BOOST_TEST(move_id("a", move) == move_id("a", {"2", s_now}));
@@ -305,7 +314,7 @@
     BOOST_TEST(move_id("a", move) != move_id("a", {"2", s_now + milliseconds(1)}));
 }
 
-// Guards against examples that the program refuses.
+// Guards against example files that the program rejects.
 BOOST_AUTO_TEST_CASE(examples_are_valid) {
     const mesh nilegrid = parse_valid(read_file("examples/nilegrid.toml"));
     BOOST_TEST(nilegrid.m_data_centres.size() == 4U);
@@ -319,8 +328,8 @@
     BOOST_TEST(settings->m_announce_bulk.m_port == settings->m_peer_bulk.m_port);
 }
 
-// Guards against a text that crashes the program or is accepted in part, and against messages that
-// break a log line or a record. CARAWAY_SEED replays a failing run.
+// Guards against a text that crashes the parser or is accepted in part, and against messages that
+// are not valid in a log line or a JSON record. CARAWAY_SEED replays a failing run.
 BOOST_AUTO_TEST_CASE(mutated_texts_yield_a_mesh_or_faults) {
     const std::uint64_t seed = given_seed().value_or(std::random_device{}());
     BOOST_TEST_MESSAGE("CARAWAY_SEED=" << seed);
@@ -357,7 +366,8 @@
     }
 }
 
-// Guards against settings that are silently out of bounds, incomplete or misspelt.
+// Guards against settings that are accepted although they are out of bounds, incomplete or
+// misspelt.
 BOOST_AUTO_TEST_CASE(faults_of_settings_are_reported) {
     const std::string base = read_file("examples/node.toml");
     struct settings_case {
@@ -406,7 +416,7 @@
     BOOST_TEST(faults.size() == 10U); // each required key
 }
 
-// Guards against example defaults that differ from the program's.
+// Guards against defaults in the example file that differ from those of the program.
 BOOST_AUTO_TEST_CASE(settings_have_the_documented_defaults) {
     const std::string full_text = read_file("examples/node.toml");
     std::string minimal_text = full_text.substr(0, full_text.find("[peers]"));
@@ -428,7 +438,7 @@
     BOOST_TEST(format_endpoint(behind_proxy->m_announce_traffic) == "127.0.0.1:7000");
 }
 
-// Guards against an address that a node can't connect to.
+// Guards against accepting an address that a node cannot connect to.
 BOOST_AUTO_TEST_CASE(endpoints_are_ip_addresses_with_a_port) {
     for (const std::string_view text : {"127.0.0.1:1", "[::1]:65535", "[fe80::2]:80"}) {
         const auto endpoint = parse_endpoint(text);
