--- a/bench/call_cost.cpp
+++ b/bench/call_cost.cpp
@@ -198,8 +198,8 @@
         next->m_config_version = 1;
         next->m_ready = true;
         next->m_mesh = config;
-        next->m_own.m_service = each->m_settings.m_service;
-        next->m_own.m_version = each->m_settings.m_version;
+        next->m_own_server.m_service = each->m_settings.m_service;
+        next->m_own_server.m_version = each->m_settings.m_version;
         service_view& view = next->m_services["pour"];
         view.m_spec = spec;
         view.m_old_version = "v1";
@@ -207,7 +207,7 @@
         backend.m_instance = "beside";
         backend.m_version = "v1";
         backend.m_own_data_centre = true;
-        backend.m_own = each == nodes.back();
+        backend.m_is_own = each == nodes.back();
         backend.m_traffic = nodes.back()->m_settings.m_traffic;
         backend.m_counters = std::make_shared<backend_counters>();
         view.m_backends.push_back(backend);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -252,7 +252,7 @@
     bool open_traffic(error& reason) {
         refresh_snapshot(m_state);
         traffic_hooks hooks;
-        hooks.m_version_heard = [this](const std::string& instance, std::uint64_t version) {
+        hooks.m_newer_version_seen = [this](const std::string& instance, std::uint64_t version) {
             boost::asio::post(m_context, [this, instance, version] {
                 handle_peer_version(m_state, instance, version);
             });
--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -27,7 +27,7 @@
     view.m_version = added.m_version;
     view.m_data_centre = added.m_data_centre;
     view.m_traffic = added.m_traffic;
-    view.m_own = added.m_instance == self.m_instance;
+    view.m_is_own = added.m_instance == self.m_instance;
     view.m_own_data_centre = added.m_data_centre == self.m_data_centre;
     view.m_counters = find_or_add_counters(counters, added.m_instance);
     return view;
@@ -139,7 +139,7 @@
     snapshot->m_ready = input.m_ready && input.m_mesh != nullptr;
     snapshot->m_draining = input.m_draining;
     snapshot->m_mesh = input.m_mesh;
-    snapshot->m_own = input.m_own;
+    snapshot->m_own_server = input.m_own;
     if (!input.m_mesh) {
         snapshot->m_own_refusal = error_kind::node_not_ready;
         return snapshot;
--- a/src/traffic/admission_gate.cpp
+++ b/src/traffic/admission_gate.cpp
@@ -14,7 +14,7 @@
 // Answers that take this many times the best latency are what admission takes for a cold server.
 constexpr int abnormal_wait_factor = 3;
 
-constexpr std::string_view part = "admission";
+constexpr std::string_view recorded_component = "admission";
 
 // Records what an ended, waiting or cancelled call or the passing of time did. A tick that did
 // nothing changed nothing and is left out.
@@ -22,7 +22,7 @@
                     const admission_release& release) {
     const bool did_nothing = release.m_run.empty() && release.m_expired.empty();
     if (is_recording() && !(did_nothing && input == "tick")) {
-        record_input(part, input, now, {}, action_text(state, release));
+        record_input(recorded_component, input, now, {}, action_text(state, release));
     }
 }
 
@@ -50,15 +50,16 @@
     limits.m_cold_calls_per_second = spec.m_warmup_per_second;
     set_admission_limits(m_state, limits);
     if (is_recording()) {
-        record_input(part, "limits", m_clock.now(),
+        record_input(recorded_component, "limits", m_clock.now(),
                      {{"slots", m_state.m_limits.m_slots}, {"queue", m_state.m_limits.m_queue}},
                      action_text(m_state, admission_release{}));
     }
     update_load();
 }
 
-bool admission_gate::enter(call_control& control, const admission_request& request, bool& cold,
-                           duration& room_after, boost::asio::yield_context yield, error& reason) {
+bool admission_gate::acquire_slot(call_control& control, const admission_request& request,
+                                  bool& cold, duration& retry_after,
+                                  boost::asio::yield_context yield, error& reason) {
     auto waiting = std::make_shared<waiting_call>();
     std::uint64_t call = 0;
     {
@@ -67,24 +68,25 @@
         const time_point now = m_clock.now();
         cold = is_cold(m_state, now);
         const time_point deadline = control.deadline();
-        const admission_result offered = admission_offer(
-            m_state, call, request.m_level, deadline, now, request.m_useful_until, request.m_route);
+        const admission_result offered =
+            admission_offer(m_state, call, request.m_urgency, deadline, now, request.m_useful_until,
+                            request.m_route);
         if (is_recording()) {
-            record_input(part, "offer", now,
+            record_input(recorded_component, "offer", now,
                          {{"call", call},
-                          {"urgency", static_cast<std::uint32_t>(request.m_level)},
+                          {"urgency", static_cast<std::uint32_t>(request.m_urgency)},
                           {"deadline_ns", to_ns(deadline.time_since_epoch())}},
                          action_text(m_state, offered));
         }
         if (offered.m_displaced != 0) {
-            decide(offered.m_displaced, verdict::displaced);
+            set_verdict(offered.m_displaced, verdict::displaced);
         }
         update_load();
         if (offered.m_verdict == admission_verdict::run) {
             return true;
         }
         if (offered.m_verdict == admission_verdict::refuse) {
-            room_after = offered.m_retry_after;
+            retry_after = offered.m_retry_after;
             fail(reason, offered.m_reason, "the backend server takes no more calls now");
             return false;
         }
@@ -122,27 +124,27 @@
     m_waiting.erase(call);
     admission_cancel(m_state, call);
     if (is_recording()) {
-        record_input(part, "cancel", m_clock.now(), {{"call", call}},
+        record_input(recorded_component, "cancel", m_clock.now(), {{"call", call}},
                      action_text(m_state, admission_release{}));
     }
     update_load();
-    fail(reason, control.ended_kind(false), "the call ended in the queue");
+    fail(reason, control.end_reason(false), "the call ended in the queue");
     return false;
 }
 
-void admission_gate::leave(const call_sample& sample) {
+void admission_gate::release_slot(const call_sample& sample) {
     const std::lock_guard lock(m_mutex);
     const time_point now = m_clock.now();
     const admission_release release = admission_finish(m_state, sample, now);
     if (is_recording()) {
-        record_input(part, "finish", now,
+        record_input(recorded_component, "finish", now,
                      {{"latency_ns", to_ns(sample.m_latency)},
                       {"failed", sample.m_failed},
                       {"shed", sample.m_shed},
                       {"cancelled", sample.m_cancelled}},
                      action_text(m_state, release));
     }
-    apply(release);
+    apply_release(release);
 }
 
 bool admission_gate::is_abnormal_wait(duration waited) const {
@@ -159,16 +161,16 @@
     const std::lock_guard lock(m_mutex);
     const admission_release release = admission_drain(m_state);
     record_release(m_state, "drain", m_clock.now(), release);
-    apply(release);
+    apply_release(release);
 }
 
-admission_gate::figures admission_gate::current() const {
+admission_gate::load_counts admission_gate::current_load() const {
     const std::lock_guard lock(m_mutex);
     return {m_state.m_running, static_cast<std::uint32_t>(m_state.m_queue.size()),
             static_cast<std::uint32_t>(m_state.m_cold_limit)};
 }
 
-void admission_gate::decide(std::uint64_t call, verdict value) {
+void admission_gate::set_verdict(std::uint64_t call, verdict value) {
     const auto found = m_waiting.find(call);
     if (found == m_waiting.end()) {
         return;
@@ -178,12 +180,12 @@
     m_waiting.erase(found);
 }
 
-void admission_gate::apply(const admission_release& release) {
+void admission_gate::apply_release(const admission_release& release) {
     for (const std::uint64_t call : release.m_run) {
-        decide(call, verdict::run);
+        set_verdict(call, verdict::run);
     }
     for (const std::uint64_t call : release.m_expired) {
-        decide(call, verdict::expired);
+        set_verdict(call, verdict::expired);
     }
     update_load();
 }
@@ -211,7 +213,7 @@
     const time_point now = m_clock.now();
     const admission_release release = admission_tick(m_state, now);
     record_release(m_state, "tick", now, release);
-    apply(release);
+    apply_release(release);
     if (!m_waiting.empty()) {
         start_ticking();
     }
--- a/src/traffic/admission_gate.hpp
+++ b/src/traffic/admission_gate.hpp
@@ -17,7 +17,7 @@
 
 // A call that asks for a slot.
 struct admission_request {
-    urgency m_level = urgency::normal;
+    urgency m_urgency = urgency::normal;
     time_point m_useful_until; // when an answer loses most of its worth; not known if long past
     std::string_view m_route;
 };
@@ -32,11 +32,11 @@
 
     // Waits for a slot. False with the reason when the call is refused or ended while waiting;
     // true when it may run, and then leave() must follow. cold tells whether the cold-start limit
-    // was below the slots, room_after when a refused call might be taken.
-    bool enter(call_control& control, const admission_request& request, bool& cold,
-               duration& room_after, boost::asio::yield_context yield, error& reason);
+    // was below the slots, retry_after when a refused call might be taken.
+    bool acquire_slot(call_control& control, const admission_request& request, bool& cold,
+                      duration& retry_after, boost::asio::yield_context yield, error& reason);
     // A call that entered has ended.
-    void leave(const call_sample& sample);
+    void release_slot(const call_sample& sample);
 
     // True when a call that got no answer in this time waited clearly longer than a warm server
     // needs. A shorter wait, by a caller's own short deadline, says nothing about the server.
@@ -49,12 +49,12 @@
     // What answers tell of the backend server.
     server_quality quality() const;
     // Running and waiting calls and the present limit.
-    struct figures {
+    struct load_counts {
         std::uint32_t m_running = 0;
         std::uint32_t m_waiting = 0;
         std::uint32_t m_limit = 0;
     };
-    figures current() const;
+    load_counts current_load() const;
 
 private:
     enum class verdict : std::uint8_t { pending, run, expired, displaced };
@@ -63,8 +63,8 @@
         verdict m_verdict = verdict::pending;
     };
     // All of these need the mutex.
-    void decide(std::uint64_t call, verdict value);
-    void apply(const admission_release& release);
+    void set_verdict(std::uint64_t call, verdict value);
+    void apply_release(const admission_release& release);
     void update_load();
     void start_ticking();
     void tick();
@@ -89,7 +89,7 @@
     admission_slot& operator=(const admission_slot&) = delete;
     admission_slot(admission_slot&&) = delete;
     admission_slot& operator=(admission_slot&&) = delete;
-    ~admission_slot() { m_gate.leave(m_sample); }
+    ~admission_slot() { m_gate.release_slot(m_sample); }
     // What the gate learns of the call; a cancelled one until set.
     call_sample m_sample;
 
--- a/src/traffic/backend_side.cpp
+++ b/src/traffic/backend_side.cpp
@@ -20,8 +20,8 @@
     std::optional<http_response> m_answer;
     error m_reason;
     bool m_sent = false;
-    bool m_replayed = false; // the answer of an earlier attempt with the same key
-    duration m_room_after{}; // a refusal for want of room: until there may be some
+    bool m_replayed = false;  // the answer of an earlier attempt with the same key
+    duration m_retry_after{}; // a refusal for want of room: until there may be some
 };
 
 // Waits until the own configuration reaches the sender's version, at most the settings' time.
@@ -51,8 +51,9 @@
 }
 
 // Reasons of this node to refuse a call before admission.
-std::optional<error> refusal_of(const traffic_context& context, const call_info& info,
-                                const routing_snapshot& snapshot, std::uint64_t sender_version) {
+std::optional<error> refusal_before_admission(const traffic_context& context, const call_info& info,
+                                              const routing_snapshot& snapshot,
+                                              std::uint64_t sender_version) {
     if (info.m_hop > max_hops) {
         return error{error_kind::hop_limit, "the chain of calls is too deep"};
     }
@@ -69,10 +70,10 @@
         return error{error_kind::config_behind, "the sender has a newer configuration"};
     }
     // An instance may have been replaced by another one at the same address.
-    if (info.m_service != snapshot.m_own.m_service) {
+    if (info.m_service != snapshot.m_own_server.m_service) {
         return error{error_kind::version_not_served, "another service runs here"};
     }
-    if (info.m_version != snapshot.m_own.m_version) {
+    if (info.m_version != snapshot.m_own_server.m_version) {
         return error{error_kind::version_not_served, "another version runs here"};
     }
     if (snapshot.m_own_refusal != error_kind::none) {
@@ -90,7 +91,7 @@
 }
 
 // Writes the line from which the auditor counts runs, directly before the first byte is sent.
-void log_start(const call_info& info, std::string_view version) {
+void log_call_start(const call_info& info, std::string_view version) {
     log_event(log_level::info, "backend_call_started",
               {{"request", info.m_request_number},
                {"key", info.m_key},
@@ -106,7 +107,7 @@
 void rewrite_for_server(const traffic_context& context, const call_info& info,
                         const trace_context& trace, http_request& request) {
     const edge_headers& edge = context.m_settings.m_edge;
-    const own_server_view& own = context.m_snapshot.load()->m_own;
+    const own_server_view& own = context.m_snapshot.load()->m_own_server;
     if (!edge.m_expected_server.empty() && !own.m_server.empty()) {
         set_header(request, edge.m_expected_server, own.m_server);
     }
@@ -121,11 +122,12 @@
 
 // Turns an answer that states that the request did not run into a refusal, and one that the server
 // can't have made into a cut connection.
-void judge_answer(const traffic_context& context, connection& used, server_result& result) {
+void classify_answer(const traffic_context& context, connection& open_connection,
+                     server_result& result) {
     const edge_headers& edge = context.m_settings.m_edge;
     const unsigned status = result.m_answer->result_int();
-    const bool may_refuse = std::find(not_run_statuses.begin(), not_run_statuses.end(), status) !=
-                            not_run_statuses.end();
+    const bool may_mean_not_run = std::find(not_run_statuses.begin(), not_run_statuses.end(),
+                                            status) != not_run_statuses.end();
     if (status == misdirected_status && !edge.m_expected_server.empty()) {
         result.m_answer.reset();
         result.m_sent = false;
@@ -133,14 +135,14 @@
              "another backend server has the address");
         return;
     }
-    if (may_refuse && !header_of(*result.m_answer, edge.m_not_run).empty()) {
+    if (may_mean_not_run && !header_of(*result.m_answer, edge.m_not_run).empty()) {
         result.m_answer.reset();
         result.m_sent = false;
         fail(result.m_reason, error_kind::backend_shed, "the backend server is overloaded");
         return;
     }
     if (!edge.m_server_seal.empty() && header_of(*result.m_answer, edge.m_server_seal).empty()) {
-        used.m_reusable = false;
+        open_connection.m_reusable = false;
         result.m_answer.reset();
         fail(result.m_reason, error_kind::connection_cut, "the answer lacks the server's seal");
     }
@@ -148,25 +150,26 @@
 
 // Sends the request over an open connection and classifies the end.
 server_result call_server(traffic_context& context, call_control& control, const call_info& info,
-                          connection& used, http_request& request, asio::yield_context yield) {
+                          connection& open_connection, http_request& request,
+                          asio::yield_context yield) {
     server_result result;
-    const std::uint64_t left = ms_left(control.deadline(), context.m_clock.now());
-    if (control.is_ended() || left == 0) {
+    const std::uint64_t left_ms = ms_left(control.deadline(), context.m_clock.now());
+    if (control.is_ended() || left_ms == 0) {
         fail(result.m_reason,
-             control.is_ended() ? control.ended_kind(false) : error_kind::deadline_before_send,
+             control.is_ended() ? control.end_reason(false) : error_kind::deadline_before_send,
              "the call ended before it was sent");
         return result;
     }
-    set_number(request, context.m_settings.m_edge.m_deadline_ms, left);
-    log_start(info, info.m_version);
+    set_number(request, context.m_settings.m_edge.m_deadline_ms, left_ms);
+    log_call_start(info, info.m_version);
     result.m_sent = true;
-    const auto belongs = [&context, &info](const http_response& answer) {
+    const auto matches_request = [&context, &info](const http_response& answer) {
         return !is_mismatched(context, answer, info);
     };
-    result.m_answer =
-        exchange(control, used, request, context.limits(), belongs, yield, result.m_reason);
+    result.m_answer = exchange(control, open_connection, request, context.limits(), matches_request,
+                               yield, result.m_reason);
     if (result.m_answer) {
-        judge_answer(context, used, result);
+        classify_answer(context, open_connection, result);
     }
     return result;
 }
@@ -190,8 +193,9 @@
 }
 
 // Tells admission (by its sample) and the evidence how a call ended that a connection was open for.
-void report_end(traffic_context& context, const call_info& info, const routing_snapshot& snapshot,
-                const server_result& result, duration latency, bool cold, call_sample& sample) {
+void record_call_result(traffic_context& context, const call_info& info,
+                        const routing_snapshot& snapshot, const server_result& result,
+                        duration latency, bool cold, call_sample& sample) {
     const error_kind reason = result.m_reason.m_kind;
     const auto service = snapshot.m_services.find(info.m_service);
     const milliseconds limit = service == snapshot.m_services.end()
@@ -213,17 +217,17 @@
 
 // What has changed at the own server since the call arrived, while it waited for a slot: a call is
 // not sent to a server that leaves, nor to another one than it was meant for.
-std::optional<error> late_refusal(const traffic_context& context,
-                                  const routing_snapshot& at_arrival) {
+std::optional<error> refusal_before_send(const traffic_context& context,
+                                         const routing_snapshot& at_arrival) {
     const auto current = context.m_snapshot.load();
     if (current->m_own_refusal != error_kind::none &&
         current->m_own_refusal != error_kind::draining) {
         return error{current->m_own_refusal, "the backend server takes no new work"};
     }
-    if (current->m_own.m_refusal != error_kind::none) {
-        return error{current->m_own.m_refusal, "the backend server leaves or is not there"};
+    if (current->m_own_server.m_refusal != error_kind::none) {
+        return error{current->m_own_server.m_refusal, "the backend server leaves or is not there"};
     }
-    if (current->m_own.m_server != at_arrival.m_own.m_server) {
+    if (current->m_own_server.m_server != at_arrival.m_own_server.m_server) {
         return error{error_kind::version_not_served, "the backend server was replaced"};
     }
     return std::nullopt;
@@ -234,40 +238,40 @@
                            const routing_snapshot& snapshot, bool cold, admission_slot& slot,
                            key_claim* key, http_request& request, asio::yield_context yield) {
     server_result result;
-    auto used = context.m_own_server.open(control, context.m_settings.m_backend_server, yield,
-                                          result.m_reason);
-    if (!used) {
+    auto open_connection = context.m_server_pool.open(control, context.m_settings.m_backend_server,
+                                                      yield, result.m_reason);
+    if (!open_connection) {
         slot.m_sample.m_failed = result.m_reason.m_kind == error_kind::connect_failed;
         if (slot.m_sample.m_failed && context.m_hooks.m_server_unreachable) {
-            context.m_hooks.m_server_unreachable(snapshot.m_own.m_server);
+            context.m_hooks.m_server_unreachable(snapshot.m_own_server.m_server);
         }
         slot.m_sample.m_cancelled = !slot.m_sample.m_failed;
         return result;
     }
     if (key != nullptr) {
         if (!key->claim(yield, result.m_reason)) {
-            context.m_own_server.give_back(std::move(used));
+            context.m_server_pool.give_back(std::move(open_connection));
             return result;
         }
         // The server may have closed the connection meanwhile.
-        if (is_readable_or_closed(used->m_socket)) {
-            used = context.m_own_server.open(control, context.m_settings.m_backend_server, yield,
-                                             result.m_reason);
-            if (!used) {
+        if (is_readable_or_closed(open_connection->m_socket)) {
+            open_connection = context.m_server_pool.open(
+                control, context.m_settings.m_backend_server, yield, result.m_reason);
+            if (!open_connection) {
                 return result;
             }
         }
     }
-    if (auto refused = late_refusal(context, snapshot)) {
-        context.m_own_server.give_back(std::move(used));
+    if (auto refused = refusal_before_send(context, snapshot)) {
+        context.m_server_pool.give_back(std::move(open_connection));
         result.m_reason = std::move(*refused);
         return result;
     }
     const time_point sent_at = context.m_clock.now();
-    result = call_server(context, control, info, *used, request, yield);
+    result = call_server(context, control, info, *open_connection, request, yield);
     const duration latency = context.m_clock.now() - sent_at;
-    context.m_own_server.give_back(std::move(used));
-    report_end(context, info, snapshot, result, latency, cold, slot.m_sample);
+    context.m_server_pool.give_back(std::move(open_connection));
+    record_call_result(context, info, snapshot, result, latency, cold, slot.m_sample);
     return result;
 }
 
@@ -292,10 +296,10 @@
         reply = refuse(context, result.m_reason, result.m_sent);
         if (is_overload_refusal(result.m_reason.m_kind)) {
             set_number(reply.m_message, header::room_after_us,
-                       static_cast<std::uint64_t>(to_us(result.m_room_after)));
+                       static_cast<std::uint64_t>(to_us(result.m_retry_after)));
         }
     }
-    reply.m_version = context.m_snapshot.load()->m_own.m_version;
+    reply.m_version = context.m_snapshot.load()->m_own_server.m_version;
     set_header(reply.m_message, header::backend_version, reply.m_version);
     const server_quality quality = context.m_gate.quality();
     set_number(reply.m_message, header::load, quality.m_load_permille);
@@ -311,8 +315,9 @@
                             asio::yield_context yield) {
     server_result result;
     bool cold = false;
-    const admission_request asked{info.m_urgency, info.m_useful_until, info.m_route};
-    if (!context.m_gate.enter(control, asked, cold, result.m_room_after, yield, result.m_reason)) {
+    const admission_request slot_request{info.m_urgency, info.m_useful_until, info.m_route};
+    if (!context.m_gate.acquire_slot(control, slot_request, cold, result.m_retry_after, yield,
+                                     result.m_reason)) {
         return result;
     }
     admission_slot slot(context.m_gate);
@@ -321,9 +326,9 @@
 
 // Runs a call with an idempotency key, or finds the answer of the attempt that has the key. When
 // that attempt turns out to be withdrawn, the key is claimed once more.
-server_result run_keyed(traffic_context& context, call_control& control, const call_info& info,
-                        const routing_snapshot& snapshot, http_request& request,
-                        asio::yield_context yield) {
+server_result run_with_key(traffic_context& context, call_control& control, const call_info& info,
+                           const routing_snapshot& snapshot, http_request& request,
+                           asio::yield_context yield) {
     server_result result;
     if (info.m_key.size() > max_key_bytes) {
         fail(result.m_reason, error_kind::bad_request, "the idempotency key is too long");
@@ -334,9 +339,9 @@
         result = server_result{};
         if (key.reserve(yield, result.m_reason)) {
             result = admit_and_run(context, control, info, snapshot, &key, request, yield);
-            key.settle(result.m_answer, result.m_sent, yield);
+            key.complete(result.m_answer, result.m_sent, yield);
         }
-        const bool free_again = key.must_ask() && key.ask(yield, result.m_reason);
+        const bool free_again = key.has_claimant() && key.fetch_result(yield, result.m_reason);
         if (auto replay = key.take_replay()) {
             result.m_answer = std::move(replay);
             result.m_replayed = true;
@@ -356,29 +361,29 @@
     server_result result;
     const auto snapshot = wait_for_config(context, control, sender_version, yield);
     if (control.is_ended()) {
-        fail(result.m_reason, control.ended_kind(false), "the call ended before it was sent");
+        fail(result.m_reason, control.end_reason(false), "the call ended before it was sent");
         return result;
     }
-    if (const auto refused = refusal_of(context, info, *snapshot, sender_version)) {
+    if (const auto refused = refusal_before_admission(context, info, *snapshot, sender_version)) {
         result.m_reason = *refused;
         return result;
     }
     const auto service = snapshot->m_services.find(info.m_service);
     if (service != snapshot->m_services.end()) {
         context.m_gate.set_limits(snapshot->m_config_version, service->second.m_spec,
-                                  snapshot->m_own);
+                                  snapshot->m_own_server);
     }
     if (info.m_key.empty() || info.m_idempotent) {
         return admit_and_run(context, control, info, *snapshot, nullptr, request, yield);
     }
-    return run_keyed(context, control, info, *snapshot, request, yield);
+    return run_with_key(context, control, info, *snapshot, request, yield);
 }
 
 } // namespace
 
-call_reply run_backend(traffic_context& context, call_control& control, const call_info& info,
-                       std::uint64_t sender_version, http_request& request,
-                       asio::yield_context yield) {
+call_reply run_backend_call(traffic_context& context, call_control& control, const call_info& info,
+                            std::uint64_t sender_version, http_request& request,
+                            asio::yield_context yield) {
     const time_point start = context.m_clock.now();
     const wall_time wall_start = context.m_clock.wall_now();
     trace_context trace = info.m_trace;
@@ -405,8 +410,8 @@
 
 } // namespace
 
-call_reply handle_backend(traffic_context& context, call_control& control, http_request& request,
-                          asio::yield_context yield) {
+call_reply handle_backend_call(traffic_context& context, call_control& control,
+                               http_request& request, asio::yield_context yield) {
     const time_point now = context.m_clock.now();
     const auto snapshot = context.m_snapshot.load();
     call_info info;
@@ -417,7 +422,7 @@
     info.m_first_sent_ms = number_header(request, header::first_sent);
     info.m_hop = static_cast<std::uint32_t>(
         std::min<std::uint64_t>(number_header(request, header::hop).value_or(1), max_hops + 1));
-    // The sender's span becomes the parent in run_backend.
+    // The sender's span becomes the parent in run_backend_call.
     info.m_trace = continue_trace(header_of(request, header::traceparent), control.random());
     info.m_trace.m_span = info.m_trace.m_parent;
 
@@ -441,11 +446,11 @@
     }
     const milliseconds allowed = time_left(request).value_or(timeout);
     const std::uint64_t sender_version = number_header(request, header::config_version).value_or(0);
-    context.note_version(header_of(request, header::instance), sender_version,
-                         snapshot->m_config_version);
+    context.report_newer_version(header_of(request, header::instance), sender_version,
+                                 snapshot->m_config_version);
     strip_hop_by_hop(request);
     control.begin_call(now + allowed);
-    return run_backend(context, control, info, sender_version, request, yield);
+    return run_backend_call(context, control, info, sender_version, request, yield);
 }
 
 } // namespace caraway
--- a/src/traffic/call_control.cpp
+++ b/src/traffic/call_control.cpp
@@ -28,7 +28,7 @@
         new call_control(asio::make_strand(io), std::move(incoming), clock, seed));
 }
 
-std::shared_ptr<call_control> call_control::create_beside(call_control& first) {
+std::shared_ptr<call_control> call_control::create_sibling(call_control& first) {
     return std::shared_ptr<call_control>(
         new call_control(first.m_strand, tcp::socket(first.m_strand.get_inner_executor()),
                          first.m_clock, first.m_random()));
@@ -40,9 +40,9 @@
       m_timer(m_strand.get_inner_executor()), m_wake_timer(m_strand.get_inner_executor()),
       m_random(seed) {}
 
-void call_control::limit_io(time_point at) {
-    m_limit = at;
-    arm(at);
+void call_control::set_time_limit(time_point at) {
+    m_time_limit = at;
+    arm_timer(at);
 }
 
 void call_control::begin_call(time_point deadline) {
@@ -50,20 +50,20 @@
     m_in_call = true;
     m_deadline_passed = false;
     m_cancelled = m_stopped;
-    limit_io(deadline);
+    set_time_limit(deadline);
     watch_caller();
 }
 
 void call_control::set_deadline(time_point deadline) {
-    limit_io(std::min(m_limit, deadline));
+    set_time_limit(std::min(m_time_limit, deadline));
 }
 
 void call_control::end_call() {
     ++m_call_number;
     m_in_call = false;
     m_deadline_passed = false;
-    m_limit = time_point::max();
-    if (m_watching && m_watches && m_incoming.is_open()) {
+    m_time_limit = time_point::max();
+    if (m_watch_pending && m_watch_enabled && m_incoming.is_open()) {
         error_code ignored;
         m_incoming.cancel(ignored);
     }
@@ -72,11 +72,11 @@
 void call_control::cancel_call() {
     if (m_in_call) {
         m_cancelled = true;
-        abort_waiting();
+        abort_operations();
     }
 }
 
-error_kind call_control::ended_kind(bool sent) const {
+error_kind call_control::end_reason(bool sent) const {
     if (m_cancelled) {
         return sent ? error_kind::cancelled_after_send : error_kind::cancelled_before_send;
     }
@@ -85,11 +85,11 @@
 
 // Timers are armed lazily: a limit later than the armed one is only noted, and the timer is armed
 // again when it fires early. That spares two timer operations on almost every call.
-void call_control::arm(time_point at) {
-    if (m_armed_for <= at) {
+void call_control::arm_timer(time_point at) {
+    if (m_timer_expiry <= at) {
         return;
     }
-    m_armed_for = at;
+    m_timer_expiry = at;
     m_timer.expires_after(at - m_clock.now());
     m_timer.async_wait(
         asio::bind_executor(m_strand, [self = shared_from_this()](error_code failed) {
@@ -100,17 +100,17 @@
 }
 
 void call_control::on_timer() {
-    m_armed_for = time_point::max();
-    if (m_limit == time_point::max()) {
+    m_timer_expiry = time_point::max();
+    if (m_time_limit == time_point::max()) {
         return;
     }
-    if (m_clock.now() < m_limit) {
-        arm(m_limit);
+    if (m_clock.now() < m_time_limit) {
+        arm_timer(m_time_limit);
         return;
     }
     if (m_in_call) {
         m_deadline_passed = true;
-        abort_waiting();
+        abort_operations();
         return;
     }
     error_code ignored;
@@ -120,14 +120,14 @@
 // Watches the caller's connection while its call runs. A closed connection cancels the call. Bytes
 // of a next request end the watch, since what follows them can't be seen without reading them.
 void call_control::watch_caller() {
-    if (m_watching || !m_watches || !m_incoming.is_open()) {
+    if (m_watch_pending || !m_watch_enabled || !m_incoming.is_open()) {
         return;
     }
-    m_watching = true;
+    m_watch_pending = true;
     m_incoming.async_wait(tcp::socket::wait_read,
                           asio::bind_executor(m_strand, [self = shared_from_this(),
                                                          call = m_call_number](error_code failed) {
-                              self->m_watching = false;
+                              self->m_watch_pending = false;
                               if (failed || !self->m_in_call) {
                                   // The watch of an earlier call may end only now; the current call
                                   // needs its own.
@@ -140,8 +140,8 @@
                               const auto size = ::recv(self->m_incoming.native_handle(), &byte,
                                                        sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
                               if (size > 0) {
-                                  if (self->m_on_early_bytes) {
-                                      self->m_on_early_bytes();
+                                  if (self->m_early_bytes_handler) {
+                                      self->m_early_bytes_handler();
                                   }
                                   return;
                               }
@@ -150,12 +150,12 @@
                                   return;
                               }
                               self->m_cancelled = true;
-                              self->abort_waiting();
+                              self->abort_operations();
                           }));
 }
 
-void call_control::abort_waiting() {
-    for (tcp::socket* socket : m_outgoing) {
+void call_control::abort_operations() {
+    for (tcp::socket* socket : m_outgoing_sockets) {
         error_code ignored;
         socket->close(ignored);
     }
@@ -171,10 +171,10 @@
         m_wake_timer.async_wait(yield[ignored]);
     }
     // The deadline's own timer can't run while the caller loops without suspending.
-    m_deadline_passed = m_deadline_passed || (m_in_call && m_clock.now() >= m_limit);
+    m_deadline_passed = m_deadline_passed || (m_in_call && m_clock.now() >= m_time_limit);
 }
 
-void call_control::wait_past_end(time_point until, asio::yield_context yield) {
+void call_control::wait_ignoring_end(time_point until, asio::yield_context yield) {
     const time_point now = m_clock.now();
     if (now >= until) {
         return;
@@ -192,7 +192,7 @@
     asio::post(m_strand, [self = shared_from_this()] {
         self->m_stopped = true;
         self->m_cancelled = true;
-        self->abort_waiting();
+        self->abort_operations();
         self->m_timer.cancel();
         error_code ignored;
         self->m_incoming.close(ignored);
@@ -201,14 +201,14 @@
 
 call_control::outgoing_guard::outgoing_guard(call_control& control, tcp::socket& socket)
     : m_control(control), m_socket(&socket) {
-    m_control.m_outgoing.push_back(m_socket);
+    m_control.m_outgoing_sockets.push_back(m_socket);
 }
 
 call_control::outgoing_guard::~outgoing_guard() {
-    std::erase(m_control.m_outgoing, m_socket);
+    std::erase(m_control.m_outgoing_sockets, m_socket);
 }
 
-void spawn_call(
+void spawn_coroutine(
     call_control& control,
     std::function<void(const std::shared_ptr<call_control>&, asio::yield_context)> action) {
     asio::spawn(
@@ -247,18 +247,18 @@
     }
 }
 
-control_membership::control_membership(control_set& set, std::shared_ptr<call_control> control)
+control_registration::control_registration(control_set& set, std::shared_ptr<call_control> control)
     : m_set(set), m_control(std::move(control)) {
     m_set.add(m_control);
 }
 
-control_membership::~control_membership() {
+control_registration::~control_registration() {
     m_set.remove(m_control);
 }
 
 bool waiting_calls::add(const std::shared_ptr<call_control>& call) {
     const std::lock_guard lock(m_mutex);
-    if (m_calls.size() >= m_limit) {
+    if (m_calls.size() >= m_max_calls) {
         return false;
     }
     m_calls.push_back(call);
--- a/src/traffic/call_control.hpp
+++ b/src/traffic/call_control.hpp
@@ -32,14 +32,14 @@
 
     // The control of another call of the same connection. It runs on the same strand, and does not
     // watch the caller.
-    static std::shared_ptr<call_control> create_beside(call_control& first);
+    static std::shared_ptr<call_control> create_sibling(call_control& first);
     io_strand& strand() { return m_strand; }
     tcp::socket& incoming() { return m_incoming; }
     random_source& random() { return m_random; }
     const clock_source& clock() const { return m_clock; }
 
     // Closes the incoming connection at the given time unless a later limit replaces this one.
-    void limit_io(time_point at);
+    void set_time_limit(time_point at);
     // Begins a call: from now on the deadline ends it, and the caller's closing cancels it.
     void begin_call(time_point deadline);
     // Brings the deadline of the running call forward.
@@ -49,22 +49,24 @@
     // Ends the running call, if any, as the caller's closing does.
     void cancel_call();
     // Called on the strand when bytes of a next request arrive while a call runs.
-    void on_early_bytes(std::function<void()> action) { m_on_early_bytes = std::move(action); }
+    void set_early_bytes_handler(std::function<void()> action) {
+        m_early_bytes_handler = std::move(action);
+    }
     // From now on something else reads the incoming connection and notices when it closes.
-    void watch_elsewhere() { m_watches = false; }
+    void disable_caller_watch() { m_watch_enabled = false; }
 
-    time_point deadline() const { return m_limit; }
+    time_point deadline() const { return m_time_limit; }
     bool is_ended() const { return m_deadline_passed || m_cancelled; }
     bool is_cancelled() const { return m_cancelled; }
     bool is_stopped() const { return m_stopped; }
     // Why the call ended: deadline or cancellation, before or after the first byte was sent.
-    error_kind ended_kind(bool sent) const;
+    error_kind end_reason(bool sent) const;
 
     // Suspends the coroutine until wake(), the end of the call or the given time. May return
     // early; the caller checks its condition again.
     void wait(time_point until, boost::asio::yield_context yield);
     // The same, but also suspends when the call has ended: for work that has to be finished.
-    void wait_past_end(time_point until, boost::asio::yield_context yield);
+    void wait_ignoring_end(time_point until, boost::asio::yield_context yield);
     // Resumes the coroutine in wait(). Safe from any thread.
     void wake();
     // Ends the call and the connection. Safe from any thread.
@@ -88,10 +90,10 @@
 private:
     call_control(io_strand strand, tcp::socket incoming, const clock_source& clock,
                  std::uint64_t seed);
-    void arm(time_point at);
+    void arm_timer(time_point at);
     void on_timer();
     void watch_caller();
-    void abort_waiting();
+    void abort_operations();
 
     const clock_source& m_clock;
     io_strand m_strand;
@@ -99,22 +101,22 @@
     boost::asio::steady_timer m_timer;
     boost::asio::steady_timer m_wake_timer;
     random_source m_random;
-    time_point m_limit = time_point::max();
-    time_point m_armed_for = time_point::max();
+    time_point m_time_limit = time_point::max();
+    time_point m_timer_expiry = time_point::max();
     bool m_in_call = false;
     bool m_deadline_passed = false;
     bool m_cancelled = false;
     bool m_stopped = false;
-    bool m_watching = false;
-    bool m_watches = true;
-    std::function<void()> m_on_early_bytes;
+    bool m_watch_pending = false;
+    bool m_watch_enabled = true;
+    std::function<void()> m_early_bytes_handler;
     std::uint64_t m_call_number = 0;
-    std::vector<tcp::socket*> m_outgoing;
+    std::vector<tcp::socket*> m_outgoing_sockets;
 };
 
 // Runs an action as a coroutine on the control's strand. An exception is logged and ends the
 // connection only.
-void spawn_call(
+void spawn_coroutine(
     call_control& control,
     std::function<void(const std::shared_ptr<call_control>&, boost::asio::yield_context)> action);
 
@@ -132,14 +134,14 @@
 };
 
 // Adds a control to a set for its own lifetime.
-class control_membership {
+class control_registration {
 public:
-    control_membership(control_set& set, std::shared_ptr<call_control> control);
-    control_membership(const control_membership&) = delete;
-    control_membership& operator=(const control_membership&) = delete;
-    control_membership(control_membership&&) = delete;
-    control_membership& operator=(control_membership&&) = delete;
-    ~control_membership();
+    control_registration(control_set& set, std::shared_ptr<call_control> control);
+    control_registration(const control_registration&) = delete;
+    control_registration& operator=(const control_registration&) = delete;
+    control_registration(control_registration&&) = delete;
+    control_registration& operator=(control_registration&&) = delete;
+    ~control_registration();
 
 private:
     control_set& m_set;
@@ -150,14 +152,14 @@
 // when too many wait.
 class waiting_calls {
 public:
-    explicit waiting_calls(std::size_t limit) : m_limit(limit) {}
+    explicit waiting_calls(std::size_t limit) : m_max_calls(limit) {}
     bool add(const std::shared_ptr<call_control>& call);
     void remove(const std::shared_ptr<call_control>& call);
     void wake_all();
 
 private:
     std::mutex m_mutex;
-    std::size_t m_limit;
+    std::size_t m_max_calls;
     std::vector<std::shared_ptr<call_control>> m_calls;
 };
 
--- a/src/traffic/claims_over_http.cpp
+++ b/src/traffic/claims_over_http.cpp
@@ -74,14 +74,14 @@
     return json::serialize(fields);
 }
 
-std::string text_of(const json::object& fields, const char* name) {
+std::string string_field(const json::object& fields, const char* name) {
     const json::value* value = fields.if_contains(name);
     const json::string* text = value == nullptr ? nullptr : value->if_string();
     return text == nullptr ? std::string() : std::string(text->data(), text->size());
 }
 
 template <typename Number>
-std::optional<Number> number_of(const json::object& fields, const char* name) {
+std::optional<Number> number_field(const json::object& fields, const char* name) {
     const json::value* value = fields.if_contains(name);
     json::error_code failed;
     const Number number = value == nullptr ? Number{} : value->to_number<Number>(failed);
@@ -102,13 +102,13 @@
     if (!fields) {
         return std::nullopt;
     }
-    const auto id = number_of<std::uint64_t>(*fields, "claim_id");
-    claim_request request{text_of(*fields, "service"),
-                          text_of(*fields, "key"),
-                          text_of(*fields, "claimant"),
+    const auto id = number_field<std::uint64_t>(*fields, "claim_id");
+    claim_request request{string_field(*fields, "service"),
+                          string_field(*fields, "key"),
+                          string_field(*fields, "claimant"),
                           id.value_or(0),
-                          number_of<std::int64_t>(*fields, "first_sent_ms"),
-                          number_of<std::int64_t>(*fields, "cutoff_ms")};
+                          number_field<std::int64_t>(*fields, "first_sent_ms"),
+                          number_field<std::int64_t>(*fields, "cutoff_ms")};
     if (!id || request.m_service.empty() || request.m_key.empty() || request.m_claimant.empty()) {
         return std::nullopt;
     }
@@ -129,15 +129,15 @@
     if (!fields) {
         return reply;
     }
-    const std::string status = text_of(*fields, "status");
+    const std::string status = string_field(*fields, "status");
     for (const claim_status known :
          {claim_status::granted, claim_status::held, claim_status::full}) {
         if (status == status_name(known)) {
             reply.m_status = known;
         }
     }
-    reply.m_claimant = text_of(*fields, "claimant");
-    reply.m_claim_id = number_of<std::uint64_t>(*fields, "claim_id").value_or(0);
+    reply.m_claimant = string_field(*fields, "claimant");
+    reply.m_claim_id = number_field<std::uint64_t>(*fields, "claim_id").value_or(0);
     const json::value* complete = fields->if_contains("history_complete");
     reply.m_history_complete = complete != nullptr && complete->is_bool() && complete->get_bool();
     return reply;
@@ -169,11 +169,12 @@
 }
 
 // Sends one request to another node and reads its answer, for requests that are no calls.
-std::optional<http_response> ask_node(traffic_context& context, call_control& control,
-                                      const ip_endpoint& peer, std::string_view path,
-                                      std::string body, asio::yield_context yield, error& reason) {
-    auto used = context.m_peers.open(control, peer, yield, reason);
-    if (!used) {
+std::optional<http_response> send_node_request(traffic_context& context, call_control& control,
+                                               const ip_endpoint& peer, std::string_view path,
+                                               std::string body, asio::yield_context yield,
+                                               error& reason) {
+    auto open_connection = context.m_peer_pool.open(control, peer, yield, reason);
+    if (!open_connection) {
         return std::nullopt;
     }
     const std::uint64_t number = control.random()();
@@ -184,14 +185,15 @@
     set_number(request, header::exchange, number);
     set_number(request, header::deadline_ms, ms_left(control.deadline(), context.m_clock.now()));
     request.prepare_payload();
-    auto answer = exchange(control, *used, request, context.limits(), nullptr, yield, reason);
+    auto answer =
+        exchange(control, *open_connection, request, context.limits(), nullptr, yield, reason);
     if (!answer) {
         return std::nullopt;
     }
     if (number_header(*answer, header::exchange) != number) {
         return fail(reason, error_kind::connection_cut, "the answer belongs to another request");
     }
-    context.m_peers.give_back(std::move(used));
+    context.m_peer_pool.give_back(std::move(open_connection));
     return answer;
 }
 
@@ -209,18 +211,18 @@
 
 claim_reply key_tables::grant(const claim_request& request, const routing_snapshot& snapshot) {
     std::optional<wall_time> promoted;
-    bool covered = true;
+    bool partition_safe = true;
     const auto service = snapshot.m_services.find(request.m_service);
     if (service != snapshot.m_services.end()) {
         const service_view& view = service->second;
         if (!view.m_departures.empty()) {
             promoted = promotion_time(request, m_instance, view.m_members, view.m_departures);
         }
-        covered = is_partition_safe(request, m_instance, view.m_members, view.m_losses);
+        partition_safe = is_partition_safe(request, m_instance, view.m_members, view.m_losses);
     }
     const std::lock_guard lock(m_mutex);
     claim_reply reply = grant_claim(m_claims, request, m_clock.now(), m_clock.wall_now(), promoted);
-    reply.m_history_complete = reply.m_history_complete && covered;
+    reply.m_history_complete = reply.m_history_complete && partition_safe;
     return reply;
 }
 
@@ -235,7 +237,7 @@
     return found == nullptr ? std::nullopt : std::optional(*found);
 }
 
-bool key_tables::begin(std::string_view combined_key, std::uint64_t claim_id) {
+bool key_tables::reserve_entry(std::string_view combined_key, std::uint64_t claim_id) {
     const std::lock_guard lock(m_mutex);
     return reserve_result(m_results, combined_key, claim_id, m_clock.now());
 }
@@ -262,7 +264,7 @@
     m_waiting.wake_all();
 }
 
-void key_tables::forget(std::string_view combined_key) {
+void key_tables::release_entry(std::string_view combined_key) {
     {
         const std::lock_guard lock(m_mutex);
         withdraw_result(m_results, combined_key);
@@ -355,7 +357,7 @@
 key_claim::key_claim(traffic_context& context, call_control& control, const call_info& info,
                      const routing_snapshot& snapshot)
     : m_context(context), m_control(control), m_info(info), m_snapshot(snapshot),
-      m_combined(claim_key(info.m_service, info.m_key)) {
+      m_combined_key(claim_key(info.m_service, info.m_key)) {
     m_request.m_service = info.m_service;
     m_request.m_key = info.m_key;
     m_request.m_claimant = context.m_settings.m_instance;
@@ -372,18 +374,18 @@
 
 key_claim::~key_claim() {
     if (m_reserved) {
-        m_context.m_keys.forget(m_combined);
+        m_context.m_keys.release_entry(m_combined_key);
     }
 }
 
 bool key_claim::reserve(asio::yield_context yield, error& reason) {
     m_request.m_claim_id = m_control.random()();
     while (true) {
-        if (m_context.m_keys.begin(m_combined, m_request.m_claim_id)) {
+        if (m_context.m_keys.reserve_entry(m_combined_key, m_request.m_claim_id)) {
             m_reserved = true;
             return true;
         }
-        const auto known = m_context.m_keys.find(m_combined);
+        const auto known = m_context.m_keys.find(m_combined_key);
         if (!known) {
             fail(reason, error_kind::queue_full, "the table of results is full");
             return false;
@@ -400,7 +402,7 @@
             continue; // withdrawn between begin and find
         }
         const auto ended = m_context.m_keys.wait_while_running(
-            m_control, m_combined, known->m_claim_id, m_control.deadline(), yield);
+            m_control, m_combined_key, known->m_claim_id, m_control.deadline(), yield);
         if (ended && ended->m_state == result_state::running) {
             fail(reason, error_kind::key_already_claimed, "the key's request is still running");
             return false;
@@ -410,10 +412,10 @@
 
 std::vector<claim_reply> key_claim::send_to_registrars(bool withdraw, duration limit,
                                                        asio::yield_context yield) {
-    auto shared = std::make_shared<registrar_round>();
-    shared->m_parent = m_control.shared_from_this();
-    shared->m_replies.resize(m_registrars.m_names.size());
-    shared->m_pending = m_registrars.m_names.size();
+    auto round = std::make_shared<registrar_round>();
+    round->m_parent = m_control.shared_from_this();
+    round->m_replies.resize(m_registrars.m_names.size());
+    round->m_pending = m_registrars.m_names.size();
     const std::string_view path = withdraw ? withdraw_path : claim_path;
     for (std::size_t i = 0; i < m_registrars.m_names.size(); ++i) {
         if (m_registrars.m_names[i] == m_context.m_settings.m_instance) {
@@ -423,40 +425,40 @@
             } else {
                 reply = m_context.m_keys.grant(m_request, *m_context.m_snapshot.load());
             }
-            shared->finish(i, reply);
+            round->finish(i, reply);
             continue;
         }
         const auto address = m_snapshot.m_member_traffic.find(m_registrars.m_names[i]);
         if (address == m_snapshot.m_member_traffic.end()) {
             claim_reply reply;
             reply.m_status = claim_status::dead;
-            shared->finish(i, reply);
+            round->finish(i, reply);
             continue;
         }
         auto control = call_control::create(m_context.m_io, tcp::socket(m_context.m_io),
                                             m_context.m_clock, m_control.random()());
-        spawn_call(*control, [&context = m_context, shared, i, peer = address->second, path,
-                              body = encode_request(m_request)](
-                                 const std::shared_ptr<call_control>& self,
-                                 asio::yield_context inner) {
-            const control_membership membership(context.m_background, self);
+        spawn_coroutine(*control, [&context = m_context, round, i, peer = address->second, path,
+                                   body = encode_request(m_request)](
+                                      const std::shared_ptr<call_control>& self,
+                                      asio::yield_context inner) {
+            const control_registration registration(context.m_background, self);
             self->begin_call(context.m_clock.now() + claim_timeout);
             error failed;
-            const auto answer = ask_node(context, *self, peer, path, body, inner, failed);
+            const auto answer = send_node_request(context, *self, peer, path, body, inner, failed);
             self->stop();
-            shared->finish(i, answer && answer->result_int() == 200 ? decode_reply(answer->body())
-                                                                    : claim_reply{});
+            round->finish(i, answer && answer->result_int() == 200 ? decode_reply(answer->body())
+                                                                   : claim_reply{});
         });
     }
     const time_point until = m_context.m_clock.now() + limit;
     while (true) {
         {
-            const std::lock_guard lock(shared->m_mutex);
-            if (shared->m_pending == 0 || m_context.m_clock.now() >= until) {
-                return shared->m_replies;
+            const std::lock_guard lock(round->m_mutex);
+            if (round->m_pending == 0 || m_context.m_clock.now() >= until) {
+                return round->m_replies;
             }
         }
-        m_control.wait_past_end(until, yield);
+        m_control.wait_ignoring_end(until, yield);
     }
 }
 
@@ -479,17 +481,17 @@
 // attempt finds the registrars free.
 void key_claim::withdraw(asio::yield_context yield) {
     send_to_registrars(true, m_control.is_ended() ? duration{} : withdraw_wait, yield);
-    m_context.m_keys.forget(m_combined);
+    m_context.m_keys.release_entry(m_combined_key);
     m_reserved = false;
 }
 
-bool key_claim::ask(asio::yield_context yield, error& reason) {
+bool key_claim::fetch_result(asio::yield_context yield, error& reason) {
     const std::string claimant = std::exchange(m_claimant, std::string());
     fail(reason, error_kind::key_already_claimed, "the key was sent before");
     std::string state;
     if (claimant == m_context.m_settings.m_instance) {
-        const auto found = m_context.m_keys.wait_while_running(m_control, m_combined, m_claimant_id,
-                                                               m_control.deadline(), yield);
+        const auto found = m_context.m_keys.wait_while_running(
+            m_control, m_combined_key, m_claimant_id, m_control.deadline(), yield);
         state = found ? state_name(found->m_state) : "absent";
         if (found && found->m_state == result_state::stored) {
             m_replay = make_replay(found->m_status, found->m_content_type, found->m_body);
@@ -504,8 +506,8 @@
     request.m_claimant = claimant;
     request.m_claim_id = m_claimant_id;
     error failed;
-    auto answer = ask_node(m_context, m_control, address->second, result_path,
-                           encode_request(request), yield, failed);
+    auto answer = send_node_request(m_context, m_control, address->second, result_path,
+                                    encode_request(request), yield, failed);
     if (!answer || answer->result_int() != 200) {
         return false;
     }
@@ -521,16 +523,16 @@
     return state == state_name(result_state::withdrawn);
 }
 
-void key_claim::settle(const std::optional<http_response>& answer, bool sent,
-                       asio::yield_context yield) {
+void key_claim::complete(const std::optional<http_response>& answer, bool sent,
+                         asio::yield_context yield) {
     if (!m_reserved) {
         return;
     }
     if (answer) {
-        m_context.m_keys.store(m_combined, *answer);
+        m_context.m_keys.store(m_combined_key, *answer);
         m_reserved = false;
     } else if (sent) {
-        m_context.m_keys.store_unknown(m_combined);
+        m_context.m_keys.store_unknown(m_combined_key);
         m_reserved = false;
     } else {
         withdraw(yield);
--- a/src/traffic/claims_over_http.hpp
+++ b/src/traffic/claims_over_http.hpp
@@ -32,11 +32,11 @@
     // What is known here of a key's attempt: nothing if there is none, else a copy of it.
     std::optional<stored_result> find(std::string_view combined_key);
     // Reserves the key for an attempt; see reserve_result.
-    bool begin(std::string_view combined_key, std::uint64_t claim_id);
+    bool reserve_entry(std::string_view combined_key, std::uint64_t claim_id);
     void store(std::string_view combined_key, const http_response& answer);
     // The request was sent and its outcome is unknown: senders of the key get no answer.
     void store_unknown(std::string_view combined_key);
-    void forget(std::string_view combined_key);
+    void release_entry(std::string_view combined_key);
     // Drops expired entries.
     void expire();
 
@@ -81,11 +81,11 @@
     bool claim(boost::asio::yield_context yield, error& reason);
     // Asks the node that has the key for the answer. Returns whether the key turned out to be free
     // again, so that the steps can begin anew.
-    bool ask(boost::asio::yield_context yield, error& reason);
-    bool must_ask() const { return !m_claimant.empty(); }
+    bool fetch_result(boost::asio::yield_context yield, error& reason);
+    bool has_claimant() const { return !m_claimant.empty(); }
     // Keeps the answer of a call that ran, or withdraws the claim of one that did not.
-    void settle(const std::optional<http_response>& answer, bool sent,
-                boost::asio::yield_context yield);
+    void complete(const std::optional<http_response>& answer, bool sent,
+                  boost::asio::yield_context yield);
     // The answer of an earlier attempt, taken out.
     std::optional<http_response> take_replay() { return std::move(m_replay); }
 
@@ -99,7 +99,7 @@
     call_control& m_control;
     const call_info& m_info;
     const routing_snapshot& m_snapshot;
-    std::string m_combined;
+    std::string m_combined_key;
     claim_request m_request;
     registrar_sets m_registrars;
     bool m_reserved = false;
--- a/src/traffic/connection_pool.cpp
+++ b/src/traffic/connection_pool.cpp
@@ -111,7 +111,7 @@
 std::unique_ptr<connection> connection_pool::open(call_control& control, const ip_endpoint& peer,
                                                   asio::yield_context yield, error& reason) {
     if (control.is_ended()) {
-        fail(reason, control.ended_kind(false), "the call ended before it was sent");
+        fail(reason, control.end_reason(false), "the call ended before it was sent");
         return nullptr;
     }
     if (auto idle = take_idle(peer)) {
@@ -131,7 +131,7 @@
         }
     }
     if (control.is_ended()) {
-        fail(reason, control.ended_kind(false), "the call ended while connecting");
+        fail(reason, control.end_reason(false), "the call ended while connecting");
         return nullptr;
     }
     if (failed || !made->m_socket.is_open()) {
@@ -225,7 +225,7 @@
     http::serializer<true, http::string_body> serializer(request);
     http::async_write(used.m_socket, serializer, yield[write_failed]);
     if (control.is_ended()) {
-        return fail(reason, control.ended_kind(true), "the call ended while it was sent");
+        return fail(reason, control.end_reason(true), "the call ended while it was sent");
     }
     // A refusal may arrive although the peer didn't read the whole request, so the answer is read
     // even after a failed write.
@@ -239,7 +239,7 @@
         error_code read_failed;
         http::async_read(used.m_socket, used.m_buffer, parser, yield[read_failed]);
         if (control.is_ended()) {
-            return fail(reason, control.ended_kind(true), "the call ended before its answer");
+            return fail(reason, control.end_reason(true), "the call ended before its answer");
         }
         if (read_failed) {
             return fail(reason, kind_of_read_failure(read_failed, parser.got_some()),
--- a/src/traffic/entry_side.cpp
+++ b/src/traffic/entry_side.cpp
@@ -50,14 +50,15 @@
 circuit_breaker load_breaker(const backend_counters& counters) {
     circuit_breaker breaker;
     breaker.m_failures = counters.m_failures.load(std::memory_order_relaxed);
-    breaker.m_open_until = from_us(counters.m_open_until_us.load(std::memory_order_relaxed));
+    breaker.m_open_until =
+        from_us(counters.m_circuit_open_until_us.load(std::memory_order_relaxed));
     return breaker;
 }
 
 void store_breaker(backend_counters& counters, const circuit_breaker& breaker) {
     counters.m_failures.store(breaker.m_failures, std::memory_order_relaxed);
-    counters.m_open_until_us.store(to_us(breaker.m_open_until.time_since_epoch()),
-                                   std::memory_order_relaxed);
+    counters.m_circuit_open_until_us.store(to_us(breaker.m_open_until.time_since_epoch()),
+                                           std::memory_order_relaxed);
 }
 
 // Tells the breaker how an attempt ended. A node that refuses answers, so it is reachable; one
@@ -126,13 +127,14 @@
                                 ? is_old_version(call.m_service->m_spec, backend.m_version)
                                 : backend.m_version == version;
         entry.m_usable =
-            wanted && !(backend.m_own && call.m_snapshot->m_own_refusal != error_kind::none);
+            wanted && !(backend.m_is_own && call.m_snapshot->m_own_refusal != error_kind::none);
         entry.m_outstanding = counters.m_outstanding.load(std::memory_order_relaxed);
         entry.m_load_permille = counters.m_load_permille.load(std::memory_order_relaxed);
         entry.m_failure_permille = counters.m_failure_permille.load(std::memory_order_relaxed);
         entry.m_latency =
             std::chrono::microseconds(counters.m_latency_us.load(std::memory_order_relaxed));
-        entry.m_load_age = now - from_us(counters.m_load_at_us.load(std::memory_order_relaxed));
+        entry.m_load_age =
+            now - from_us(counters.m_load_reported_us.load(std::memory_order_relaxed));
         entry.m_breaker_open = breaker_is_open(load_breaker(counters), now);
         entry.m_refusing = is_refusing(load_refusals(counters), call.m_info.m_urgency, now);
         entry.m_tried = call.m_tried[i];
@@ -198,8 +200,8 @@
         backend.m_counters->m_load_permille.store(
             static_cast<std::uint32_t>(std::min<std::uint64_t>(*load, 1'000'000)),
             std::memory_order_relaxed);
-        backend.m_counters->m_load_at_us.store(to_us(now.time_since_epoch()),
-                                               std::memory_order_relaxed);
+        backend.m_counters->m_load_reported_us.store(to_us(now.time_since_epoch()),
+                                                     std::memory_order_relaxed);
     }
     if (const auto failures = number_header(answer, header::failures)) {
         backend.m_counters->m_failure_permille.store(
@@ -211,9 +213,9 @@
             static_cast<std::int64_t>(std::min<std::uint64_t>(*latency, max_latency_us)),
             std::memory_order_relaxed);
     }
-    context.note_version(header_of(answer, header::instance),
-                         number_header(answer, header::config_version).value_or(0),
-                         call.m_snapshot->m_config_version);
+    context.report_newer_version(header_of(answer, header::instance),
+                                 number_header(answer, header::config_version).value_or(0),
+                                 call.m_snapshot->m_config_version);
 }
 
 // Sends the call to the node beside the chosen backend server and reads its answer.
@@ -227,7 +229,7 @@
         reply.m_version = backend.m_version;
         return reply;
     };
-    auto used = context.m_peers.open(control, backend.m_traffic, yield, reason);
+    auto used = context.m_peer_pool.open(control, backend.m_traffic, yield, reason);
     if (!used) {
         return failed(false);
     }
@@ -236,7 +238,7 @@
     const std::uint64_t allowed = left > 2 * margin ? left - margin : left / 2;
     if (allowed == 0) {
         fail(reason, error_kind::deadline_before_send, "too little time is left to send the call");
-        context.m_peers.give_back(std::move(used));
+        context.m_peer_pool.give_back(std::move(used));
         return failed(false);
     }
     const std::uint64_t number = control.random()();
@@ -267,7 +269,7 @@
     if (!answer) {
         return failed(true);
     }
-    context.m_peers.give_back(std::move(used));
+    context.m_peer_pool.give_back(std::move(used));
     moved.add(byte_purpose::call, scope, message_bytes(*answer));
     call_reply reply;
     reply.m_reason = stated_reason(*answer);
@@ -309,14 +311,14 @@
                         asio::yield_context yield) {
     const outstanding_guard guard(backend.m_counters);
     call.m_info.m_version = backend.m_version;
-    call_reply reply = backend.m_own
-                           ? run_backend(context, control, call.m_info,
-                                         call.m_snapshot->m_config_version, request, yield)
+    call_reply reply = backend.m_is_own
+                           ? run_backend_call(context, control, call.m_info,
+                                              call.m_snapshot->m_config_version, request, yield)
                            : forward(context, control, call, backend, request, yield);
-    if (backend.m_own) {
+    if (backend.m_is_own) {
         note_answer(context, call, backend, reply.m_message, context.m_clock.now());
     }
-    update_breaker(*backend.m_counters, reply.m_reason, backend.m_own, context.m_clock.now());
+    update_breaker(*backend.m_counters, reply.m_reason, backend.m_is_own, context.m_clock.now());
     update_refusals(*backend.m_counters, call.m_info, reply, context.m_clock.now());
     reply.m_message.erase(std::string(header::room_after_us));
     return reply;
@@ -347,14 +349,14 @@
     failed.m_max_retries = call.m_route->m_attempts - 1;
     failed.m_deadline = control.deadline();
     const std::lock_guard lock(context.m_entry_mutex);
-    return may_retry(failed, context.m_entries[call.m_info.m_service].m_budget,
+    return may_retry(failed, context.m_entry_states[call.m_info.m_service].m_budget,
                      context.m_clock.now());
 }
 
 // Counts the first attempt of a call and chooses its version: true for the new one.
 bool begin_attempts(traffic_context& context, const service_view& service, random_source& random) {
     const std::lock_guard lock(context.m_entry_mutex);
-    const auto [entry, added] = context.m_entries.try_emplace(service.m_spec.m_name);
+    const auto [entry, added] = context.m_entry_states.try_emplace(service.m_spec.m_name);
     if (added) {
         entry->second.m_budget = make_retry_budget(context.m_settings.m_retry_budget_percent,
                                                    context.m_settings.m_retry_burst);
@@ -515,7 +517,7 @@
     strip_hop_by_hop(request);
     if (!context.m_settings.m_edge.m_caller_service.empty()) {
         set_header(request, context.m_settings.m_edge.m_caller_service,
-                   call.m_snapshot->m_own.m_service);
+                   call.m_snapshot->m_own_server.m_service);
     }
     return run_attempts(context, control, call, request, yield);
 }
--- a/src/traffic/served_connection.cpp
+++ b/src/traffic/served_connection.cpp
@@ -132,7 +132,7 @@
 
 bool write_answer(traffic_context& context, call_control& control, http_response& answer,
                   asio::yield_context yield) {
-    control.limit_io(context.m_clock.now() + write_timeout);
+    control.set_time_limit(context.m_clock.now() + write_timeout);
     error_code failed;
     http::serializer<false, http::string_body> serializer(answer);
     http::async_write(control.incoming(), serializer, yield[failed]);
@@ -141,7 +141,7 @@
 
 // Ends the sending direction and drops what still arrives, until the other side closes.
 void linger(traffic_context& context, call_control& control, asio::yield_context yield) {
-    control.limit_io(context.m_clock.now() + linger_time);
+    control.set_time_limit(context.m_clock.now() + linger_time);
     error_code failed;
     control.incoming().shutdown(tcp::socket::shutdown_send, failed);
     std::array<char, 4'096> dropped{};
@@ -237,7 +237,7 @@
         reply.m_message = handle_node_request(context, control, request, yield);
         return reply;
     }
-    return is_for_nodes(request) ? handle_backend(context, control, request, yield)
+    return is_for_nodes(request) ? handle_backend_call(context, control, request, yield)
                                  : handle_entry(context, control, request, yield);
 }
 
@@ -249,12 +249,13 @@
 
 // Runs a call beside the one whose turn it is. Its answer waits for its turn.
 void begin_early(const connection_ptr& connection, const std::shared_ptr<received_request>& early) {
-    early->m_early = call_control::create_beside(*connection->m_control);
-    spawn_call(*early->m_early, [connection, early](const auto& self, asio::yield_context yield) {
-        const end_marker marker(early->m_early_ended, *connection->m_control);
-        early->m_early_reply = dispatch(*connection, *self, early->m_request, yield);
-        self->end_call();
-    });
+    early->m_early = call_control::create_sibling(*connection->m_control);
+    spawn_coroutine(
+        *early->m_early, [connection, early](const auto& self, asio::yield_context yield) {
+            const end_marker marker(early->m_early_ended, *connection->m_control);
+            early->m_early_reply = dispatch(*connection, *self, early->m_request, yield);
+            self->end_call();
+        });
 }
 
 // Begins the requests that wait, up to the first one that has to wait for its turn.
@@ -324,9 +325,9 @@
     if (connection->m_reader) {
         return;
     }
-    connection->m_control->watch_elsewhere();
-    connection->m_reader = call_control::create_beside(*connection->m_control);
-    spawn_call(*connection->m_reader, [connection](const auto&, asio::yield_context yield) {
+    connection->m_control->disable_caller_watch();
+    connection->m_reader = call_control::create_sibling(*connection->m_control);
+    spawn_coroutine(*connection->m_reader, [connection](const auto&, asio::yield_context yield) {
         const end_marker marker(connection->m_reader_ended, *connection->m_control);
         read_requests(connection, yield);
     });
@@ -347,12 +348,12 @@
     call_control& control = *connection->m_control;
     const clock_source& clock = connection->m_context.m_clock;
     request_parser parser;
-    control.limit_io(clock.now() + idle_timeout);
+    control.set_time_limit(clock.now() + idle_timeout);
     error_code failed = await_request(*connection, yield);
     if (failed) {
         return nullptr;
     }
-    control.limit_io(clock.now() + read_timeout);
+    control.set_time_limit(clock.now() + read_timeout);
     failed = read_request(*connection, parser, yield);
     if (failed) {
         auto refusal = refuse_unread(failed, parser);
@@ -379,7 +380,7 @@
         if (connection->m_request_begun && !begun_at) {
             begun_at = connection->m_context.m_clock.now();
         }
-        control.limit_io(begun_at ? *begun_at + read_timeout : idle_since + idle_timeout);
+        control.set_time_limit(begun_at ? *begun_at + read_timeout : idle_since + idle_timeout);
         control.wait(time_point::max(), yield);
     }
     const bool caller_left = connection->m_reader_ended && !connection->m_refusal;
@@ -411,7 +412,7 @@
         begin_waiting(connection);
         return cancelled ? std::nullopt : std::make_optional(std::move(reply));
     }
-    control.limit_io(time_point::max());
+    control.set_time_limit(time_point::max());
     while (!request.m_early_ended && !control.is_stopped()) {
         control.wait(time_point::max(), yield);
     }
@@ -458,11 +459,11 @@
 void serve_connection(traffic_context& context, const std::shared_ptr<call_control>& control,
                       bool callers_only, asio::yield_context yield) {
     const auto connection = std::make_shared<served_connection>(context, control, callers_only);
-    control->on_early_bytes([connection] { start_reader(connection); });
+    control->set_early_bytes_handler([connection] { start_reader(connection); });
     while (!control->is_stopped() && serve_next(connection, yield)) {
     }
     cancel_calls(*connection);
-    control->on_early_bytes(nullptr);
+    control->set_early_bytes_handler(nullptr);
     control->stop();
     if (connection->m_reader) {
         connection->m_reader->stop();
--- a/src/traffic/snapshot.hpp
+++ b/src/traffic/snapshot.hpp
@@ -24,9 +24,9 @@
     std::atomic<std::uint32_t> m_load_permille{0};
     std::atomic<std::uint32_t> m_failure_permille{0};
     std::atomic<std::int64_t> m_latency_us{0};
-    std::atomic<std::int64_t> m_load_at_us{0}; // steady clock, microseconds
-    std::atomic<std::uint32_t> m_failures{0};  // consecutive failures to reach it
-    std::atomic<std::int64_t> m_open_until_us{0};
+    std::atomic<std::int64_t> m_load_reported_us{0}; // steady clock, microseconds
+    std::atomic<std::uint32_t> m_failures{0};        // consecutive failures to reach it
+    std::atomic<std::int64_t> m_circuit_open_until_us{0};
     // Until when it is taken to refuse calls, by urgency; steady clock, microseconds.
     std::array<std::atomic<std::int64_t>, urgency_levels> m_refuses_until_us{};
 };
@@ -37,7 +37,7 @@
     std::string m_version;
     std::string m_data_centre;
     ip_endpoint m_traffic; // of the node beside it
-    bool m_own = false;    // beside this node
+    bool m_is_own = false; // beside this node
     bool m_own_data_centre = false;
     std::shared_ptr<backend_counters> m_counters;
 };
@@ -79,7 +79,7 @@
     // Reason why the own backend server takes no new work, none if it does:
     // version_suspended, version_not_served, data_centre_out, draining.
     error_kind m_own_refusal = error_kind::none;
-    own_server_view m_own;
+    own_server_view m_own_server;
     // Traffic address of every live member, for claims and results; dead ones are absent.
     std::map<std::string, ip_endpoint, std::less<>> m_member_traffic;
 };
--- a/src/traffic/traffic.cpp
+++ b/src/traffic/traffic.cpp
@@ -20,11 +20,11 @@
 // Connections above the limit that are told so at a time; more are closed without an answer.
 constexpr std::size_t max_refusing_connections = 64;
 // Old idle connections are closed, the load is published and probes are due at this interval.
-constexpr milliseconds upkeep_interval{1'000};
+constexpr milliseconds maintenance_interval{1'000};
 // A health endpoint that takes longer is logged as one that missed its deadline.
 constexpr milliseconds health_probe_timeout{1'000};
 // Time for connections to end on destruction before their coroutines are dropped.
-constexpr milliseconds stop_time{2'000};
+constexpr milliseconds stop_timeout{2'000};
 
 } // namespace
 
@@ -34,8 +34,8 @@
          node_metrics& metrics, traffic_hooks hooks)
         : m_io(static_cast<int>(std::max(1U, settings.m_threads))),
           m_context(settings, clock, snapshot, metrics, std::move(hooks), m_io),
-          m_accept_strand(asio::make_strand(m_io)), m_upkeep_strand(asio::make_strand(m_io)),
-          m_acceptor(m_io), m_caller_acceptor(m_io), m_upkeep_timer(m_io),
+          m_accept_strand(asio::make_strand(m_io)), m_maintenance_strand(asio::make_strand(m_io)),
+          m_acceptor(m_io), m_caller_acceptor(m_io), m_maintenance_timer(m_io),
           m_seed(settings.m_seed != 0 ? settings.m_seed : std::random_device{}()) {}
     impl(const impl&) = delete;
     impl& operator=(const impl&) = delete;
@@ -58,17 +58,17 @@
     void accept_connections(tcp::acceptor& acceptor, bool callers_only, asio::yield_context yield);
     std::uint64_t next_seed();
     void refuse_connection(tcp::socket socket);
-    void start_upkeep();
+    void schedule_maintenance();
     bool health_probe_is_due() const;
     void probe_health();
 
     asio::io_context m_io;
     traffic_context m_context;
     io_strand m_accept_strand;
-    io_strand m_upkeep_strand;
+    io_strand m_maintenance_strand;
     tcp::acceptor m_acceptor;        // of nodes, and of callers unless they have their own
     tcp::acceptor m_caller_acceptor; // of callers only
-    asio::steady_timer m_upkeep_timer;
+    asio::steady_timer m_maintenance_timer;
     std::uint64_t m_seed;
     std::atomic<std::uint64_t> m_connection_number{0};
     std::atomic<bool> m_stopping{false};
@@ -93,7 +93,7 @@
             },
             asio::detached);
     }
-    start_upkeep();
+    schedule_maintenance();
     const std::size_t threads = std::max(1U, m_context.m_settings.m_threads);
     m_running_threads = threads;
     for (std::size_t i = 0; i < threads; ++i) {
@@ -114,16 +114,16 @@
         m_acceptor.close(ignored);
         m_caller_acceptor.close(ignored);
     });
-    asio::post(m_upkeep_strand, [this] { m_upkeep_timer.cancel(); });
+    asio::post(m_maintenance_strand, [this] { m_maintenance_timer.cancel(); });
     asio::post(m_io, [this] {
-        m_context.m_peers.close_all();
-        m_context.m_own_server.close_all();
+        m_context.m_peer_pool.close_all();
+        m_context.m_server_pool.close_all();
         m_context.m_connections.stop_all();
         m_context.m_background.stop_all();
     });
     {
         std::unique_lock lock(m_threads_mutex);
-        m_thread_ended.wait_for(lock, stop_time, [this] { return m_running_threads == 0; });
+        m_thread_ended.wait_for(lock, stop_timeout, [this] { return m_running_threads == 0; });
     }
     m_io.stop();
     for (std::thread& thread : m_threads) {
@@ -154,10 +154,11 @@
         auto control =
             call_control::create(m_io, std::move(socket), m_context.m_clock, next_seed());
         m_context.m_connections.add(control);
-        spawn_call(*control, [this, callers_only](const auto& self, asio::yield_context inner) {
-            const control_membership membership(m_context.m_connections, self);
-            serve_connection(m_context, self, callers_only, inner);
-        });
+        spawn_coroutine(*control,
+                        [this, callers_only](const auto& self, asio::yield_context inner) {
+                            const control_registration registration(m_context.m_connections, self);
+                            serve_connection(m_context, self, callers_only, inner);
+                        });
     }
 }
 
@@ -171,31 +172,32 @@
         return;
     }
     auto control = call_control::create(m_io, std::move(socket), m_context.m_clock, next_seed());
-    spawn_call(*control, [this](const auto& self, asio::yield_context yield) {
+    spawn_coroutine(*control, [this](const auto& self, asio::yield_context yield) {
         const progress_guard counted(m_refusing);
-        const control_membership membership(m_context.m_background, self);
+        const control_registration registration(m_context.m_background, self);
         answer_surplus_connection(m_context, *self, yield);
         self->stop();
     });
 }
 
 // Does the periodic work of the traffic side.
-void traffic_server::impl::start_upkeep() {
-    m_upkeep_timer.expires_after(upkeep_interval);
-    m_upkeep_timer.async_wait(asio::bind_executor(m_upkeep_strand, [this](error_code failed) {
-        if (failed || m_stopping) {
-            return;
-        }
-        m_context.m_peers.close_old();
-        m_context.m_own_server.close_old();
-        m_context.m_keys.expire();
-        const auto load = m_context.m_gate.current();
-        m_context.m_metrics.set_load(load.m_running, load.m_waiting, load.m_limit);
-        if (health_probe_is_due()) {
-            probe_health();
-        }
-        start_upkeep();
-    }));
+void traffic_server::impl::schedule_maintenance() {
+    m_maintenance_timer.expires_after(maintenance_interval);
+    m_maintenance_timer.async_wait(
+        asio::bind_executor(m_maintenance_strand, [this](error_code failed) {
+            if (failed || m_stopping) {
+                return;
+            }
+            m_context.m_peer_pool.close_old();
+            m_context.m_server_pool.close_old();
+            m_context.m_keys.expire();
+            const auto load = m_context.m_gate.current_load();
+            m_context.m_metrics.set_load(load.m_running, load.m_waiting, load.m_limit);
+            if (health_probe_is_due()) {
+                probe_health();
+            }
+            schedule_maintenance();
+        }));
 }
 
 // True when neither a call nor a probe has told about the backend server for the interval.
@@ -212,18 +214,19 @@
 void traffic_server::impl::probe_health() {
     m_last_probe = m_context.m_clock.now();
     auto control = call_control::create(m_io, tcp::socket(m_io), m_context.m_clock, next_seed());
-    spawn_call(*control, [this](const auto& self, asio::yield_context yield) {
-        const control_membership membership(m_context.m_background, self);
+    spawn_coroutine(*control, [this](const auto& self, asio::yield_context yield) {
+        const control_registration registration(m_context.m_background, self);
         self->begin_call(m_context.m_clock.now() + health_probe_timeout);
         error reason;
         http_request request(http::verb::get, "/healthz", 11);
         request.set(http::field::host, "backend-server");
-        auto used = m_context.m_own_server.open(*self, m_context.m_settings.m_backend_server, yield,
-                                                reason);
+        auto open_connection = m_context.m_server_pool.open(
+            *self, m_context.m_settings.m_backend_server, yield, reason);
         std::optional<http_response> answer;
-        if (used) {
-            answer = exchange(*self, *used, request, m_context.limits(), nullptr, yield, reason);
-            m_context.m_own_server.give_back(std::move(used));
+        if (open_connection) {
+            answer = exchange(*self, *open_connection, request, m_context.limits(), nullptr, yield,
+                              reason);
+            m_context.m_server_pool.give_back(std::move(open_connection));
         }
         self->end_call();
         log_event(log_level::info, "health_probe",
@@ -258,8 +261,8 @@
     evidence_report report;
     report.m_instance = context.m_settings.m_instance;
     const auto snapshot = context.m_snapshot.load();
-    report.m_service = snapshot->m_own.m_service;
-    report.m_version = snapshot->m_own.m_version;
+    report.m_service = snapshot->m_own_server.m_service;
+    report.m_version = snapshot->m_own_server.m_version;
     const std::lock_guard lock(context.m_evidence_mutex);
     report.m_routes.swap(context.m_evidence);
     return report;
--- a/src/traffic/traffic.hpp
+++ b/src/traffic/traffic.hpp
@@ -19,7 +19,7 @@
 // What the traffic side tells the control thread. Called on traffic threads; the receiver posts.
 struct traffic_hooks {
     // A peer's header named a higher configuration version than the own one.
-    std::function<void(const std::string& instance, std::uint64_t version)> m_version_heard;
+    std::function<void(const std::string& instance, std::uint64_t version)> m_newer_version_seen;
     // The own backend server, by its identity, refuses connections.
     std::function<void(const std::string& server)> m_server_unreachable;
 };
--- a/src/traffic/traffic_context.cpp
+++ b/src/traffic/traffic_context.cpp
@@ -25,15 +25,15 @@
                                  traffic_hooks hooks, boost::asio::io_context& io)
     : m_settings(settings), m_clock(clock), m_snapshot(snapshot), m_metrics(metrics),
       m_hooks(std::move(hooks)), m_io(io),
-      m_peers(io, clock, max_idle_per_peer, settings.m_max_connections, max_idle_time_peers,
-              settings.m_source),
-      m_own_server(io, clock, max_idle_own_server, max_idle_own_server, max_idle_time_own_server),
+      m_peer_pool(io, clock, max_idle_per_peer, settings.m_max_connections, max_idle_time_peers,
+                  settings.m_source),
+      m_server_pool(io, clock, max_idle_own_server, max_idle_own_server, max_idle_time_own_server),
       m_gate(io, clock), m_keys(settings, clock) {}
 
-void traffic_context::note_version(std::string_view instance, std::uint64_t version,
-                                   std::uint64_t own_version) const {
-    if (version > own_version && !instance.empty() && m_hooks.m_version_heard) {
-        m_hooks.m_version_heard(std::string(instance), version);
+void traffic_context::report_newer_version(std::string_view instance, std::uint64_t version,
+                                           std::uint64_t own_version) const {
+    if (version > own_version && !instance.empty() && m_hooks.m_newer_version_seen) {
+        m_hooks.m_newer_version_seen(std::string(instance), version);
     }
 }
 
@@ -60,9 +60,9 @@
 void record_call_end(const traffic_context& context, std::string_view side, const call_info& info,
                      const trace_context& trace, const call_reply& reply, std::uint32_t attempt,
                      time_point start, wall_time wall_start) {
-    const duration took = context.m_clock.now() - start;
-    const error_answer& row = answer_for(reply.m_reason);
-    const std::string_view result = outcome_name(row.m_outcome);
+    const duration elapsed = context.m_clock.now() - start;
+    const error_answer& description = answer_for(reply.m_reason);
+    const std::string_view result = outcome_name(description.m_outcome);
     const std::string trace_id =
         fmt::format("{:016x}{:016x}", trace.m_trace_high, trace.m_trace_low);
     log_event(log_level::info, "call_ended",
@@ -72,18 +72,19 @@
                {"service", info.m_service},
                {"route", info.m_route},
                {"outcome", result},
-               {"reason", row.m_name},
+               {"reason", description.m_name},
                {"sent", reply.m_sent},
                {"peer", reply.m_peer},
                {"attempt", attempt},
                {"idempotent", info.m_idempotent},
                {"version", reply.m_version},
-               {"took_us", to_us(took)},
+               {"took_us", to_us(elapsed)},
                {"trace", trace_id}});
-    context.m_metrics.count_call(side, info.m_service, row.m_outcome, reply.m_reason, took);
+    context.m_metrics.count_call(side, info.m_service, description.m_outcome, reply.m_reason,
+                                 elapsed);
     if (context.m_settings.m_trace_spans) {
-        write_span(trace, {side, info.m_service, info.m_route, reply.m_peer, result, row.m_name,
-                           wall_start, took});
+        write_span(trace, {side, info.m_service, info.m_route, reply.m_peer, result,
+                           description.m_name, wall_start, elapsed});
     }
 }
 
--- a/src/traffic/traffic_context.hpp
+++ b/src/traffic/traffic_context.hpp
@@ -44,8 +44,8 @@
     const traffic_hooks m_hooks;
     boost::asio::io_context& m_io;
 
-    connection_pool m_peers;
-    connection_pool m_own_server;
+    connection_pool m_peer_pool;
+    connection_pool m_server_pool;
     admission_gate m_gate;
     key_tables m_keys;
     control_set m_connections; // of callers and other nodes
@@ -61,7 +61,7 @@
     std::map<std::string, arm_counts, std::less<>> m_evidence; // by route
 
     std::mutex m_entry_mutex;
-    std::unordered_map<std::string, entry_state> m_entries; // by service
+    std::unordered_map<std::string, entry_state> m_entry_states; // by service
     std::unordered_map<std::string, weighted_round_robin>
         m_partitions;                                          // by host and path of the route
     std::unordered_map<std::string, caller_history> m_callers; // by host and path of the route
@@ -74,8 +74,8 @@
         return m_clock.now() > m_trusted_until.load(std::memory_order_relaxed);
     }
     // Tells the control thread of a version in a peer's message that is above the own one.
-    void note_version(std::string_view instance, std::uint64_t version,
-                      std::uint64_t own_version) const;
+    void report_newer_version(std::string_view instance, std::uint64_t version,
+                              std::uint64_t own_version) const;
 };
 
 // What is known of a call besides its HTTP message.
--- a/tests/traffic_fixture.hpp
+++ b/tests/traffic_fixture.hpp
@@ -369,8 +369,8 @@
         for (const auto& each : m_nodes) {
             publish(*each, version);
             traffic_hooks hooks;
-            hooks.m_version_heard = [&heard = each->m_heard](const std::string&,
-                                                             std::uint64_t heard_version) {
+            hooks.m_newer_version_seen = [&heard = each->m_heard](const std::string&,
+                                                                  std::uint64_t heard_version) {
                 heard = heard_version;
             };
             error reason;
@@ -392,9 +392,9 @@
         next->m_config_version = version;
         next->m_ready = true;
         next->m_mesh = config;
-        next->m_own.m_service = to.m_settings.m_service;
-        next->m_own.m_version = to.m_settings.m_version;
-        next->m_own.m_slots = m_reported_slots;
+        next->m_own_server.m_service = to.m_settings.m_service;
+        next->m_own_server.m_version = to.m_settings.m_version;
+        next->m_own_server.m_slots = m_reported_slots;
         service_view& view = next->m_services["pour"];
         view.m_spec = config->m_services["pour"];
         view.m_old_version = "v1";
@@ -411,7 +411,7 @@
             backend.m_version = "v1";
             backend.m_data_centre = "north";
             backend.m_own_data_centre = true;
-            backend.m_own = each.get() == &to;
+            backend.m_is_own = each.get() == &to;
             backend.m_traffic = each->m_settings.m_traffic;
             backend.m_counters = std::make_shared<backend_counters>();
             view.m_backends.push_back(backend);
