--- a/src/traffic/admission_gate.cpp
+++ b/src/traffic/admission_gate.cpp
@@ -8,16 +8,16 @@
 namespace caraway {
 namespace {
 
-// Waiting calls are looked at this often, so that an expired one is answered before its caller
-// gives up and a reopened server is used at once.
+// Interval at which waiting calls are checked, so that an expired call is answered before its
+// caller gives up, and a server that can take calls again is used at once.
 constexpr milliseconds tick_interval{10};
-// Answers that take this many times the best latency are what admission takes for a cold server.
+// Admission treats a server as cold if its responses take this many times the best latency.
 constexpr int abnormal_wait_factor = 3;
 
 constexpr std::string_view recorded_component = "admission";
 
-// Records what an ended, waiting or cancelled call or the passing of time did. A tick that did
-// nothing changed nothing and is left out.
+// Records the effect of an ended, waiting or cancelled call or of the passing of time. A tick that
+// released no call changed nothing and is not recorded.
 void record_release(const admission_state& state, std::string_view input, time_point now,
                     const admission_release& release) {
     const bool did_nothing = release.m_run.empty() && release.m_expired.empty();
@@ -42,7 +42,7 @@
     m_server = server;
     const bool reports = server.m_slots != 0;
     admission_limits limits;
-    // A running call needs a connection of its own.
+    // Each running call needs its own connection.
     limits.m_slots = std::min(reports ? server.m_slots : spec.m_slots, spec.m_connections);
     limits.m_queue = spec.m_queue;
     limits.m_detect_cold_start = !reports;
@@ -87,7 +87,7 @@
         }
         if (offered.m_verdict == admission_verdict::refuse) {
             retry_after = offered.m_retry_after;
-            fail(reason, offered.m_reason, "the backend server takes no more calls now");
+            fail(reason, offered.m_reason, "the backend server accepts no more calls now");
             return false;
         }
         waiting->m_control = control.shared_from_this();
@@ -107,9 +107,10 @@
     cold = is_cold(m_state, m_clock.now());
     switch (waiting->m_verdict) {
     case verdict::run:
-        return true; // an ended call is noticed before it is sent
+        return true; // an ended call is detected before it is sent
     case verdict::displaced:
-        fail(reason, error_kind::queue_full, "a more urgent call took the place in the queue");
+        fail(reason, error_kind::queue_full,
+             "a more urgent call displaced this one from the queue");
         return false;
     case verdict::expired:
         if (m_state.m_draining) {
@@ -128,7 +129,7 @@
                      action_text(m_state, admission_release{}));
     }
     update_load();
-    fail(reason, control.end_reason(false), "the call ended in the queue");
+    fail(reason, control.end_reason(false), "the call ended while it was queued");
     return false;
 }
 
--- a/src/traffic/admission_gate.hpp
+++ b/src/traffic/admission_gate.hpp
@@ -1,5 +1,5 @@
-// Shares the admission state of the own backend server between the traffic threads, and suspends
-// calls that wait for a slot.
+// Admission control of the own backend server, shared by the traffic threads. Suspends the calls
+// that wait for a slot.
 #pragma once
 
 #include <atomic>
@@ -15,40 +15,45 @@
 
 namespace caraway {
 
-// A call that asks for a slot.
+// A call that requests a slot.
 struct admission_request {
     urgency m_urgency = urgency::normal;
-    time_point m_useful_until; // when an answer loses most of its worth; not known if long past
+    time_point m_useful_until; // when the answer loses most of its value; default: unknown
     std::string_view m_route;
 };
 
+// Queues calls until the own backend server has a free slot for them. Safe to use from any thread.
 class admission_gate {
 public:
     admission_gate(boost::asio::io_context& io, const clock_source& clock);
 
-    // Applies the limits of a configuration version if it is newer than the last one.
+    // Applies the limits of a configuration and the own server's report. Does nothing if the
+    // configuration is older than the last one, or the same with an unchanged report.
     void set_limits(std::uint64_t config_version, const service_spec& spec,
                     const own_server_view& server = {});
 
-    // Waits for a slot. False with the reason when the call is refused or ended while waiting;
-    // true when it may run, and then leave() must follow. cold tells whether the cold-start limit
-    // was below the slots, retry_after when a refused call might be taken.
+    // Requests a slot and waits for it. Returns true if the call may run; release_slot() must then
+    // follow. Returns false with the reason if the call was refused or ended while waiting. Sets
+    // cold to whether the server may be in cold start (see is_cold), and retry_after to the
+    // estimated time until a refused call could be admitted.
     bool acquire_slot(call_control& control, const admission_request& request, bool& cold,
                       duration& retry_after, boost::asio::yield_context yield, error& reason);
-    // A call that entered has ended.
+    // Records the end of a call that had a slot, and frees the slot.
     void release_slot(const call_sample& sample);
 
-    // True when a call that got no answer in this time waited clearly longer than a warm server
-    // needs. A shorter wait, by a caller's own short deadline, says nothing about the server.
+    // Returns true if a call that got no response within this time waited clearly longer than a
+    // warm server needs. A shorter wait, due to the caller's own short deadline, gives no
+    // information about the server.
     bool is_abnormal_wait(duration waited) const;
 
-    // Refuses every call from now on, the waiting ones included.
+    // Refuses all calls from now on, including those that are waiting.
     void drain();
 
+    // Returns the load of the backend server; see admission_load_permille.
     std::uint32_t load_permille() const { return m_load.load(std::memory_order_relaxed); }
-    // What answers tell of the backend server.
+    // Returns the figures about the backend server that every response carries.
     server_quality quality() const;
-    // Running and waiting calls and the present limit.
+    // Numbers of running and waiting calls, and the current concurrency limit.
     struct load_counts {
         std::uint32_t m_running = 0;
         std::uint32_t m_waiting = 0;
@@ -62,7 +67,7 @@
         std::shared_ptr<call_control> m_control;
         verdict m_verdict = verdict::pending;
     };
-    // All of these need the mutex.
+    // All of these except tick(), which locks m_mutex itself, require that m_mutex is held.
     void set_verdict(std::uint64_t call, verdict value);
     void apply_release(const admission_release& release);
     void update_load();
@@ -71,7 +76,7 @@
 
     const clock_source& m_clock;
     boost::asio::steady_timer m_timer;
-    mutable std::mutex m_mutex; // never held over input or output
+    mutable std::mutex m_mutex; // never held during I/O
     bool m_ticking = false;
     std::uint64_t m_config_version = 0;
     own_server_view m_server;
@@ -81,7 +86,7 @@
     std::atomic<std::uint32_t> m_load{0};
 };
 
-// Gives the slot back when the call ends on any path.
+// Owns an acquired slot and releases it on destruction, so that it is freed on every path.
 class admission_slot {
 public:
     explicit admission_slot(admission_gate& gate) : m_gate(gate) { m_sample.m_cancelled = true; }
@@ -90,7 +95,7 @@
     admission_slot(admission_slot&&) = delete;
     admission_slot& operator=(admission_slot&&) = delete;
     ~admission_slot() { m_gate.release_slot(m_sample); }
-    // What the gate learns of the call; a cancelled one until set.
+    // Result of the call that is passed to the gate; counts as cancelled until it is set.
     call_sample m_sample;
 
 private:
--- a/src/traffic/backend_side.cpp
+++ b/src/traffic/backend_side.cpp
@@ -12,19 +12,21 @@
 
 namespace asio = boost::asio;
 
-// Attempts to claim a key that another node had and withdrew.
+// Maximum number of attempts to claim a key. The second one is made when another node held the key
+// and has withdrawn its claim.
 constexpr int max_claim_rounds = 2;
 
-// How one attempt at the own backend server ended.
+// Result of one attempt at the own backend server.
 struct server_result {
     std::optional<http_response> m_answer;
     error m_reason;
     bool m_sent = false;
-    bool m_replayed = false;  // the answer of an earlier attempt with the same key
-    duration m_retry_after{}; // a refusal for want of room: until there may be some
+    bool m_replayed = false;  // the response is from an earlier attempt with the same key
+    duration m_retry_after{}; // if refused for overload: estimated time until there is capacity
 };
 
-// Waits until the own configuration reaches the sender's version, at most the settings' time.
+// Waits until this node's configuration reaches the sender's version, at most for the configured
+// time. Returns the current snapshot, whose version may still be lower.
 std::shared_ptr<const routing_snapshot> wait_for_config(traffic_context& context,
                                                         call_control& control,
                                                         std::uint64_t version,
@@ -39,7 +41,7 @@
     }
     const time_point until =
         std::min(control.deadline(), context.m_clock.now() + context.m_settings.m_behind_wait);
-    // Loaded again after the call was added, so that no change in between is missed.
+    // Load again after the call was added, so that a change in between is not missed.
     snapshot = context.m_snapshot.load();
     while (snapshot->m_config_version < version && !control.is_ended() &&
            context.m_clock.now() < until) {
@@ -50,7 +52,7 @@
     return snapshot;
 }
 
-// Reasons of this node to refuse a call before admission.
+// Returns the reason to refuse a call before admission, or nothing if it may continue.
 std::optional<error> refusal_before_admission(const traffic_context& context, const call_info& info,
                                               const routing_snapshot& snapshot,
                                               std::uint64_t sender_version) {
@@ -69,7 +71,7 @@
     if (snapshot.m_config_version < sender_version) {
         return error{error_kind::config_behind, "the sender has a newer configuration"};
     }
-    // An instance may have been replaced by another one at the same address.
+    // Another instance may have replaced the expected one at the same address.
     if (info.m_service != snapshot.m_own_server.m_service) {
         return error{error_kind::version_not_served, "another service runs here"};
     }
@@ -77,20 +79,21 @@
         return error{error_kind::version_not_served, "another version runs here"};
     }
     if (snapshot.m_own_refusal != error_kind::none) {
-        return error{snapshot.m_own_refusal, "the backend server takes no new work"};
+        return error{snapshot.m_own_refusal, "the backend server accepts no new work"};
     }
     return std::nullopt;
 }
 
-// True when the answer names another request than the one sent, as a server that mixes up its
-// answers would do.
+// Returns true if the response carries the number of another request, as from a server that mixes
+// up its responses.
 bool is_mismatched(const traffic_context& context, const http_response& answer,
                    const call_info& info) {
     const std::string_view number = header_of(answer, context.m_settings.m_edge.m_request_number);
     return !number.empty() && !info.m_request_number.empty() && number != info.m_request_number;
 }
 
-// Writes the line from which the auditor counts runs, directly before the first byte is sent.
+// Logs the start of a run, directly before the first byte is sent. The auditor counts runs by this
+// line.
 void log_call_start(const call_info& info, std::string_view version) {
     log_event(log_level::info, "backend_call_started",
               {{"request", info.m_request_number},
@@ -101,27 +104,27 @@
                {"idempotent", info.m_idempotent}});
 }
 
-// Prepares the request's headers for the own backend server. It keeps the time of the first try, so
-// that the server can pass it on with the keys of its onward calls: without it no registrar that
-// started within the retention time grants them.
+// Rewrites the request's headers for the own backend server. The time of the first attempt is kept,
+// so that the server can pass it on with the keys of its onward calls: without it, no registrar
+// that started within the retention time grants a claim for them.
 void rewrite_for_server(const traffic_context& context, const call_info& info,
                         const trace_context& trace, http_request& request) {
     const edge_headers& edge = context.m_settings.m_edge;
-    const own_server_view& own = context.m_snapshot.load()->m_own_server;
-    if (!edge.m_expected_server.empty() && !own.m_server.empty()) {
-        set_header(request, edge.m_expected_server, own.m_server);
+    const own_server_view& own_server = context.m_snapshot.load()->m_own_server;
+    if (!edge.m_expected_server.empty() && !own_server.m_server.empty()) {
+        set_header(request, edge.m_expected_server, own_server.m_server);
     }
     strip_internal(request, std::array{header::first_sent});
     set_header(request, header::traceparent, format_traceparent(trace));
     set_number(request, header::hop, info.m_hop);
 }
 
-// Statuses with which a server can say that it did not run the request.
+// Statuses with which a server can state that it did not run the request.
 constexpr std::array<unsigned, 4> not_run_statuses{400, 421, 429, 503};
 constexpr unsigned misdirected_status = 421;
 
-// Turns an answer that states that the request did not run into a refusal, and one that the server
-// can't have made into a cut connection.
+// Turns a response that states that the request did not run into a refusal, and a response that
+// cannot come from the server into a cut connection.
 void classify_answer(const traffic_context& context, connection& open_connection,
                      server_result& result) {
     const edge_headers& edge = context.m_settings.m_edge;
@@ -132,7 +135,7 @@
         result.m_answer.reset();
         result.m_sent = false;
         fail(result.m_reason, error_kind::version_not_served,
-             "another backend server has the address");
+             "another backend server now has this address");
         return;
     }
     if (may_mean_not_run && !header_of(*result.m_answer, edge.m_not_run).empty()) {
@@ -144,11 +147,11 @@
     if (!edge.m_server_seal.empty() && header_of(*result.m_answer, edge.m_server_seal).empty()) {
         open_connection.m_reusable = false;
         result.m_answer.reset();
-        fail(result.m_reason, error_kind::connection_cut, "the answer lacks the server's seal");
+        fail(result.m_reason, error_kind::connection_cut, "the response lacks the server's seal");
     }
 }
 
-// Sends the request over an open connection and classifies the end.
+// Sends the request over an open connection and classifies the result.
 server_result call_server(traffic_context& context, call_control& control, const call_info& info,
                           connection& open_connection, http_request& request,
                           asio::yield_context yield) {
@@ -174,14 +177,14 @@
     return result;
 }
 
-// True for ends that speak against the backend server.
+// Returns true if the reason counts as a failure of the backend server.
 bool is_server_failure(error_kind reason) {
     return reason == error_kind::connect_failed || reason == error_kind::connection_cut ||
            reason == error_kind::answer_truncated || reason == error_kind::answer_too_large ||
            reason == error_kind::deadline_after_send;
 }
 
-// Adds a call that reached the server to the evidence of its version.
+// Adds a call that reached the server to the evidence for its version.
 void add_evidence(traffic_context& context, const call_info& info, bool failed, duration latency,
                   bool cold) {
     const std::lock_guard lock(context.m_evidence_mutex);
@@ -192,15 +195,16 @@
     count_call(found->second, failed, latency, cold);
 }
 
-// Tells admission (by its sample) and the evidence how a call ended that a connection was open for.
+// Fills in the admission sample of a call that had an open connection, and adds the call to the
+// evidence if it reached the server.
 void record_call_result(traffic_context& context, const call_info& info,
                         const routing_snapshot& snapshot, const server_result& result,
                         duration latency, bool cold, call_sample& sample) {
     const error_kind reason = result.m_reason.m_kind;
     const auto service = snapshot.m_services.find(info.m_service);
-    const milliseconds limit = service == snapshot.m_services.end()
-                                   ? milliseconds(0)
-                                   : service->second.m_spec.m_latency_limit;
+    const milliseconds latency_limit = service == snapshot.m_services.end()
+                                           ? milliseconds(0)
+                                           : service->second.m_spec.m_latency_limit;
     const bool server_error = result.m_answer && result.m_answer->result_int() >= 500;
     const bool failed = server_error || is_server_failure(reason);
     sample.m_route = info.m_route;
@@ -210,22 +214,24 @@
     sample.m_shed = reason == error_kind::backend_shed;
     sample.m_cancelled = !sample.m_failed && !sample.m_shed && !result.m_answer;
     if (result.m_sent && (result.m_answer || failed)) {
-        add_evidence(context, info, failed || (limit.count() > 0 && latency > limit), latency,
+        add_evidence(context, info,
+                     failed || (latency_limit.count() > 0 && latency > latency_limit), latency,
                      cold);
     }
 }
 
-// What has changed at the own server since the call arrived, while it waited for a slot: a call is
-// not sent to a server that leaves, nor to another one than it was meant for.
+// Returns the reason to refuse a call because the own server changed while the call waited for a
+// slot, or nothing. A call must not be sent to a server that is leaving, nor to another server than
+// the one it was meant for.
 std::optional<error> refusal_before_send(const traffic_context& context,
                                          const routing_snapshot& at_arrival) {
     const auto current = context.m_snapshot.load();
     if (current->m_own_refusal != error_kind::none &&
         current->m_own_refusal != error_kind::draining) {
-        return error{current->m_own_refusal, "the backend server takes no new work"};
+        return error{current->m_own_refusal, "the backend server accepts no new work"};
     }
     if (current->m_own_server.m_refusal != error_kind::none) {
-        return error{current->m_own_server.m_refusal, "the backend server leaves or is not there"};
+        return error{current->m_own_server.m_refusal, "the backend server is leaving or absent"};
     }
     if (current->m_own_server.m_server != at_arrival.m_own_server.m_server) {
         return error{error_kind::version_not_served, "the backend server was replaced"};
@@ -233,7 +239,8 @@
     return std::nullopt;
 }
 
-// Runs an admitted call: connects, claims its key if it has one, and sends.
+// Runs an admitted call: connects, claims the idempotency key if there is one, and sends the
+// request.
 server_result run_admitted(traffic_context& context, call_control& control, const call_info& info,
                            const routing_snapshot& snapshot, bool cold, admission_slot& slot,
                            key_claim* key, http_request& request, asio::yield_context yield) {
@@ -253,7 +260,7 @@
             context.m_server_pool.give_back(std::move(open_connection));
             return result;
         }
-        // The server may have closed the connection meanwhile.
+        // The server may have closed the connection during the claim.
         if (is_readable_or_closed(open_connection->m_socket)) {
             open_connection = context.m_server_pool.open(
                 control, context.m_settings.m_backend_server, yield, result.m_reason);
@@ -275,7 +282,7 @@
     return result;
 }
 
-// Turns the end of a call at the own server into the reply of this node.
+// Converts the result of a call at the own server into this node's reply.
 call_reply make_reply(traffic_context& context, server_result result) {
     call_reply reply;
     if (result.m_answer) {
@@ -324,8 +331,8 @@
     return run_admitted(context, control, info, snapshot, cold, slot, key, request, yield);
 }
 
-// Runs a call with an idempotency key, or finds the answer of the attempt that has the key. When
-// that attempt turns out to be withdrawn, the key is claimed once more.
+// Runs a call with an idempotency key, or returns the response of the attempt that holds the key.
+// If that attempt turns out to be withdrawn, the key is claimed once more.
 server_result run_with_key(traffic_context& context, call_control& control, const call_info& info,
                            const routing_snapshot& snapshot, http_request& request,
                            asio::yield_context yield) {
@@ -341,20 +348,20 @@
             result = admit_and_run(context, control, info, snapshot, &key, request, yield);
             key.complete(result.m_answer, result.m_sent, yield);
         }
-        const bool free_again = key.has_claimant() && key.fetch_result(yield, result.m_reason);
+        const bool claim_withdrawn = key.has_claimant() && key.fetch_result(yield, result.m_reason);
         if (auto replay = key.take_replay()) {
             result.m_answer = std::move(replay);
             result.m_replayed = true;
             result.m_reason = error{};
         }
-        if (!free_again || control.is_ended()) {
+        if (!claim_withdrawn || control.is_ended()) {
             break;
         }
     }
     return result;
 }
 
-// Runs a call if this node may take it under its present configuration.
+// Runs a call if this node accepts it under its current configuration.
 server_result check_and_run(traffic_context& context, call_control& control, const call_info& info,
                             std::uint64_t sender_version, http_request& request,
                             asio::yield_context yield) {
@@ -400,6 +407,7 @@
 
 namespace {
 
+// Returns true if the route sends calls to the service, directly or through its split.
 bool leads_to(const route_spec& route, std::string_view service) {
     return route.m_split.empty() ? route.m_service == service
                                  : std::any_of(route.m_split.begin(), route.m_split.end(),
@@ -426,8 +434,8 @@
     info.m_trace = continue_trace(header_of(request, header::traceparent), control.random());
     info.m_trace.m_span = info.m_trace.m_parent;
 
-    // The route may differ between the sender's configuration and the own one. Without a route of
-    // the named service, the call is taken as the most careful kind.
+    // The sender's route may differ from this node's. Without a route to the named service, the
+    // call gets the safest defaults: not idempotent, normal urgency and a timeout of one second.
     milliseconds timeout{1'000};
     if (snapshot->m_mesh) {
         const route_spec* route = match_route(
@@ -440,16 +448,16 @@
             timeout = route->m_timeout;
         }
     }
-    // 0 says that the answer is late already, which differs from not knowing.
-    if (const auto useful = time_left(request, header::useful_ms)) {
-        info.m_useful_until = now + *useful;
+    // A value of 0 means that the response is already late; an absent header means unknown.
+    if (const auto useful_left = time_left(request, header::useful_ms)) {
+        info.m_useful_until = now + *useful_left;
     }
-    const milliseconds allowed = time_left(request).value_or(timeout);
+    const milliseconds time_allowed = time_left(request).value_or(timeout);
     const std::uint64_t sender_version = number_header(request, header::config_version).value_or(0);
     context.report_newer_version(header_of(request, header::instance), sender_version,
                                  snapshot->m_config_version);
     strip_hop_by_hop(request);
-    control.begin_call(now + allowed);
+    control.begin_call(now + time_allowed);
     return run_backend_call(context, control, info, sender_version, request, yield);
 }
 
--- a/src/traffic/call_control.cpp
+++ b/src/traffic/call_control.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Stack of one coroutine. Only touched pages use memory, about 16 KiB.
+// Stack size of one coroutine. Only touched pages use memory, about 16 KiB.
 constexpr std::size_t stack_bytes = 128U << 10U;
 
 } // namespace
@@ -83,8 +83,8 @@
     return sent ? error_kind::deadline_after_send : error_kind::deadline_before_send;
 }
 
-// Timers are armed lazily: a limit later than the armed one is only noted, and the timer is armed
-// again when it fires early. That spares two timer operations on almost every call.
+// Arms the timer lazily: a limit later than the armed one is only stored, and the timer is armed
+// again when it fires early. This saves two timer operations on almost every call.
 void call_control::arm_timer(time_point at) {
     if (m_timer_expiry <= at) {
         return;
@@ -117,8 +117,9 @@
     m_incoming.close(ignored);
 }
 
-// Watches the caller's connection while its call runs. A closed connection cancels the call. Bytes
-// of a next request end the watch, since what follows them can't be seen without reading them.
+// Watches the caller's connection while its call is running, and cancels the call if the connection
+// is closed. Bytes of the next request end the watch, since a close after them can't be detected
+// without reading them.
 void call_control::watch_caller() {
     if (m_watch_pending || !m_watch_enabled || !m_incoming.is_open()) {
         return;
@@ -129,8 +130,8 @@
                                                          call = m_call_number](error_code failed) {
                               self->m_watch_pending = false;
                               if (failed || !self->m_in_call) {
-                                  // The watch of an earlier call may end only now; the current call
-                                  // needs its own.
+                                  // The wait may have been started for an earlier call; the current
+                                  // call needs its own.
                                   if (self->m_in_call && call != self->m_call_number) {
                                       self->watch_caller();
                                   }
@@ -165,12 +166,13 @@
 void call_control::wait(time_point until, asio::yield_context yield) {
     const time_point now = m_clock.now();
     if (!is_ended() && now < until) {
-        // Far limits would overflow the timer's arithmetic; callers check their condition again.
+        // A distant time limit would overflow the arithmetic of the timer. The condition is checked
+        // again after each wait, so an early return is harmless.
         m_wake_timer.expires_after(std::min<duration>(until - now, std::chrono::hours(1)));
         error_code ignored;
         m_wake_timer.async_wait(yield[ignored]);
     }
-    // The deadline's own timer can't run while the caller loops without suspending.
+    // The deadline timer can't run while the coroutine loops without suspending.
     m_deadline_passed = m_deadline_passed || (m_in_call && m_clock.now() >= m_time_limit);
 }
 
--- a/src/traffic/call_control.hpp
+++ b/src/traffic/call_control.hpp
@@ -1,4 +1,5 @@
-// Time limits, cancellation and waiting of the one call that a connection carries at a time.
+// Time limits, cancellation and waiting for the calls of a connection, which carries one call at a
+// time.
 #pragma once
 
 #include <cstdint>
@@ -22,57 +23,66 @@
 
 using io_strand = boost::asio::strand<boost::asio::io_context::executor_type>;
 
-// Control of one connection's calls. Everything but wake() and stop() runs on the strand, where
-// the connection's coroutine runs too; so the coroutine sees a change only at its suspensions.
+// Controls the calls of one connection. All functions except wake() and stop() must run on the
+// strand, on which the connection's coroutine runs as well; the coroutine therefore sees a change
+// only where it suspends.
 class call_control : public std::enable_shared_from_this<call_control> {
 public:
-    // incoming may be a closed socket, for calls that no caller's connection carries.
+    // incoming may be a closed socket, for work that no caller's connection carries.
     static std::shared_ptr<call_control> create(boost::asio::io_context& io, tcp::socket incoming,
                                                 const clock_source& clock, std::uint64_t seed);
 
-    // The control of another call of the same connection. It runs on the same strand, and does not
-    // watch the caller.
+    // Creates the control of another call of the same connection. It runs on the same strand and
+    // does not watch the caller's connection.
     static std::shared_ptr<call_control> create_sibling(call_control& first);
     io_strand& strand() { return m_strand; }
     tcp::socket& incoming() { return m_incoming; }
     random_source& random() { return m_random; }
     const clock_source& clock() const { return m_clock; }
 
-    // Closes the incoming connection at the given time unless a later limit replaces this one.
+    // Sets the time limit and replaces the earlier one. When it is reached, the running call ends;
+    // if no call is running, the incoming connection is closed.
     void set_time_limit(time_point at);
-    // Begins a call: from now on the deadline ends it, and the caller's closing cancels it.
+    // Begins a call. The call ends at the deadline and is cancelled if the caller closes the
+    // connection.
     void begin_call(time_point deadline);
-    // Brings the deadline of the running call forward.
+    // Brings the deadline of the running call forward. A later deadline has no effect.
     void set_deadline(time_point deadline);
-    // Ends the call's limits; the connection's own limit has to be set anew.
+    // Ends the call and removes its deadline. The connection's own time limit has to be set again.
     void end_call();
-    // Ends the running call, if any, as the caller's closing does.
+    // Cancels the running call, if any, as if the caller had closed the connection.
     void cancel_call();
-    // Called on the strand when bytes of a next request arrive while a call runs.
+    // Sets the function that is called on the strand when bytes of the next request arrive while a
+    // call is running.
     void set_early_bytes_handler(std::function<void()> action) {
         m_early_bytes_handler = std::move(action);
     }
-    // From now on something else reads the incoming connection and notices when it closes.
+    // Stops watching the incoming connection, because another coroutine reads it from now on and
+    // detects when it closes.
     void disable_caller_watch() { m_watch_enabled = false; }
 
     time_point deadline() const { return m_time_limit; }
+    // Returns true if the call was cancelled or has reached its deadline.
     bool is_ended() const { return m_deadline_passed || m_cancelled; }
     bool is_cancelled() const { return m_cancelled; }
     bool is_stopped() const { return m_stopped; }
-    // Why the call ended: deadline or cancellation, before or after the first byte was sent.
+    // Returns why the call ended: its deadline or a cancellation, before or after the first byte
+    // was sent.
     error_kind end_reason(bool sent) const;
 
-    // Suspends the coroutine until wake(), the end of the call or the given time. May return
-    // early; the caller checks its condition again.
+    // Suspends the coroutine until wake(), the end of the call or the given time. It may return
+    // early, so the condition has to be checked again.
     void wait(time_point until, boost::asio::yield_context yield);
-    // The same, but also suspends when the call has ended: for work that has to be finished.
+    // As wait(), but also suspends after the call has ended, for work that has to be finished.
     void wait_ignoring_end(time_point until, boost::asio::yield_context yield);
-    // Resumes the coroutine in wait(). Safe from any thread.
+    // Resumes the coroutine that is suspended in wait() or wait_ignoring_end(). Safe from any
+    // thread.
     void wake();
-    // Ends the call and the connection. Safe from any thread.
+    // Cancels the call and closes the connection. Safe from any thread.
     void stop();
 
-    // Registers a socket that is closed when the call ends, for the guard's lifetime.
+    // Registers an outgoing socket for the lifetime of the guard. The socket is closed if the call
+    // ends before that.
     class outgoing_guard {
     public:
         outgoing_guard(call_control& control, tcp::socket& socket);
@@ -114,13 +124,13 @@
     std::vector<tcp::socket*> m_outgoing_sockets;
 };
 
-// Runs an action as a coroutine on the control's strand. An exception is logged and ends the
-// connection only.
+// Runs an action as a coroutine on the strand of the control. An exception is logged and ends only
+// this connection.
 void spawn_coroutine(
     call_control& control,
     std::function<void(const std::shared_ptr<call_control>&, boost::asio::yield_context)> action);
 
-// The controls that have to be stopped before the server ends.
+// Controls that must be stopped before the server ends. Safe to use from any thread.
 class control_set {
 public:
     void add(const std::shared_ptr<call_control>& control);
@@ -133,7 +143,7 @@
     std::unordered_set<std::shared_ptr<call_control>> m_controls;
 };
 
-// Adds a control to a set for its own lifetime.
+// Keeps a control in a set for the lifetime of this object.
 class control_registration {
 public:
     control_registration(control_set& set, std::shared_ptr<call_control> control);
@@ -148,8 +158,8 @@
     std::shared_ptr<call_control> m_control;
 };
 
-// Calls that wait for one shared condition, such as a newer configuration. Bounded: add() fails
-// when too many wait.
+// Calls that wait for the same condition, such as a newer configuration. The number is limited:
+// add() returns false if too many calls are waiting. Safe to use from any thread.
 class waiting_calls {
 public:
     explicit waiting_calls(std::size_t limit) : m_max_calls(limit) {}
--- a/src/traffic/claims_over_http.cpp
+++ b/src/traffic/claims_over_http.cpp
@@ -17,17 +17,18 @@
 constexpr std::string_view claim_path = "/.caraway/claim";
 constexpr std::string_view withdraw_path = "/.caraway/withdraw";
 constexpr std::string_view result_path = "/.caraway/result";
-// Headers of the answer about a result; the stored body is passed as it is.
+// Headers of the response to a result request. The stored body is passed on unchanged.
 constexpr std::string_view result_state_header = "x-caraway-result";
 constexpr std::string_view result_status_header = "x-caraway-result-status";
 
-// A registrar that takes longer counts as unreachable. Round trips are below 20 ms.
+// A registrar that takes longer to reply counts as unreachable. Round trips take less than 20 ms.
 constexpr milliseconds claim_timeout{250};
 // A refused call waits this long for its registrars to confirm the withdrawal, so that the next
-// attempt elsewhere finds the key free.
+// attempt through another node finds the key free.
 constexpr milliseconds withdraw_wait{100};
-// Calls of one node that wait for the result of another attempt at a time.
+// Maximum number of calls of one node that wait for the result of another attempt.
 constexpr std::size_t max_result_waiting = 256;
+// Maximum body size of a request from another node.
 constexpr std::size_t max_node_request_bytes = 4'096;
 
 std::string_view state_name(result_state state) {
@@ -122,7 +123,7 @@
                                         {"history_complete", reply.m_history_complete}});
 }
 
-// A reply that can't be understood counts as none.
+// Decodes the reply of a registrar. A malformed reply counts as unreachable.
 claim_reply decode_reply(const std::string& body) {
     claim_reply reply;
     const auto fields = parse_object(body);
@@ -130,10 +131,10 @@
         return reply;
     }
     const std::string status = string_field(*fields, "status");
-    for (const claim_status known :
+    for (const claim_status candidate :
          {claim_status::granted, claim_status::held, claim_status::full}) {
-        if (status == status_name(known)) {
-            reply.m_status = known;
+        if (status == status_name(candidate)) {
+            reply.m_status = candidate;
         }
     }
     reply.m_claimant = string_field(*fields, "claimant");
@@ -168,7 +169,8 @@
     return answer;
 }
 
-// Sends one request to another node and reads its answer, for requests that are no calls.
+// Sends a request that is not a call to another node and reads the response. Returns nothing, with
+// the reason, if there is no response or it belongs to another request.
 std::optional<http_response> send_node_request(traffic_context& context, call_control& control,
                                                const ip_endpoint& peer, std::string_view path,
                                                std::string body, asio::yield_context yield,
@@ -305,7 +307,7 @@
                              ? decode_request(request.body())
                              : std::nullopt;
     if (request.method() != http::verb::post || !decoded) {
-        return make_refusal(error_kind::bad_request, "not a request of a node");
+        return make_refusal(error_kind::bad_request, "malformed request from a node");
     }
     if (path == claim_path) {
         const claim_reply reply = context.m_keys.grant(*decoded, *context.m_snapshot.load());
@@ -335,17 +337,19 @@
             control, claim_key(decoded->m_service, decoded->m_key), decoded->m_claim_id, until,
             yield));
     }
-    return make_refusal(error_kind::bad_request, "unknown request of a node");
+    return make_refusal(error_kind::bad_request, "unknown path in a request from a node");
 }
 
-// The replies to one request to all registrars. Each is asked on a coroutine of its own, which goes
-// on when the call that needs it has ended, so that a withdrawal never overtakes its claim.
+// Collects the replies to one request that is sent to all registrars. Each registrar is asked on
+// its own coroutine, which continues after the call has ended, so that a withdrawal never overtakes
+// its claim.
 struct key_claim::registrar_round {
     std::mutex m_mutex;
     std::size_t m_pending = 0;
     std::vector<claim_reply> m_replies;
     std::shared_ptr<call_control> m_parent;
 
+    // Stores the reply of one registrar and wakes the call. Safe from any thread.
     void finish(std::size_t index, const claim_reply& reply) {
         const std::lock_guard lock(m_mutex);
         m_replies[index] = reply;
@@ -385,26 +389,29 @@
             m_reserved = true;
             return true;
         }
-        const auto known = m_context.m_keys.find(m_combined_key);
-        if (!known) {
-            fail(reason, error_kind::queue_full, "the table of results is full");
+        const auto earlier_attempt = m_context.m_keys.find(m_combined_key);
+        if (!earlier_attempt) {
+            fail(reason, error_kind::queue_full, "the result table is full");
             return false;
         }
-        if (known->m_state == result_state::stored) {
-            m_replay = make_replay(known->m_status, known->m_content_type, known->m_body);
+        if (earlier_attempt->m_state == result_state::stored) {
+            m_replay = make_replay(earlier_attempt->m_status, earlier_attempt->m_content_type,
+                                   earlier_attempt->m_body);
             return false;
         }
-        if (known->m_state == result_state::too_large) {
-            fail(reason, error_kind::key_already_claimed, "the key was sent before");
+        if (earlier_attempt->m_state == result_state::too_large) {
+            fail(reason, error_kind::key_already_claimed,
+                 "a request with this idempotency key was already sent");
             return false;
         }
-        if (known->m_state == result_state::withdrawn) {
-            continue; // withdrawn between begin and find
+        if (earlier_attempt->m_state == result_state::withdrawn) {
+            continue; // withdrawn between reserve_entry() and find()
         }
         const auto ended = m_context.m_keys.wait_while_running(
-            m_control, m_combined_key, known->m_claim_id, m_control.deadline(), yield);
+            m_control, m_combined_key, earlier_attempt->m_claim_id, m_control.deadline(), yield);
         if (ended && ended->m_state == result_state::running) {
-            fail(reason, error_kind::key_already_claimed, "the key's request is still running");
+            fail(reason, error_kind::key_already_claimed,
+                 "the request with this idempotency key is still running");
             return false;
         }
     }
@@ -463,7 +470,7 @@
 }
 
 bool key_claim::claim(asio::yield_context yield, error& reason) {
-    // Each request ends by its own limit, so this waits for all of them.
+    // Each request has its own time limit, so this waits for all of them.
     const auto replies = send_to_registrars(false, 2 * claim_timeout, yield);
     const claim_decision decision = decide_claim(m_registrars, replies);
     if (decision.m_kind == claim_decision::kind::run) {
@@ -473,12 +480,13 @@
         m_claimant = decision.m_claimant;
         m_claimant_id = decision.m_claim_id;
     }
-    fail(reason, decision.m_reason, "the key is not free at its registrars");
+    fail(reason, decision.m_reason,
+         "the registrars did not grant the claim of the idempotency key");
     return false;
 }
 
-// Withdraws the claim at all registrars, then frees the reservation here: in this order the next
-// attempt finds the registrars free.
+// The registrars are asked before the entry here is released, so that the next attempt finds the
+// key free at its registrars.
 void key_claim::withdraw(asio::yield_context yield) {
     send_to_registrars(true, m_control.is_ended() ? duration{} : withdraw_wait, yield);
     m_context.m_keys.release_entry(m_combined_key);
@@ -487,7 +495,8 @@
 
 bool key_claim::fetch_result(asio::yield_context yield, error& reason) {
     const std::string claimant = std::exchange(m_claimant, std::string());
-    fail(reason, error_kind::key_already_claimed, "the key was sent before");
+    fail(reason, error_kind::key_already_claimed,
+         "a request with this idempotency key was already sent");
     std::string state;
     if (claimant == m_context.m_settings.m_instance) {
         const auto found = m_context.m_keys.wait_while_running(
--- a/src/traffic/snapshot.hpp
+++ b/src/traffic/snapshot.hpp
@@ -1,5 +1,5 @@
-// The immutable view that traffic threads route by. The control thread builds a new one for every
-// change and swaps the pointer.
+// Immutable state by which the traffic threads route calls. The control thread builds a new
+// snapshot for every change and swaps the pointer.
 #pragma once
 
 #include <array>
@@ -18,82 +18,87 @@
 
 namespace caraway {
 
-// Counters of one backend server as this node sees it, shared by successive snapshots.
+// Counters of one backend server as observed by this node. Successive snapshots share them.
 struct backend_counters {
     std::atomic<std::uint32_t> m_outstanding{0};
     std::atomic<std::uint32_t> m_load_permille{0};
     std::atomic<std::uint32_t> m_failure_permille{0};
     std::atomic<std::int64_t> m_latency_us{0};
-    std::atomic<std::int64_t> m_load_reported_us{0}; // steady clock, microseconds
-    std::atomic<std::uint32_t> m_failures{0};        // consecutive failures to reach it
+    std::atomic<std::int64_t> m_load_reported_us{0}; // time of the last load report; steady clock
+    std::atomic<std::uint32_t> m_failures{0};        // consecutive failures to reach the server
     std::atomic<std::int64_t> m_circuit_open_until_us{0};
-    // Until when it is taken to refuse calls, by urgency; steady clock, microseconds.
+    // Time until which the server is assumed to refuse calls, by urgency; steady clock,
+    // microseconds.
     std::array<std::atomic<std::int64_t>, urgency_levels> m_refuses_until_us{};
 };
 
-// One backend server that calls can be sent to.
+// A backend server that calls can be sent to.
 struct backend_view {
     std::string m_instance;
     std::string m_version;
     std::string m_data_centre;
-    ip_endpoint m_traffic; // of the node beside it
-    bool m_is_own = false; // beside this node
+    ip_endpoint m_traffic; // address of the node beside the server
+    bool m_is_own = false; // the server beside this node
     bool m_own_data_centre = false;
     std::shared_ptr<backend_counters> m_counters;
 };
 
-// One service as it is routed now.
+// Current routing state of one service.
 struct service_view {
     service_spec m_spec;
-    // Share of calls for m_new_version; 0 when no move runs or the version is suspended.
+    // Share of calls that go to m_new_version; 0 if no version move is running or the version is
+    // suspended.
     std::uint32_t m_new_weight_permille = 0;
     std::string m_old_version;
-    std::string m_new_version;            // empty when no move is in the text
-    std::vector<backend_view> m_backends; // alive, ready, data centre not out
-    // All known instances that didn't leave, dead ones included, for registrars of keys.
+    std::string m_new_version;            // empty if the text contains no move
+    std::vector<backend_view> m_backends; // alive, ready and in a data centre in service
+    // All known instances that have not left, including dead ones. The registrars of keys are
+    // selected from them.
     std::vector<known_instance> m_members;
-    // Instances that left by themselves and are not forgotten yet.
+    // Instances that left voluntarily and are not forgotten yet.
     std::vector<departure> m_departures;
-    // Times in which one of them was lost, as far as this node knows.
+    // Periods during which an instance of the service was lost, as far as this node knows.
     std::vector<member_loss> m_losses;
 };
 
-// The backend server beside this node as calls may use it.
+// The backend server beside this node, as far as calls depend on it.
 struct own_server_view {
-    std::string m_server; // its identity, empty if it doesn't report itself
+    std::string m_server; // identity of the server; empty if it does not report itself
     std::string m_service;
     std::string m_version;
-    std::uint32_t m_slots = 0;               // 0: those of the service
-    time_point m_cold_until;                 // it says that it is cold until then
-    error_kind m_refusal = error_kind::none; // why it takes no new work now
+    std::uint32_t m_slots = 0;               // 0: the slots of the service apply
+    time_point m_cold_until;                 // end of the warm-up that the server reports
+    error_kind m_refusal = error_kind::none; // why it accepts no new work
     friend bool operator==(const own_server_view&, const own_server_view&) = default;
 };
 
+// Everything that the routing of a call depends on, at one point in time.
 struct routing_snapshot {
-    std::uint64_t m_config_version = 0; // 0: nothing applied yet
+    std::uint64_t m_config_version = 0; // 0: no configuration applied yet
     bool m_ready = false;
     bool m_draining = false;
     bool m_own_data_centre_out = false;
     std::shared_ptr<const mesh> m_mesh;
     std::map<std::string, service_view, std::less<>> m_services;
-    // Reason why the own backend server takes no new work, none if it does:
-    // version_suspended, version_not_served, data_centre_out, draining.
+    // Reason why the own backend server accepts no new work: version_suspended, version_not_served,
+    // data_centre_out or draining; none if it accepts work.
     error_kind m_own_refusal = error_kind::none;
     own_server_view m_own_server;
-    // Traffic address of every live member, for claims and results; dead ones are absent.
+    // Traffic addresses of all live members, for claims and results; dead members are absent.
     std::map<std::string, ip_endpoint, std::less<>> m_member_traffic;
 };
 
-// Holder of the current snapshot; loads and stores are atomic. A mutex, held for the copy of a
-// pointer only, because std::atomic<std::shared_ptr> of g++ 12 has a data race: its load() gives up
-// its internal lock with relaxed order.
+// Holds the current snapshot; loads and stores are atomic. It uses a mutex, held only while a
+// pointer is copied, because std::atomic<std::shared_ptr> of g++ 12 has a data race: its load()
+// releases the internal lock with relaxed order.
 class snapshot_cell {
 public:
     std::shared_ptr<const routing_snapshot> load() const {
         const std::lock_guard lock(m_mutex);
         return m_current;
     }
-    // The old snapshot is destroyed by the caller, after the lock is given up.
+    // The previous snapshot is destroyed together with the caller's argument, after the lock is
+    // released.
     void store(std::shared_ptr<const routing_snapshot> next) {
         const std::lock_guard lock(m_mutex);
         m_current.swap(next);
--- a/src/traffic/traffic.cpp
+++ b/src/traffic/traffic.cpp
@@ -17,13 +17,15 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// Connections above the limit that are told so at a time; more are closed without an answer.
+// Maximum number of connections above the limit that are answered with a refusal at the same time.
+// Further ones are closed without an answer.
 constexpr std::size_t max_refusing_connections = 64;
-// Old idle connections are closed, the load is published and probes are due at this interval.
+// Interval at which old idle connections are closed, expired keys are dropped, the load metrics are
+// updated and due health probes are sent.
 constexpr milliseconds maintenance_interval{1'000};
-// A health endpoint that takes longer is logged as one that missed its deadline.
+// A health endpoint that takes longer is logged as having missed its deadline.
 constexpr milliseconds health_probe_timeout{1'000};
-// Time for connections to end on destruction before their coroutines are dropped.
+// Time for connections to end on destruction before their coroutines are destroyed.
 constexpr milliseconds stop_timeout{2'000};
 
 } // namespace
@@ -66,8 +68,8 @@
     traffic_context m_context;
     io_strand m_accept_strand;
     io_strand m_maintenance_strand;
-    tcp::acceptor m_acceptor;        // of nodes, and of callers unless they have their own
-    tcp::acceptor m_caller_acceptor; // of callers only
+    tcp::acceptor m_acceptor;        // for nodes, and for callers unless they have their own
+    tcp::acceptor m_caller_acceptor; // for callers only
     asio::steady_timer m_maintenance_timer;
     std::uint64_t m_seed;
     std::atomic<std::uint64_t> m_connection_number{0};
@@ -106,7 +108,7 @@
     }
 }
 
-// Ends all connections and waits for their coroutines, so that none outlives what it uses.
+// Closes all connections and waits for their coroutines, so that none outlives the objects it uses.
 void traffic_server::impl::stop() {
     m_stopping = true;
     asio::post(m_accept_strand, [this] {
@@ -166,7 +168,7 @@
     return m_seed + (m_connection_number.fetch_add(1) + 1) * 0x9e3779b97f4a7c15ULL;
 }
 
-// Tells a connection above the limit that it is one too many.
+// Answers a connection above the limit with a refusal.
 void traffic_server::impl::refuse_connection(tcp::socket socket) {
     if (m_refusing.load() >= max_refusing_connections) {
         return;
@@ -180,7 +182,7 @@
     });
 }
 
-// Does the periodic work of the traffic side.
+// Schedules the next run of the periodic work of the traffic side.
 void traffic_server::impl::schedule_maintenance() {
     m_maintenance_timer.expires_after(maintenance_interval);
     m_maintenance_timer.async_wait(
@@ -200,7 +202,8 @@
         }));
 }
 
-// True when neither a call nor a probe has told about the backend server for the interval.
+// Returns true if neither a call nor a probe has shown the state of the backend server for the
+// length of the interval.
 bool traffic_server::impl::health_probe_is_due() const {
     const milliseconds interval = m_context.m_settings.m_health_interval;
     const time_point now = m_context.m_clock.now();
@@ -209,8 +212,8 @@
            now.time_since_epoch() - last_call >= interval && m_context.m_in_progress == 0;
 }
 
-// Asks the backend server's health endpoint. The answer is logged only: health endpoints lag or
-// mislead, so calls alone decide.
+// Requests the backend server's health endpoint. The response is only logged: health endpoints lag
+// or mislead, so only calls decide.
 void traffic_server::impl::probe_health() {
     m_last_probe = m_context.m_clock.now();
     auto control = call_control::create(m_io, tcp::socket(m_io), m_context.m_clock, next_seed());
--- a/src/traffic/traffic.hpp
+++ b/src/traffic/traffic.hpp
@@ -1,4 +1,4 @@
-// The HTTP side of a node: takes callers' and other nodes' calls, routes them, and enforces
+// HTTP server of a node: accepts calls from callers and other nodes, routes them, and enforces
 // admission in front of the own backend server.
 #pragma once
 
@@ -16,19 +16,20 @@
 
 namespace caraway {
 
-// What the traffic side tells the control thread. Called on traffic threads; the receiver posts.
+// Callbacks by which the traffic side informs the control thread. They are called on traffic
+// threads, so the receiver must post to its own thread.
 struct traffic_hooks {
-    // A peer's header named a higher configuration version than the own one.
+    // A peer's message contained a higher configuration version than this node's.
     std::function<void(const std::string& instance, std::uint64_t version)> m_newer_version_seen;
-    // The own backend server, by its identity, refuses connections.
+    // The own backend server refused a connection; server is its identity.
     std::function<void(const std::string& server)> m_server_unreachable;
 };
 
-// The traffic server with its threads.
+// HTTP server for calls, with its own threads.
 class traffic_server {
 public:
-    // Binds the listening socket and starts the threads. Fails with invalid_settings when the
-    // address can't be bound.
+    // Binds the listening sockets and starts the threads. Returns null, with the reason
+    // invalid_settings, if an address can't be bound.
     static std::unique_ptr<traffic_server> start(const node_settings& settings,
                                                  const clock_source& clock, snapshot_cell& snapshot,
                                                  node_metrics& metrics, traffic_hooks hooks,
@@ -39,23 +40,24 @@
     traffic_server& operator=(traffic_server&&) = delete;
     ~traffic_server();
 
-    // Takes the counts of the own backend server since the last call, for the move's holder.
+    // Returns the call counts of the own backend server and resets them. They are meant for the
+    // instance that holds the lease of the version move.
     evidence_report take_evidence();
 
-    // Tells waiting calls that the snapshot changed (they may wait for a newer version).
+    // Wakes the calls that wait for a newer configuration, after the snapshot has changed.
     void snapshot_changed();
 
-    // New work is refused as not run after this time, until it is set to a later one. Without a
-    // call the snapshot is always trusted.
+    // Sets the time until which the snapshot is trusted. After it, new work is refused as not run
+    // until a later time is set. If this is never called, the snapshot is always trusted.
     void trust_snapshot_until(time_point until);
 
-    // Refuses new work as not run from now on; running calls go on.
+    // Refuses new work as not run from now on; running calls continue.
     void drain();
 
-    // Calls and answers still under way.
+    // Returns the number of calls that are running or whose response is still being sent.
     std::size_t calls_in_progress() const;
 
-    // Load of the own backend server in permille of its limits.
+    // Returns the load of the own backend server; see admission_load_permille.
     std::uint32_t load_permille() const;
 
 private:
--- a/src/traffic/traffic_context.cpp
+++ b/src/traffic/traffic_context.cpp
@@ -7,15 +7,16 @@
 namespace caraway {
 namespace {
 
-// Idle connections to one node. At the planned 70 calls/s and some 20 ms each, a node rarely has
-// more than a few calls outstanding with one other.
+// Maximum number of idle connections to one other node. At the planned 70 calls/s of about 20 ms
+// each, a node rarely has more than a few calls to one other node in progress.
 constexpr std::size_t max_idle_per_peer = 64;
-// Idle connections to the own backend server are bounded by its service's connections, of which
-// this is the highest sensible number.
+// Maximum number of idle connections to the own backend server. They are also bounded by its
+// service's connection limit, of which this is the highest sensible value.
 constexpr std::size_t max_idle_own_server = 1'024;
-// Other nodes keep idle connections for 75 s.
+// Shorter than the 75 s for which other nodes keep idle connections.
 constexpr milliseconds max_idle_time_peers{30'000};
-// Backend servers that state no idle time rarely close a connection sooner than after some seconds.
+// Backend servers that state no idle timeout rarely close an idle connection within the first few
+// seconds.
 constexpr milliseconds max_idle_time_own_server{4'000};
 
 } // namespace
--- a/src/traffic/traffic_context.hpp
+++ b/src/traffic/traffic_context.hpp
@@ -1,4 +1,4 @@
-// What the parts of the traffic side share.
+// State and types shared by the parts of the traffic side.
 #pragma once
 
 #include <atomic>
@@ -22,16 +22,17 @@
 
 namespace caraway {
 
-// Calls of one node that wait for a newer configuration at a time. More would hold connections of
-// callers for an update that may not come.
+// Maximum number of calls of one node that wait for a newer configuration. More would hold callers'
+// connections for an update that may not arrive.
 constexpr std::size_t max_config_waiting = 256;
 
-// What the entry side keeps of one service over calls.
+// State that the entry side keeps for one service between calls.
 struct entry_state {
     retry_budget m_budget;
     version_share m_share;
 };
 
+// State shared by the traffic threads of one node.
 struct traffic_context {
     traffic_context(const node_settings& settings, const clock_source& clock,
                     snapshot_cell& snapshot, node_metrics& metrics, traffic_hooks hooks,
@@ -44,18 +45,18 @@
     const traffic_hooks m_hooks;
     boost::asio::io_context& m_io;
 
-    connection_pool m_peer_pool;
-    connection_pool m_server_pool;
+    connection_pool m_peer_pool;   // to other nodes
+    connection_pool m_server_pool; // to the own backend server
     admission_gate m_gate;
     key_tables m_keys;
     control_set m_connections; // of callers and other nodes
-    control_set m_background;  // requests that no connection carries
+    control_set m_background;  // work that no incoming connection carries
     waiting_calls m_config_waiting{max_config_waiting};
 
     std::atomic<bool> m_draining{false};
     std::atomic<time_point> m_trusted_until{time_point::max()}; // see trust_snapshot_until
     std::atomic<std::size_t> m_in_progress{0};
-    std::atomic<std::int64_t> m_last_call_end_us{0}; // steady clock; for the health probe
+    std::atomic<std::int64_t> m_last_call_end_us{0}; // steady clock; used by the health probe
 
     std::mutex m_evidence_mutex;
     std::map<std::string, arm_counts, std::less<>> m_evidence; // by route
@@ -69,40 +70,41 @@
     exchange_limits limits() const {
         return {m_settings.m_max_header_bytes, m_settings.m_max_answer_bytes};
     }
-    // True when the control thread has not confirmed the snapshot for too long.
+    // Returns true if the control thread has not confirmed the snapshot for too long.
     bool snapshot_is_stale() const {
         return m_clock.now() > m_trusted_until.load(std::memory_order_relaxed);
     }
-    // Tells the control thread of a version in a peer's message that is above the own one.
+    // Reports a configuration version from a peer's message to the control thread if it is higher
+    // than this node's.
     void report_newer_version(std::string_view instance, std::uint64_t version,
                               std::uint64_t own_version) const;
 };
 
-// What is known of a call besides its HTTP message.
+// Properties of a call in addition to its HTTP message.
 struct call_info {
     std::string m_service;
     std::string m_route;
-    std::string m_version; // of the backend server, chosen at the entry side
+    std::string m_version; // of the backend server; chosen by the entry side
     urgency m_urgency = urgency::normal;
     bool m_idempotent = false;
-    time_point m_useful_until; // when an answer loses most of its worth; not known if long past
+    time_point m_useful_until; // when the answer loses most of its value; default: unknown
     std::string m_key;         // idempotency key, empty if none
     std::optional<std::uint64_t> m_first_sent_ms;
     std::string m_request_number;
-    std::uint32_t m_hop = 0; // depth of this call; 1 for a caller's
+    std::uint32_t m_hop = 0; // depth in the chain of calls; 1 for a call from a caller
     trace_context m_trace;
 };
 
-// The answer of one side with what the other side needs to know of it.
+// Response of the entry side or the backend side, with the details that the other side needs.
 struct call_reply {
     http_response m_message;
-    error_kind m_reason = error_kind::none; // none: the backend server's whole answer
+    error_kind m_reason = error_kind::none; // none: complete response of the server
     bool m_sent = false;                    // the request may have reached a backend server
     std::string m_peer;                     // instance that ran or refused the call
     std::string m_version;                  // of the backend server that ran it
 };
 
-// Counts something as in progress for its own lifetime.
+// Increments a counter for the lifetime of this object.
 class progress_guard {
 public:
     explicit progress_guard(std::atomic<std::size_t>& count) : m_count(count) {
@@ -118,18 +120,20 @@
     std::atomic<std::size_t>& m_count;
 };
 
-// Microseconds of a duration, for log fields.
+// Converts a duration to microseconds.
 inline std::int64_t to_us(duration value) {
     return std::chrono::duration_cast<std::chrono::microseconds>(value).count();
 }
 
-// Milliseconds left until a deadline, rounded down; 0 when it passed.
+// Returns the time left until a deadline in milliseconds, rounded down; 0 if it has passed.
 std::uint64_t ms_left(time_point deadline, time_point now);
 
-// Makes the reply to a call that failed at this node.
+// Creates the reply to a call that failed at this node. sent tells whether the request may have
+// reached a backend server.
 call_reply refuse(const traffic_context& context, const error& reason, bool sent);
 
-// Writes the log line, the metrics and the span of a call that ended at one side.
+// Writes the log line and the metrics of a call that ended at one side, and its span if spans are
+// enabled.
 void record_call_end(const traffic_context& context, std::string_view side, const call_info& info,
                      const trace_context& trace, const call_reply& reply, std::uint32_t attempt,
                      time_point start, wall_time wall_start);
