--- a/src/node/server_reports.cpp
+++ b/src/node/server_reports.cpp
@@ -133,11 +133,11 @@
 
 admin_answer answer_server_request(control& state, const admin_request& request) {
     const server_report_interface& reports = state.m_adapter.m_reports;
-    if (!request.m_get && request.m_path.starts_with(reports.m_report_path)) {
+    if (!request.m_is_get && request.m_path.starts_with(reports.m_report_path)) {
         return handle_report(state, request.m_path.substr(reports.m_report_path.size()),
                              request.m_body);
     }
-    if (!request.m_get && request.m_path.starts_with(reports.m_leave_path)) {
+    if (!request.m_is_get && request.m_path.starts_with(reports.m_leave_path)) {
         return handle_leave(state, request.m_path.substr(reports.m_leave_path.size()),
                             request.m_body);
     }
--- a/src/traffic/admin.cpp
+++ b/src/traffic/admin.cpp
@@ -29,8 +29,8 @@
     impl(asio::io_context& io, admin_handler handler, methods allowed)
         : m_io(io), m_acceptor(io), m_handler(std::move(handler)), m_allowed(allowed) {}
 
-    bool listen(const ip_endpoint& at, error& reason) {
-        if (!listen_at(m_acceptor, at, reason)) {
+    bool listen(const ip_endpoint& address, error& reason) {
+        if (!listen_at(m_acceptor, address, reason)) {
             return false;
         }
         asio::spawn(
@@ -57,20 +57,20 @@
                 return;
             }
             if (failed) {
-                pause.expires_after(accept_pause);
+                pause.expires_after(accept_retry_delay);
                 pause.async_wait(yield[failed]);
                 continue;
             }
-            if (m_connections >= max_connections) {
+            if (m_open_connections >= max_connections) {
                 continue; // closes it; a scraper tries again
             }
-            ++m_connections;
+            ++m_open_connections;
             auto stream = std::make_shared<beast::tcp_stream>(std::move(socket));
             asio::spawn(
                 m_io,
                 [self = shared_from_this(), stream](asio::yield_context inner) {
                     self->serve(*stream, inner);
-                    --self->m_connections;
+                    --self->m_open_connections;
                 },
                 asio::detached);
         }
@@ -89,12 +89,13 @@
             return;
         }
         const auto target = parser.get().target();
-        const bool get = parser.get().method() == http::verb::get;
-        const bool known = get || (m_allowed == methods::get_and_post &&
-                                   parser.get().method() == http::verb::post);
+        const bool is_get = parser.get().method() == http::verb::get;
+        const bool method_allowed = is_get || (m_allowed == methods::get_and_post &&
+                                               parser.get().method() == http::verb::post);
         const admin_answer answer =
-            known ? m_handler({get, path_of({target.data(), target.size()}), parser.get().body()})
-                  : admin_answer{405, "text/plain", "this method is not known here\n"};
+            method_allowed
+                ? m_handler({is_get, path_of({target.data(), target.size()}), parser.get().body()})
+                : admin_answer{405, "text/plain", "this method is not known here\n"};
         http_response message;
         message.version(11);
         message.result(answer.m_status);
@@ -110,15 +111,15 @@
     tcp::acceptor m_acceptor;
     admin_handler m_handler;
     methods m_allowed;
-    std::size_t m_connections = 0;
+    std::size_t m_open_connections = 0;
     bool m_stopped = false;
 };
 
-std::unique_ptr<admin_server> admin_server::start(asio::io_context& io, const ip_endpoint& at,
+std::unique_ptr<admin_server> admin_server::start(asio::io_context& io, const ip_endpoint& address,
                                                   admin_handler handler, error& reason,
                                                   methods allowed) {
     auto implementation = std::make_shared<impl>(io, std::move(handler), allowed);
-    if (!implementation->listen(at, reason)) {
+    if (!implementation->listen(address, reason)) {
         return nullptr;
     }
     return std::unique_ptr<admin_server>(new admin_server(std::move(implementation)));
--- a/src/traffic/admin.hpp
+++ b/src/traffic/admin.hpp
@@ -22,7 +22,7 @@
 
 // A request of a scraper, of a person or of the backend server.
 struct admin_request {
-    bool m_get = true; // GET; else POST
+    bool m_is_get = true; // GET; else POST
     std::string_view m_path;
     std::string_view m_body;
 };
@@ -35,9 +35,9 @@
 public:
     enum class methods : std::uint8_t { get, get_and_post };
     // Binds the address and begins to accept. Fails with invalid_settings when it can't be bound.
-    static std::unique_ptr<admin_server> start(boost::asio::io_context& io, const ip_endpoint& at,
-                                               admin_handler handler, error& reason,
-                                               methods allowed = methods::get);
+    static std::unique_ptr<admin_server> start(boost::asio::io_context& io,
+                                               const ip_endpoint& address, admin_handler handler,
+                                               error& reason, methods allowed = methods::get);
     admin_server(const admin_server&) = delete;
     admin_server& operator=(const admin_server&) = delete;
     admin_server(admin_server&&) = delete;
--- a/src/traffic/backend_side.cpp
+++ b/src/traffic/backend_side.cpp
@@ -85,7 +85,8 @@
 // answers would do.
 bool is_mismatched(const traffic_context& context, const http_response& answer,
                    const call_info& info) {
-    const std::string_view number = header_of(answer, context.m_settings.m_edge.m_request_number);
+    const std::string_view number =
+        header_value(answer, context.m_settings.m_edge.m_request_number);
     return !number.empty() && !info.m_request_number.empty() && number != info.m_request_number;
 }
 
@@ -110,9 +111,9 @@
     if (!edge.m_expected_server.empty() && !own.m_server.empty()) {
         set_header(request, edge.m_expected_server, own.m_server);
     }
-    strip_internal(request, std::array{header::first_sent});
+    strip_internal_headers(request, std::array{header::first_sent});
     set_header(request, header::traceparent, format_traceparent(trace));
-    set_number(request, header::hop, info.m_hop);
+    set_numeric_header(request, header::hop, info.m_hop);
 }
 
 // Statuses with which a server can say that it did not run the request.
@@ -133,13 +134,13 @@
              "another backend server has the address");
         return;
     }
-    if (may_refuse && !header_of(*result.m_answer, edge.m_not_run).empty()) {
+    if (may_refuse && !header_value(*result.m_answer, edge.m_not_run).empty()) {
         result.m_answer.reset();
         result.m_sent = false;
         fail(result.m_reason, error_kind::backend_shed, "the backend server is overloaded");
         return;
     }
-    if (!edge.m_server_seal.empty() && header_of(*result.m_answer, edge.m_server_seal).empty()) {
+    if (!edge.m_server_seal.empty() && header_value(*result.m_answer, edge.m_server_seal).empty()) {
         used.m_reusable = false;
         result.m_answer.reset();
         fail(result.m_reason, error_kind::connection_cut, "the answer lacks the server's seal");
@@ -157,7 +158,7 @@
              "the call ended before it was sent");
         return result;
     }
-    set_number(request, context.m_settings.m_edge.m_deadline_ms, left);
+    set_numeric_header(request, context.m_settings.m_edge.m_deadline_ms, left);
     log_start(info, info.m_version);
     result.m_sent = true;
     const auto belongs = [&context, &info](const http_response& answer) {
@@ -246,7 +247,7 @@
     }
     if (key != nullptr) {
         if (!key->claim(yield, result.m_reason)) {
-            context.m_own_server.give_back(std::move(used));
+            context.m_own_server.return_connection(std::move(used));
             return result;
         }
         // The server may have closed the connection meanwhile.
@@ -259,14 +260,14 @@
         }
     }
     if (auto refused = late_refusal(context, snapshot)) {
-        context.m_own_server.give_back(std::move(used));
+        context.m_own_server.return_connection(std::move(used));
         result.m_reason = std::move(*refused);
         return result;
     }
     const time_point sent_at = context.m_clock.now();
     result = call_server(context, control, info, *used, request, yield);
     const duration latency = context.m_clock.now() - sent_at;
-    context.m_own_server.give_back(std::move(used));
+    context.m_own_server.return_connection(std::move(used));
     report_end(context, info, snapshot, result, latency, cold, slot.m_sample);
     return result;
 }
@@ -276,32 +277,32 @@
     call_reply reply;
     if (result.m_answer) {
         reply.m_message = std::move(*result.m_answer);
-        strip_hop_by_hop(reply.m_message);
-        strip_internal(reply.m_message, {});
+        strip_hop_by_hop_headers(reply.m_message);
+        strip_internal_headers(reply.m_message, {});
         if (result.m_replayed) {
             set_header(reply.m_message, header::replayed, "1");
         }
         set_header(reply.m_message, header::outcome, outcome_name(outcome::answered));
         set_header(reply.m_message, header::reason, answer_for(error_kind::none).m_name);
         set_header(reply.m_message, header::instance, context.m_settings.m_instance);
-        set_number(reply.m_message, header::config_version,
-                   context.m_snapshot.load()->m_config_version);
+        set_numeric_header(reply.m_message, header::config_version,
+                           context.m_snapshot.load()->m_config_version);
         reply.m_peer = context.m_settings.m_instance;
         reply.m_sent = !result.m_replayed;
     } else {
         reply = refuse(context, result.m_reason, result.m_sent);
         if (is_overload_refusal(result.m_reason.m_kind)) {
-            set_number(reply.m_message, header::room_after_us,
-                       static_cast<std::uint64_t>(to_us(result.m_room_after)));
+            set_numeric_header(reply.m_message, header::capacity_after_us,
+                               static_cast<std::uint64_t>(to_us(result.m_room_after)));
         }
     }
     reply.m_version = context.m_snapshot.load()->m_own.m_version;
     set_header(reply.m_message, header::backend_version, reply.m_version);
     const server_quality quality = context.m_gate.quality();
-    set_number(reply.m_message, header::load, quality.m_load_permille);
-    set_number(reply.m_message, header::failures, quality.m_failure_permille);
-    set_number(reply.m_message, header::latency_us,
-               static_cast<std::uint64_t>(to_us(quality.m_latency)));
+    set_numeric_header(reply.m_message, header::load, quality.m_load_permille);
+    set_numeric_header(reply.m_message, header::failures, quality.m_failure_permille);
+    set_numeric_header(reply.m_message, header::latency_us,
+                       static_cast<std::uint64_t>(to_us(quality.m_latency)));
     return reply;
 }
 
@@ -410,15 +411,15 @@
     const time_point now = context.m_clock.now();
     const auto snapshot = context.m_snapshot.load();
     call_info info;
-    info.m_service = header_of(request, header::service);
-    info.m_version = header_of(request, header::backend_version);
-    info.m_key = header_of(request, header::idempotency_key);
-    info.m_request_number = header_of(request, context.m_settings.m_edge.m_request_number);
-    info.m_first_sent_ms = number_header(request, header::first_sent);
-    info.m_hop = static_cast<std::uint32_t>(
-        std::min<std::uint64_t>(number_header(request, header::hop).value_or(1), max_hops + 1));
+    info.m_service = header_value(request, header::service);
+    info.m_version = header_value(request, header::backend_version);
+    info.m_key = header_value(request, header::idempotency_key);
+    info.m_request_number = header_value(request, context.m_settings.m_edge.m_request_number);
+    info.m_first_sent_ms = numeric_header_value(request, header::first_sent);
+    info.m_hop = static_cast<std::uint32_t>(std::min<std::uint64_t>(
+        numeric_header_value(request, header::hop).value_or(1), max_hops + 1));
     // The sender's span becomes the parent in run_backend.
-    info.m_trace = continue_trace(header_of(request, header::traceparent), control.random());
+    info.m_trace = continue_trace(header_value(request, header::traceparent), control.random());
     info.m_trace.m_span = info.m_trace.m_parent;
 
     // The route may differ between the sender's configuration and the own one. Without a route of
@@ -436,14 +437,15 @@
         }
     }
     // 0 says that the answer is late already, which differs from not knowing.
-    if (const auto useful = time_left(request, header::useful_ms)) {
+    if (const auto useful = remaining_time(request, header::useful_ms)) {
         info.m_useful_until = now + *useful;
     }
-    const milliseconds allowed = time_left(request).value_or(timeout);
-    const std::uint64_t sender_version = number_header(request, header::config_version).value_or(0);
-    context.note_version(header_of(request, header::instance), sender_version,
+    const milliseconds allowed = remaining_time(request).value_or(timeout);
+    const std::uint64_t sender_version =
+        numeric_header_value(request, header::config_version).value_or(0);
+    context.note_version(header_value(request, header::instance), sender_version,
                          snapshot->m_config_version);
-    strip_hop_by_hop(request);
+    strip_hop_by_hop_headers(request);
     control.begin_call(now + allowed);
     return run_backend(context, control, info, sender_version, request, yield);
 }
--- a/src/traffic/claims_over_http.cpp
+++ b/src/traffic/claims_over_http.cpp
@@ -149,7 +149,7 @@
     answer.result(http::status::ok);
     set_header(answer, result_state_header, found ? state_name(found->m_state) : "absent");
     if (found && found->m_state == result_state::stored) {
-        set_number(answer, result_status_header, found->m_status);
+        set_numeric_header(answer, result_status_header, found->m_status);
         answer.set(http::field::content_type, found->m_content_type);
         answer.body() = found->m_body;
     }
@@ -181,17 +181,18 @@
     request.set(http::field::host, format_endpoint(peer));
     request.set(http::field::content_type, "application/json");
     set_header(request, header::instance, context.m_settings.m_instance);
-    set_number(request, header::exchange, number);
-    set_number(request, header::deadline_ms, ms_left(control.deadline(), context.m_clock.now()));
+    set_numeric_header(request, header::exchange, number);
+    set_numeric_header(request, header::deadline_ms,
+                       ms_left(control.deadline(), context.m_clock.now()));
     request.prepare_payload();
     auto answer = exchange(control, *used, request, context.limits(), nullptr, yield, reason);
     if (!answer) {
         return std::nullopt;
     }
-    if (number_header(*answer, header::exchange) != number) {
+    if (numeric_header_value(*answer, header::exchange) != number) {
         return fail(reason, error_kind::connection_cut, "the answer belongs to another request");
     }
-    context.m_peers.give_back(std::move(used));
+    context.m_peers.return_connection(std::move(used));
     return answer;
 }
 
@@ -314,7 +315,7 @@
                    {"claim", decoded->m_claim_id},
                    {"status", status_name(reply.m_status)},
                    {"holder", reply.m_claimant}});
-        return make_json(200, encode_reply(reply));
+        return make_json_response(200, encode_reply(reply));
     }
     if (path == withdraw_path) {
         context.m_keys.withdraw(*decoded);
@@ -323,11 +324,11 @@
                    {"key", decoded->m_key},
                    {"claimant", decoded->m_claimant},
                    {"claim", decoded->m_claim_id}});
-        return make_json(200, "{}");
+        return make_json_response(200, "{}");
     }
     if (path == result_path) {
         const time_point until =
-            context.m_clock.now() + time_left(request).value_or(milliseconds(0));
+            context.m_clock.now() + remaining_time(request).value_or(milliseconds(0));
         control.begin_call(until);
         return make_result_answer(context.m_keys.wait_while_running(
             control, claim_key(decoded->m_service, decoded->m_key), decoded->m_claim_id, until,
@@ -509,13 +510,13 @@
     if (!answer || answer->result_int() != 200) {
         return false;
     }
-    state = header_of(*answer, result_state_header);
+    state = header_value(*answer, result_state_header);
     if (state == state_name(result_state::stored)) {
-        const auto status = number_header(*answer, result_status_header).value_or(0);
+        const auto status = numeric_header_value(*answer, result_status_header).value_or(0);
         if (status < 200 || status > 599) {
             return false;
         }
-        const std::string type(header_of(*answer, "content-type"));
+        const std::string type(header_value(*answer, "content-type"));
         m_replay = make_replay(static_cast<unsigned>(status), type, std::move(answer->body()));
     }
     return state == state_name(result_state::withdrawn);
--- a/src/traffic/connection_pool.cpp
+++ b/src/traffic/connection_pool.cpp
@@ -19,9 +19,9 @@
 constexpr milliseconds connect_timeout{250};
 // Part of the idle time stated by the other side after which a connection is used no more, so that
 // a request never meets a connection that the other side closes at the same moment.
-constexpr double idle_time_share = 0.6;
+constexpr double idle_timeout_fraction = 0.6;
 // Answers to earlier requests that are dropped before the one that is waited for.
-constexpr int max_foreign_answers = 2;
+constexpr int max_mismatched_answers = 2;
 // Interim answers before the final one; a server that sends them without end is given up.
 constexpr int max_interim_answers = 16;
 // Bytes read at once beyond the header limit.
@@ -29,9 +29,9 @@
 
 // Closes the socket of an attempt that takes too long. The handler may run after the attempt is
 // over, so it holds a shared flag instead of the attempt's state.
-class connect_limit {
+class connect_timeout_guard {
 public:
-    connect_limit(call_control& control, tcp::socket& socket, duration limit)
+    connect_timeout_guard(call_control& control, tcp::socket& socket, duration limit)
         : m_timer(control.strand()), m_active(std::make_shared<bool>(true)) {
         m_timer.expires_after(limit);
         m_timer.async_wait(
@@ -42,11 +42,11 @@
                 }
             }));
     }
-    connect_limit(const connect_limit&) = delete;
-    connect_limit& operator=(const connect_limit&) = delete;
-    connect_limit(connect_limit&&) = delete;
-    connect_limit& operator=(connect_limit&&) = delete;
-    ~connect_limit() { *m_active = false; }
+    connect_timeout_guard(const connect_timeout_guard&) = delete;
+    connect_timeout_guard& operator=(const connect_timeout_guard&) = delete;
+    connect_timeout_guard(connect_timeout_guard&&) = delete;
+    connect_timeout_guard& operator=(connect_timeout_guard&&) = delete;
+    ~connect_timeout_guard() { *m_active = false; }
 
 private:
     asio::steady_timer m_timer;
@@ -67,7 +67,7 @@
     }
 }
 
-error_kind kind_of_read_failure(const error_code& failed, bool got_some) {
+error_kind read_error_kind(const error_code& failed, bool got_some) {
     if (failed == http::error::body_limit) {
         return error_kind::answer_too_large;
     }
@@ -89,7 +89,7 @@
 std::unique_ptr<connection> connection_pool::take_idle(const ip_endpoint& peer) {
     const time_point now = m_clock.now();
     while (true) {
-        std::unique_ptr<connection> taken;
+        std::unique_ptr<connection> idle_connection;
         {
             const std::lock_guard lock(m_mutex);
             const auto found = m_idle.find(peer);
@@ -97,13 +97,13 @@
                 return nullptr;
             }
             // The most recently used one, so that surplus connections age and are closed.
-            taken = std::move(found->second.back());
+            idle_connection = std::move(found->second.back());
             found->second.pop_back();
             --m_idle_count;
         }
-        if (now - taken->m_idle_since <= taken->m_max_idle_time &&
-            !is_readable_or_closed(taken->m_socket)) {
-            return taken;
+        if (now - idle_connection->m_idle_since <= idle_connection->m_max_idle_time &&
+            !is_readable_or_closed(idle_connection->m_socket)) {
+            return idle_connection;
         }
     }
 }
@@ -117,66 +117,68 @@
     if (auto idle = take_idle(peer)) {
         return idle;
     }
-    auto made =
+    auto opened =
         std::make_unique<connection>(m_io, peer, read_ahead_bytes + (64U << 10U), m_max_idle_time);
     error_code failed;
     {
-        const call_control::outgoing_guard guard(control, made->m_socket);
-        const connect_limit limit(control, made->m_socket, connect_timeout);
+        const call_control::outgoing_guard guard(control, opened->m_socket);
+        const connect_timeout_guard limit(control, opened->m_socket, connect_timeout);
         if (m_source) {
-            bind_source(made->m_socket, *m_source, failed);
+            bind_source(opened->m_socket, *m_source, failed);
         }
         if (!failed) {
-            made->m_socket.async_connect(to_tcp(peer), yield[failed]);
+            opened->m_socket.async_connect(to_tcp_endpoint(peer), yield[failed]);
         }
     }
     if (control.is_ended()) {
         fail(reason, control.ended_kind(false), "the call ended while connecting");
         return nullptr;
     }
-    if (failed || !made->m_socket.is_open()) {
+    if (failed || !opened->m_socket.is_open()) {
         fail(reason, error_kind::connect_failed,
              "connect to " + format_endpoint(peer) + ": " + failed.message());
         return nullptr;
     }
     error_code ignored;
-    made->m_socket.set_option(tcp::no_delay(true), ignored);
-    detect_dead_peer(made->m_socket.native_handle());
-    return made;
+    opened->m_socket.set_option(tcp::no_delay(true), ignored);
+    detect_dead_peer(opened->m_socket.native_handle());
+    return opened;
 }
 
-void connection_pool::give_back(std::unique_ptr<connection> used) {
-    if (!used || !used->m_reusable || !used->m_socket.is_open() || used->m_buffer.size() != 0) {
+void connection_pool::return_connection(std::unique_ptr<connection> peer_connection) {
+    if (!peer_connection || !peer_connection->m_reusable || !peer_connection->m_socket.is_open() ||
+        peer_connection->m_buffer.size() != 0) {
         return;
     }
-    used->m_fresh = false;
-    used->m_idle_since = m_clock.now();
+    peer_connection->m_first_request = false;
+    peer_connection->m_idle_since = m_clock.now();
     const std::lock_guard lock(m_mutex);
     if (m_closed || m_idle_count >= m_max_idle) {
         return;
     }
-    auto& idle = m_idle[used->m_peer];
+    auto& idle = m_idle[peer_connection->m_peer];
     if (idle.size() >= m_max_idle_per_peer) {
         return;
     }
-    idle.push_back(std::move(used));
+    idle.push_back(std::move(peer_connection));
     ++m_idle_count;
 }
 
-void connection_pool::close_old() {
+void connection_pool::close_expired() {
     const time_point now = m_clock.now();
     std::vector<std::unique_ptr<connection>> closing; // closed outside the lock
     const std::lock_guard lock(m_mutex);
     for (auto peer = m_idle.begin(); peer != m_idle.end();) {
         auto& idle = peer->second;
         // Idle times grow towards the front, since the back is taken first.
-        std::size_t old = 0;
-        while (old < idle.size() && now - idle[old]->m_idle_since > idle[old]->m_max_idle_time) {
-            closing.push_back(std::move(idle[old]));
-            ++old;
+        std::size_t expired = 0;
+        while (expired < idle.size() &&
+               now - idle[expired]->m_idle_since > idle[expired]->m_max_idle_time) {
+            closing.push_back(std::move(idle[expired]));
+            ++expired;
         }
-        idle.erase(idle.begin(), idle.begin() + static_cast<std::ptrdiff_t>(old));
-        m_idle_count -= old;
+        idle.erase(idle.begin(), idle.begin() + static_cast<std::ptrdiff_t>(expired));
+        m_idle_count -= expired;
         peer = idle.empty() ? m_idle.erase(peer) : std::next(peer);
     }
 }
@@ -192,7 +194,7 @@
 namespace {
 
 // Takes over how long the other side keeps an idle connection, if its answer says so.
-void note_idle_time(connection& used, const http_response& answer) {
+void apply_keep_alive_timeout(connection& peer_connection, const http_response& answer) {
     constexpr std::string_view parameter = "timeout=";
     const auto found = answer.find(http::field::keep_alive);
     if (found == answer.end()) {
@@ -206,24 +208,24 @@
                 .ec != std::errc()) {
         return;
     }
-    const auto stated =
-        std::chrono::duration_cast<milliseconds>(std::chrono::seconds(seconds) * idle_time_share);
-    used.m_max_idle_time = std::min(used.m_max_idle_time, stated);
+    const auto stated = std::chrono::duration_cast<milliseconds>(std::chrono::seconds(seconds) *
+                                                                 idle_timeout_fraction);
+    peer_connection.m_max_idle_time = std::min(peer_connection.m_max_idle_time, stated);
 }
 
 } // namespace
 
-std::optional<http_response> exchange(call_control& control, connection& used,
+std::optional<http_response> exchange(call_control& control, connection& peer_connection,
                                       const http_request& request, const exchange_limits& limits,
-                                      const answer_check& belongs, asio::yield_context yield,
+                                      const answer_matcher& matches, asio::yield_context yield,
                                       error& reason) {
-    used.m_reusable = false;
-    int foreign = 0;
-    int interim = 0;
-    const call_control::outgoing_guard guard(control, used.m_socket);
+    peer_connection.m_reusable = false;
+    int mismatched = 0;
+    int interim_answers = 0;
+    const call_control::outgoing_guard guard(control, peer_connection.m_socket);
     error_code write_failed;
     http::serializer<true, http::string_body> serializer(request);
-    http::async_write(used.m_socket, serializer, yield[write_failed]);
+    http::async_write(peer_connection.m_socket, serializer, yield[write_failed]);
     if (control.is_ended()) {
         return fail(reason, control.ended_kind(true), "the call ended while it was sent");
     }
@@ -237,31 +239,32 @@
             parser.skip(true);
         }
         error_code read_failed;
-        http::async_read(used.m_socket, used.m_buffer, parser, yield[read_failed]);
+        http::async_read(peer_connection.m_socket, peer_connection.m_buffer, parser,
+                         yield[read_failed]);
         if (control.is_ended()) {
             return fail(reason, control.ended_kind(true), "the call ended before its answer");
         }
         if (read_failed) {
-            return fail(reason, kind_of_read_failure(read_failed, parser.got_some()),
+            return fail(reason, read_error_kind(read_failed, parser.got_some()),
                         "read the answer: " + read_failed.message());
         }
         if (parser.get().result_int() / 100 == 1) {
-            if (++interim > max_interim_answers) {
+            if (++interim_answers > max_interim_answers) {
                 return fail(reason, error_kind::connection_cut,
                             "too many interim answers came before the final one");
             }
             continue;
         }
-        if (belongs && !belongs(parser.get())) {
-            if (++foreign > max_foreign_answers || !parser.keep_alive()) {
+        if (matches && !matches(parser.get())) {
+            if (++mismatched > max_mismatched_answers || !parser.keep_alive()) {
                 return fail(reason, error_kind::connection_cut,
                             "the answer belongs to another request");
             }
             continue;
         }
-        note_idle_time(used, parser.get());
-        used.m_reusable =
-            !write_failed && parser.keep_alive() && used.m_buffer.size() == 0 && !parser.upgrade();
+        apply_keep_alive_timeout(peer_connection, parser.get());
+        peer_connection.m_reusable = !write_failed && parser.keep_alive() &&
+                                     peer_connection.m_buffer.size() == 0 && !parser.upgrade();
         return parser.release();
     }
 }
--- a/src/traffic/connection_pool.hpp
+++ b/src/traffic/connection_pool.hpp
@@ -28,7 +28,7 @@
     boost::beast::flat_buffer m_buffer;
     time_point m_idle_since;
     milliseconds m_max_idle_time; // the other side may close it soon after
-    bool m_fresh = true;          // carried no request before the present one
+    bool m_first_request = true;  // carried no request before the present one
     bool m_reusable = true;       // the last answer was whole and the peer keeps the connection
 };
 
@@ -51,9 +51,9 @@
     std::unique_ptr<connection> open(call_control& control, const ip_endpoint& peer,
                                      boost::asio::yield_context yield, error& reason);
     // Keeps the connection for the next call if it is reusable, else closes it.
-    void give_back(std::unique_ptr<connection> used);
+    void return_connection(std::unique_ptr<connection> peer_connection);
     // Closes connections that idled too long.
-    void close_old();
+    void close_expired();
     void close_all();
 
 private:
@@ -72,15 +72,15 @@
 };
 
 // True for the answer to the request; an answer to an earlier one may arrive late before it.
-using answer_check = std::function<bool(const http_response&)>;
+using answer_matcher = std::function<bool(const http_response&)>;
 
 // Sends the request and reads the whole answer; those that belong to another request are dropped.
 // An answer without a length ends with its connection, unless that is reset. Fails with
 // connection_cut when no byte of an answer came, answer_truncated when it ended early,
 // answer_too_large, or the call's end; the request may have been received in all these cases.
-std::optional<http_response> exchange(call_control& control, connection& used,
+std::optional<http_response> exchange(call_control& control, connection& peer_connection,
                                       const http_request& request, const exchange_limits& limits,
-                                      const answer_check& belongs, boost::asio::yield_context yield,
-                                      error& reason);
+                                      const answer_matcher& matches,
+                                      boost::asio::yield_context yield, error& reason);
 
 } // namespace caraway
--- a/src/traffic/entry_side.cpp
+++ b/src/traffic/entry_side.cpp
@@ -19,7 +19,7 @@
 constexpr milliseconds answer_margin{5};
 
 // Time that a caller is taken to have left when none of its calls has begun.
-constexpr milliseconds default_time_left{1'000};
+constexpr milliseconds default_remaining_time{1'000};
 
 // Routes whose callers' deadlines are remembered, over all configurations since the start.
 constexpr std::size_t max_tracked_routes = 10'000;
@@ -35,22 +35,23 @@
     const route_spec* m_route = nullptr;
     std::vector<bool> m_tried;
     std::uint32_t m_attempts = 0;
-    std::uint32_t m_servers = 0;  // attempts that reached a backend server
-    std::uint32_t m_refusals = 0; // attempts that a node refused before
+    std::uint32_t m_server_attempts = 0;  // attempts that reached a backend server
+    std::uint32_t m_refused_attempts = 0; // attempts that a node refused before
 };
 
 std::string_view target_of(const http_request& request) {
     return {request.target().data(), request.target().size()};
 }
 
-time_point from_us(std::int64_t us) {
+time_point time_point_from_us(std::int64_t us) {
     return time_point(std::chrono::duration_cast<duration>(std::chrono::microseconds(us)));
 }
 
 circuit_breaker load_breaker(const backend_counters& counters) {
     circuit_breaker breaker;
     breaker.m_failures = counters.m_failures.load(std::memory_order_relaxed);
-    breaker.m_open_until = from_us(counters.m_open_until_us.load(std::memory_order_relaxed));
+    breaker.m_open_until =
+        time_point_from_us(counters.m_open_until_us.load(std::memory_order_relaxed));
     return breaker;
 }
 
@@ -62,12 +63,13 @@
 
 // Tells the breaker how an attempt ended. A node that refuses answers, so it is reachable; one
 // whose backend server refuses connections is not.
-void update_breaker(backend_counters& counters, error_kind reason, bool own, time_point now) {
+void update_breaker(backend_counters& counters, error_kind reason, bool own_server,
+                    time_point now) {
     if (reason == error_kind::cancelled_before_send || reason == error_kind::cancelled_after_send) {
         return; // says nothing about the backend server
     }
     circuit_breaker breaker = load_breaker(counters);
-    if (reason == error_kind::connect_failed && !own) {
+    if (reason == error_kind::connect_failed && !own_server) {
         breaker_record_unreachable(breaker, now);
     } else if (reason == error_kind::connect_failed || reason == error_kind::connection_cut ||
                reason == error_kind::deadline_after_send) {
@@ -81,16 +83,17 @@
 }
 
 refusal_state load_refusals(const backend_counters& counters) {
-    refusal_state memory;
+    refusal_state refusals;
     for (std::size_t i = 0; i < urgency_levels; ++i) {
-        memory.m_until[i] = from_us(counters.m_refuses_until_us[i].load(std::memory_order_relaxed));
+        refusals.m_until[i] =
+            time_point_from_us(counters.m_refuses_until_us[i].load(std::memory_order_relaxed));
     }
-    return memory;
+    return refusals;
 }
 
-void store_refusals(backend_counters& counters, const refusal_state& memory) {
+void store_refusals(backend_counters& counters, const refusal_state& refusals) {
     for (std::size_t i = 0; i < urgency_levels; ++i) {
-        counters.m_refuses_until_us[i].store(to_us(memory.m_until[i].time_since_epoch()),
+        counters.m_refuses_until_us[i].store(to_us(refusals.m_until[i].time_since_epoch()),
                                              std::memory_order_relaxed);
     }
 }
@@ -98,23 +101,24 @@
 // Remembers whether the backend server had room for the call.
 void update_refusals(backend_counters& counters, const call_info& info, const call_reply& reply,
                      time_point now) {
-    refusal_state memory = load_refusals(counters);
+    refusal_state refusals = load_refusals(counters);
     if (is_overload_refusal(reply.m_reason)) {
-        const auto stated = number_header(reply.m_message, header::room_after_us).value_or(0);
+        const auto stated =
+            numeric_header_value(reply.m_message, header::capacity_after_us).value_or(0);
         const auto wait = std::chrono::microseconds(std::min(stated, max_latency_us));
-        record_refusal(memory, info.m_urgency, wait, now);
+        record_refusal(refusals, info.m_urgency, wait, now);
     } else if (reply.m_reason == error_kind::none) {
-        record_acceptance(memory, info.m_urgency);
+        record_acceptance(refusals, info.m_urgency);
     } else {
         return;
     }
-    store_refusals(counters, memory);
+    store_refusals(counters, refusals);
 }
 
 // The backend servers of a version as this node knows them; an empty version stands for all but the
 // target of a move.
-std::vector<candidate> candidates_of(const entry_call& call, std::string_view version,
-                                     time_point now) {
+std::vector<candidate> make_candidates(const entry_call& call, std::string_view version,
+                                       time_point now) {
     std::vector<candidate> candidates;
     candidates.reserve(call.m_service->m_backends.size());
     for (std::size_t i = 0; i < call.m_service->m_backends.size(); ++i) {
@@ -122,17 +126,18 @@
         const backend_counters& counters = *backend.m_counters;
         candidate entry;
         entry.m_own_data_centre = backend.m_own_data_centre;
-        const bool wanted = version.empty()
-                                ? is_old_version(call.m_service->m_spec, backend.m_version)
-                                : backend.m_version == version;
+        const bool has_version = version.empty()
+                                     ? is_old_version(call.m_service->m_spec, backend.m_version)
+                                     : backend.m_version == version;
         entry.m_usable =
-            wanted && !(backend.m_own && call.m_snapshot->m_own_refusal != error_kind::none);
+            has_version && !(backend.m_own && call.m_snapshot->m_own_refusal != error_kind::none);
         entry.m_outstanding = counters.m_outstanding.load(std::memory_order_relaxed);
         entry.m_load_permille = counters.m_load_permille.load(std::memory_order_relaxed);
         entry.m_failure_permille = counters.m_failure_permille.load(std::memory_order_relaxed);
         entry.m_latency =
             std::chrono::microseconds(counters.m_latency_us.load(std::memory_order_relaxed));
-        entry.m_load_age = now - from_us(counters.m_load_at_us.load(std::memory_order_relaxed));
+        entry.m_load_age =
+            now - time_point_from_us(counters.m_load_at_us.load(std::memory_order_relaxed));
         entry.m_breaker_open = breaker_is_open(load_breaker(counters), now);
         entry.m_refusing = is_refusing(load_refusals(counters), call.m_info.m_urgency, now);
         entry.m_tried = call.m_tried[i];
@@ -142,15 +147,15 @@
 }
 
 // How the choice of a backend server ended: its place in the service, or why there is none.
-struct choice {
+struct backend_choice {
     std::optional<std::size_t> m_backend;
     error_kind m_reason = error_kind::no_backend_server;
 };
 
 // Chooses a backend server of the version that was not tried yet.
-choice choose_of_version(const entry_call& call, std::string_view version, random_source& random,
-                         time_point now) {
-    const std::vector<candidate> candidates = candidates_of(call, version, now);
+backend_choice choose_backend_of_version(const entry_call& call, std::string_view version,
+                                         random_source& random, time_point now) {
+    const std::vector<candidate> candidates = make_candidates(call, version, now);
     if (is_overloaded(candidates)) {
         return {std::nullopt, error_kind::queue_full};
     }
@@ -159,23 +164,26 @@
 
 // Chooses version and backend server. Calls of a new version without a usable backend server go to
 // the old one; the other way round the new version would get more than its share.
-choice choose_backend(entry_call& call, bool new_version, random_source& random, time_point now) {
+backend_choice choose_backend(entry_call& call, bool new_version, random_source& random,
+                              time_point now) {
     if (new_version) {
-        const choice found = choose_of_version(call, call.m_service->m_new_version, random, now);
+        const backend_choice found =
+            choose_backend_of_version(call, call.m_service->m_new_version, random, now);
         if (found.m_backend) {
             return found;
         }
-        const choice old = choose_of_version(call, call.m_service->m_old_version, random, now);
+        const backend_choice old =
+            choose_backend_of_version(call, call.m_service->m_old_version, random, now);
         return old.m_backend ? old : found;
     }
-    return choose_of_version(call, call.m_service->m_old_version, random, now);
+    return choose_backend_of_version(call, call.m_service->m_old_version, random, now);
 }
 
 // Reads the outcome that the next node states. An answer without a consistent outcome is not one of
 // a node, so nothing is known of the request.
-error_kind stated_reason(const http_response& answer) {
-    const auto stated = outcome_from_name(header_of(answer, header::outcome));
-    const auto kind = error_kind_from_name(header_of(answer, header::reason));
+error_kind reported_error_kind(const http_response& answer) {
+    const auto stated = outcome_from_name(header_value(answer, header::outcome));
+    const auto kind = error_kind_from_name(header_value(answer, header::reason));
     if (!stated || !kind || answer_for(*kind).m_outcome != *stated) {
         return error_kind::internal;
     }
@@ -184,35 +192,36 @@
 
 // True when the answer is the one to the request with the given exchange number. A node that
 // refuses a new connection answers without having read a request, so without a number.
-bool belongs_to(const http_response& answer, std::uint64_t number, bool fresh) {
+bool matches_request(const http_response& answer, std::uint64_t number, bool first_request) {
     if (answer.find(std::string(header::exchange)) != answer.end()) {
-        return number_header(answer, header::exchange) == number;
+        return numeric_header_value(answer, header::exchange) == number;
     }
-    return fresh && stated_reason(answer) == error_kind::too_many_connections;
+    return first_request && reported_error_kind(answer) == error_kind::too_many_connections;
 }
 
 // Takes over what the answer's headers tell of the backend server and of its node.
-void note_answer(traffic_context& context, const entry_call& call, const backend_view& backend,
-                 const http_response& answer, time_point now) {
-    if (const auto load = number_header(answer, header::load)) {
+void update_backend_counters(traffic_context& context, const entry_call& call,
+                             const backend_view& backend, const http_response& answer,
+                             time_point now) {
+    if (const auto load = numeric_header_value(answer, header::load)) {
         backend.m_counters->m_load_permille.store(
             static_cast<std::uint32_t>(std::min<std::uint64_t>(*load, 1'000'000)),
             std::memory_order_relaxed);
         backend.m_counters->m_load_at_us.store(to_us(now.time_since_epoch()),
                                                std::memory_order_relaxed);
     }
-    if (const auto failures = number_header(answer, header::failures)) {
+    if (const auto failures = numeric_header_value(answer, header::failures)) {
         backend.m_counters->m_failure_permille.store(
             static_cast<std::uint32_t>(std::min<std::uint64_t>(*failures, 1000)),
             std::memory_order_relaxed);
     }
-    if (const auto latency = number_header(answer, header::latency_us)) {
+    if (const auto latency = numeric_header_value(answer, header::latency_us)) {
         backend.m_counters->m_latency_us.store(
             static_cast<std::int64_t>(std::min<std::uint64_t>(*latency, max_latency_us)),
             std::memory_order_relaxed);
     }
-    context.note_version(header_of(answer, header::instance),
-                         number_header(answer, header::config_version).value_or(0),
+    context.note_version(header_value(answer, header::instance),
+                         numeric_header_value(answer, header::config_version).value_or(0),
                          call.m_snapshot->m_config_version);
 }
 
@@ -227,8 +236,8 @@
         reply.m_version = backend.m_version;
         return reply;
     };
-    auto used = context.m_peers.open(control, backend.m_traffic, yield, reason);
-    if (!used) {
+    auto peer_connection = context.m_peers.open(control, backend.m_traffic, yield, reason);
+    if (!peer_connection) {
         return failed(false);
     }
     const std::uint64_t left = ms_left(control.deadline(), context.m_clock.now());
@@ -236,48 +245,50 @@
     const std::uint64_t allowed = left > 2 * margin ? left - margin : left / 2;
     if (allowed == 0) {
         fail(reason, error_kind::deadline_before_send, "too little time is left to send the call");
-        context.m_peers.give_back(std::move(used));
+        context.m_peers.return_connection(std::move(peer_connection));
         return failed(false);
     }
     const std::uint64_t number = control.random()();
-    strip_internal(request, {});
+    strip_internal_headers(request, {});
     set_header(request, header::service, info.m_service);
     set_header(request, header::backend_version, backend.m_version);
     set_header(request, header::instance, context.m_settings.m_instance);
     set_header(request, header::traceparent, format_traceparent(info.m_trace));
-    set_number(request, header::config_version, call.m_snapshot->m_config_version);
-    set_number(request, header::deadline_ms, allowed);
-    set_number(request, header::hop, info.m_hop);
-    set_number(request, header::exchange, number);
+    set_numeric_header(request, header::config_version, call.m_snapshot->m_config_version);
+    set_numeric_header(request, header::deadline_ms, allowed);
+    set_numeric_header(request, header::hop, info.m_hop);
+    set_numeric_header(request, header::exchange, number);
     if (info.m_useful_until != time_point{}) {
-        set_number(request, header::useful_ms, ms_left(info.m_useful_until, context.m_clock.now()));
+        set_numeric_header(request, header::useful_ms,
+                           ms_left(info.m_useful_until, context.m_clock.now()));
     }
     if (info.m_first_sent_ms) {
-        set_number(request, header::first_sent, *info.m_first_sent_ms);
+        set_numeric_header(request, header::first_sent, *info.m_first_sent_ms);
     }
     const byte_scope scope =
         backend.m_own_data_centre ? byte_scope::own_data_centre : byte_scope::other_data_centre;
-    byte_account& moved = context.m_metrics.bytes();
-    moved.add(byte_purpose::call, scope, message_bytes(request));
-    const bool fresh = used->m_fresh;
-    const auto belongs = [number, fresh](const http_response& candidate) {
-        return belongs_to(candidate, number, fresh);
+    byte_account& byte_counts = context.m_metrics.bytes();
+    byte_counts.add(byte_purpose::call, scope, message_bytes(request));
+    const bool first_request = peer_connection->m_first_request;
+    const auto matches = [number, first_request](const http_response& candidate) {
+        return matches_request(candidate, number, first_request);
     };
-    auto answer = exchange(control, *used, request, context.limits(), belongs, yield, reason);
+    auto answer =
+        exchange(control, *peer_connection, request, context.limits(), matches, yield, reason);
     if (!answer) {
         return failed(true);
     }
-    context.m_peers.give_back(std::move(used));
-    moved.add(byte_purpose::call, scope, message_bytes(*answer));
+    context.m_peers.return_connection(std::move(peer_connection));
+    byte_counts.add(byte_purpose::call, scope, message_bytes(*answer));
     call_reply reply;
-    reply.m_reason = stated_reason(*answer);
+    reply.m_reason = reported_error_kind(*answer);
     if (reply.m_reason == error_kind::internal) {
         fail(reason, error_kind::internal, "the next node states no outcome");
         return failed(true);
     }
-    note_answer(context, call, backend, *answer, context.m_clock.now());
+    update_backend_counters(context, call, backend, *answer, context.m_clock.now());
     reply.m_message = std::move(*answer);
-    strip_hop_by_hop(reply.m_message);
+    strip_hop_by_hop_headers(reply.m_message);
     reply.m_message.erase(std::string(header::exchange));
     const outcome stated = answer_for(reply.m_reason).m_outcome;
     reply.m_sent = stated == outcome::answered || stated == outcome::unknown;
@@ -314,11 +325,11 @@
                                          call.m_snapshot->m_config_version, request, yield)
                            : forward(context, control, call, backend, request, yield);
     if (backend.m_own) {
-        note_answer(context, call, backend, reply.m_message, context.m_clock.now());
+        update_backend_counters(context, call, backend, reply.m_message, context.m_clock.now());
     }
     update_breaker(*backend.m_counters, reply.m_reason, backend.m_own, context.m_clock.now());
     update_refusals(*backend.m_counters, call.m_info, reply, context.m_clock.now());
-    reply.m_message.erase(std::string(header::room_after_us));
+    reply.m_message.erase(std::string(header::capacity_after_us));
     return reply;
 }
 
@@ -343,7 +354,8 @@
     failed.m_failure = reason;
     failed.m_idempotent = call.m_info.m_idempotent;
     failed.m_reached_server = reached_server(reason);
-    failed.m_retries = (failed.m_reached_server ? call.m_servers : call.m_refusals) - 1;
+    failed.m_retries =
+        (failed.m_reached_server ? call.m_server_attempts : call.m_refused_attempts) - 1;
     failed.m_max_retries = call.m_route->m_attempts - 1;
     failed.m_deadline = control.deadline();
     const std::lock_guard lock(context.m_entry_mutex);
@@ -372,7 +384,7 @@
     std::optional<call_reply> last;
     while (true) {
         const time_point now = context.m_clock.now();
-        const choice chosen = choose_backend(call, new_version, control.random(), now);
+        const backend_choice chosen = choose_backend(call, new_version, control.random(), now);
         if (!chosen.m_backend) {
             return last ? std::move(*last)
                         : refuse(context,
@@ -391,7 +403,7 @@
         }
         call_reply reply = attempt_call(context, control, call, backend, request, yield);
         const error_kind failure = retry_reason(call, reply);
-        ++(reached_server(reply.m_reason) ? call.m_servers : call.m_refusals);
+        ++(reached_server(reply.m_reason) ? call.m_server_attempts : call.m_refused_attempts);
         // An earlier attempt that may have run is not undone by a later refusal.
         const bool may_have_run = last && reached_server(last->m_reason) &&
                                   last->m_reason != error_kind::backend_shed &&
@@ -432,8 +444,8 @@
 
 // Remembers the deadline that a caller stated; returns how long it has tried before. A route's own
 // timeout doesn't count, since a shorter one would make all callers look like returning ones.
-duration note_caller(traffic_context& context, const route_spec& route,
-                     std::optional<milliseconds> stated, time_point now) {
+duration record_caller_deadline(traffic_context& context, const route_spec& route,
+                                std::optional<milliseconds> stated, time_point now) {
     if (!stated) {
         return {};
     }
@@ -447,15 +459,15 @@
 }
 
 // Tells a refused caller when to come back.
-void advise_caller(traffic_context& context, call_control& control, const entry_call& call,
-                   call_reply& reply) {
+void set_retry_delay(traffic_context& context, call_control& control, const entry_call& call,
+                     call_reply& reply) {
     const bool own_refusal = reply.m_reason != error_kind::none;
     if (!own_refusal || reply.m_message.result() != http::status::service_unavailable) {
         return; // a backend server's own answer is passed on as it is
     }
     const time_point now = context.m_clock.now();
     const duration left =
-        control.deadline() == time_point::max() ? default_time_left : control.deadline() - now;
+        control.deadline() == time_point::max() ? default_remaining_time : control.deadline() - now;
     const duration wait = suggest_retry_delay(reply.m_reason, call.m_info.m_useful_until - now,
                                               left, control.random());
     set_retry_after(reply.m_message, wait);
@@ -501,7 +513,7 @@
         return refused(error_kind::no_backend_server, "the service is not known here");
     }
     call.m_service = &service->second;
-    const auto stated = time_left(request, context.m_settings.m_edge.m_deadline_ms);
+    const auto stated = remaining_time(request, context.m_settings.m_edge.m_deadline_ms);
     const milliseconds allowed = std::min(route->m_timeout, stated.value_or(route->m_timeout));
     if (allowed.count() <= 0) {
         return refused(error_kind::deadline_before_send, "the caller's deadline has passed");
@@ -509,10 +521,10 @@
     const time_point now = context.m_clock.now();
     if (route->m_target_latency.count() > 0) {
         call.m_info.m_useful_until =
-            now + route->m_target_latency - note_caller(context, *route, stated, now);
+            now + route->m_target_latency - record_caller_deadline(context, *route, stated, now);
     }
     control.begin_call(now + allowed);
-    strip_hop_by_hop(request);
+    strip_hop_by_hop_headers(request);
     if (!context.m_settings.m_edge.m_caller_service.empty()) {
         set_header(request, context.m_settings.m_edge.m_caller_service,
                    call.m_snapshot->m_own.m_service);
@@ -538,14 +550,16 @@
     const wall_time wall_start = context.m_clock.wall_now();
     entry_call call;
     call.m_snapshot = context.m_snapshot.load();
-    call.m_info.m_key = header_of(request, header::idempotency_key);
-    call.m_info.m_first_sent_ms = number_header(request, header::first_sent);
-    call.m_info.m_request_number = header_of(request, context.m_settings.m_edge.m_request_number);
+    call.m_info.m_key = header_value(request, header::idempotency_key);
+    call.m_info.m_first_sent_ms = numeric_header_value(request, header::first_sent);
+    call.m_info.m_request_number =
+        header_value(request, context.m_settings.m_edge.m_request_number);
     call.m_info.m_hop = 1 + static_cast<std::uint32_t>(std::min<std::uint64_t>(
-                                number_header(request, header::hop).value_or(0), max_hops));
-    call.m_info.m_trace = continue_trace(header_of(request, header::traceparent), control.random());
+                                numeric_header_value(request, header::hop).value_or(0), max_hops));
+    call.m_info.m_trace =
+        continue_trace(header_value(request, header::traceparent), control.random());
     call_reply reply = run_entry(context, control, call, request, yield);
-    advise_caller(context, control, call, reply);
+    set_retry_delay(context, control, call, reply);
     record_call_end(context, "entry", call.m_info, call.m_info.m_trace, reply,
                     std::max(call.m_attempts, 1U), start, wall_start);
     return reply;
--- a/src/traffic/http_message.cpp
+++ b/src/traffic/http_message.cpp
@@ -34,13 +34,14 @@
 
 } // namespace
 
-std::string_view header_of(const http::fields& fields, std::string_view name) {
+std::string_view header_value(const http::fields& fields, std::string_view name) {
     const auto found = fields.find(to_beast(name));
     return found == fields.end() ? std::string_view() : from_beast(found->value());
 }
 
-std::optional<std::uint64_t> number_header(const http::fields& fields, std::string_view name) {
-    const std::string_view text = header_of(fields, name);
+std::optional<std::uint64_t> numeric_header_value(const http::fields& fields,
+                                                  std::string_view name) {
+    const std::string_view text = header_value(fields, name);
     std::uint64_t value = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
     if (text.empty() || parsed.ec != std::errc() || parsed.ptr != text.data() + text.size()) {
@@ -50,12 +51,12 @@
 }
 
 std::string_view host_of(const http_request& request) {
-    const std::string_view host = header_of(request, "host");
+    const std::string_view host = header_value(request, "host");
     return host.substr(0, host.rfind(':'));
 }
 
-std::optional<milliseconds> time_left(const http::fields& fields, std::string_view name) {
-    const auto stated = number_header(fields, name);
+std::optional<milliseconds> remaining_time(const http::fields& fields, std::string_view name) {
+    const auto stated = numeric_header_value(fields, name);
     if (!stated) {
         return std::nullopt;
     }
@@ -66,13 +67,13 @@
     fields.set(to_beast(name), to_beast(value));
 }
 
-void set_number(http::fields& fields, std::string_view name, std::uint64_t value) {
+void set_numeric_header(http::fields& fields, std::string_view name, std::uint64_t value) {
     std::array<char, 20> digits{};
     const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), value).ptr;
     set_header(fields, name, {digits.data(), static_cast<std::size_t>(end - digits.data())});
 }
 
-void strip_internal(http::fields& fields, std::span<const std::string_view> keep) {
+void strip_internal_headers(http::fields& fields, std::span<const std::string_view> keep) {
     for (auto field = fields.begin(); field != fields.end();) {
         const beast::string_view name = field->name_string();
         const bool kept = !starts_with_internal_prefix(name) ||
@@ -83,7 +84,7 @@
     }
 }
 
-void strip_hop_by_hop(http::fields& fields) {
+void strip_hop_by_hop_headers(http::fields& fields) {
     std::vector<std::string> named;
     const auto [first, last] = fields.equal_range(http::field::connection);
     for (auto field = first; field != last; ++field) {
@@ -144,11 +145,12 @@
 
 http_response make_refusal(error_kind kind, std::string_view text) {
     const error_answer& row = answer_for(kind);
-    http_response answer = make_json(row.m_status, boost::json::serialize(boost::json::object{
-                                                       {"outcome", outcome_name(row.m_outcome)},
-                                                       {"reason", row.m_name},
-                                                       {"text", text},
-                                                   }));
+    http_response answer =
+        make_json_response(row.m_status, boost::json::serialize(boost::json::object{
+                                             {"outcome", outcome_name(row.m_outcome)},
+                                             {"reason", row.m_name},
+                                             {"text", text},
+                                         }));
     set_header(answer, header::outcome, outcome_name(row.m_outcome));
     set_header(answer, header::reason, row.m_name);
     if (answer.result() == http::status::service_unavailable) {
@@ -157,7 +159,7 @@
     return answer;
 }
 
-http_response make_json(unsigned status, std::string body) {
+http_response make_json_response(unsigned status, std::string body) {
     http_response answer;
     answer.version(11);
     answer.result(status);
--- a/src/traffic/http_message.hpp
+++ b/src/traffic/http_message.hpp
@@ -38,7 +38,7 @@
 constexpr std::string_view latency_us = "x-caraway-latency-us";
 constexpr std::string_view failures = "x-caraway-failures";
 // On a refusal for want of room: microseconds until there may be some.
-constexpr std::string_view room_after_us = "x-caraway-room-after-us";
+constexpr std::string_view capacity_after_us = "x-caraway-room-after-us";
 constexpr std::string_view replayed = "x-caraway-replayed";
 constexpr std::string_view backend_shed = "x-caraway-backend-shed";
 // Number of one exchange between two nodes, repeated in the answer. An answer with another number
@@ -55,15 +55,16 @@
 constexpr std::uint32_t max_hops = 7;
 
 // Value of a header, empty if absent.
-std::string_view header_of(const http::fields& fields, std::string_view name);
+std::string_view header_value(const http::fields& fields, std::string_view name);
 
 // Value of a header that holds a decimal number; nothing if absent or malformed.
-std::optional<std::uint64_t> number_header(const http::fields& fields, std::string_view name);
+std::optional<std::uint64_t> numeric_header_value(const http::fields& fields,
+                                                  std::string_view name);
 
 // The time left that the sender states in the header of that name, at most an hour, so that no sum
 // with it overflows; nothing if absent or malformed.
-std::optional<milliseconds> time_left(const http::fields& fields,
-                                      std::string_view name = header::deadline_ms);
+std::optional<milliseconds> remaining_time(const http::fields& fields,
+                                           std::string_view name = header::deadline_ms);
 
 // The host that a request names, without a port; empty if none.
 std::string_view host_of(const http_request& request);
@@ -72,17 +73,17 @@
 void set_header(http::fields& fields, std::string_view name, std::string_view value);
 
 // Sets a header to a decimal number.
-void set_number(http::fields& fields, std::string_view name, std::uint64_t value);
+void set_numeric_header(http::fields& fields, std::string_view name, std::uint64_t value);
 
 // Tells a refused caller when to come back, in seconds with three decimals.
 void set_retry_after(http::fields& fields, duration wait);
 
 // Removes all headers of the system but those to keep.
-void strip_internal(http::fields& fields, std::span<const std::string_view> keep);
+void strip_internal_headers(http::fields& fields, std::span<const std::string_view> keep);
 
 // Removes the headers that describe one connection only, and those that a Connection header
 // names; there may be several.
-void strip_hop_by_hop(http::fields& fields);
+void strip_hop_by_hop_headers(http::fields& fields);
 
 // The path of a request target: without query and, in absolute form, without scheme and authority.
 std::string_view path_of(std::string_view target);
@@ -95,6 +96,6 @@
 http_response make_refusal(error_kind kind, std::string_view text);
 
 // Makes an answer with a JSON body, for requests between nodes.
-http_response make_json(unsigned status, std::string body);
+http_response make_json_response(unsigned status, std::string body);
 
 } // namespace caraway
--- a/src/traffic/served_connection.cpp
+++ b/src/traffic/served_connection.cpp
@@ -26,25 +26,25 @@
 constexpr milliseconds linger_time{500};
 // Room above the limit for the headers that the entry side adds, so that the next node doesn't
 // refuse what the first one took.
-constexpr std::uint32_t node_header_bytes = 2U << 10U;
+constexpr std::uint32_t added_header_bytes = 2U << 10U;
 // Bytes read ahead of the header limit.
 constexpr std::size_t read_ahead_bytes = 64U << 10U;
 constexpr std::size_t first_read_bytes = 8U << 10U;
 // Requests of one connection that are read and not answered yet, at most. The rest stays in the
 // socket, which slows the sender down.
-constexpr std::size_t max_unanswered = 16;
+constexpr std::size_t max_pipelined_requests = 16;
 
 // A request that was read and is not answered yet.
 struct received_request {
     received_request(http_request request, std::atomic<std::size_t>& in_progress)
         : m_request(std::move(request)) {
-        m_progress.emplace(in_progress);
+        m_progress_guard.emplace(in_progress);
     }
 
     http_request m_request;
-    std::optional<progress_guard> m_progress; // until it is answered
-    std::shared_ptr<call_control> m_early;    // of its call, if that began before its turn
-    bool m_early_ended = false;
+    std::optional<progress_guard> m_progress_guard; // until it is answered
+    std::shared_ptr<call_control> m_early_call;     // of its call, if that began before its turn
+    bool m_early_call_ended = false;
     call_reply m_early_reply;
 };
 
@@ -62,33 +62,33 @@
 
     // Read ahead, in the order of arrival. Used once a request came behind an unanswered one; the
     // reader then reads all of the connection's requests.
-    std::deque<std::shared_ptr<received_request>> m_waiting;
+    std::deque<std::shared_ptr<received_request>> m_pending_requests;
     std::shared_ptr<call_control> m_reader; // null: requests are read in their turn
     bool m_reader_ended = false;
-    bool m_request_begun = false;           // the reader has a part of a request
+    bool m_request_started = false;         // the reader has a part of a request
     std::optional<http_response> m_refusal; // the reader ended on a bad request: its answer
-    bool m_turn_blocks = false;             // the call in turn must end before others begin
+    bool m_current_call_blocks = false;     // the call in turn must end before others begin
     bool m_closing = false;                 // what still arrives is dropped
 };
 
 using connection_ptr = std::shared_ptr<served_connection>;
 
 // Tells the connection's coroutine that another one has ended, be it by an exception.
-class end_marker {
+class completion_notifier {
 public:
-    end_marker(bool& ended, call_control& waiting) : m_ended(ended), m_waiting(waiting) {}
-    end_marker(const end_marker&) = delete;
-    end_marker& operator=(const end_marker&) = delete;
-    end_marker(end_marker&&) = delete;
-    end_marker& operator=(end_marker&&) = delete;
-    ~end_marker() {
+    completion_notifier(bool& ended, call_control& waiter) : m_ended(ended), m_waiter(waiter) {}
+    completion_notifier(const completion_notifier&) = delete;
+    completion_notifier& operator=(const completion_notifier&) = delete;
+    completion_notifier(completion_notifier&&) = delete;
+    completion_notifier& operator=(completion_notifier&&) = delete;
+    ~completion_notifier() {
         m_ended = true;
-        m_waiting.wake();
+        m_waiter.wake();
     }
 
 private:
     bool& m_ended;
-    call_control& m_waiting;
+    call_control& m_waiter;
 };
 
 // Sets the headers that frame the answer for this connection.
@@ -116,7 +116,7 @@
 }
 
 // The answer to a request that could not be read, nothing when there is no one to answer.
-std::optional<http_response> answer_to_read_failure(const error_code& failed) {
+std::optional<http_response> refusal_for_read_error(const error_code& failed) {
     if (failed == http::error::body_limit) {
         return make_refusal(error_kind::body_too_large, "the body is above the limit");
     }
@@ -144,9 +144,9 @@
     control.limit_io(context.m_clock.now() + linger_time);
     error_code failed;
     control.incoming().shutdown(tcp::socket::shutdown_send, failed);
-    std::array<char, 4'096> dropped{};
+    std::array<char, 4'096> discarded{};
     while (!failed) {
-        control.incoming().async_read_some(asio::buffer(dropped), yield[failed]);
+        control.incoming().async_read_some(asio::buffer(discarded), yield[failed]);
     }
 }
 
@@ -170,7 +170,7 @@
 using request_parser = http::request_parser<http::string_body>;
 
 // Reads the beginning of a request, unless some of it is there already.
-error_code await_request(served_connection& connection, asio::yield_context yield) {
+error_code await_request_bytes(served_connection& connection, asio::yield_context yield) {
     error_code failed;
     if (connection.m_buffer.size() == 0) {
         const std::size_t size = connection.m_control->incoming().async_read_some(
@@ -188,18 +188,18 @@
     const node_settings& settings = connection.m_context.m_settings;
     tcp::socket& socket = connection.m_control->incoming();
     error_code failed;
-    parser.header_limit(settings.m_max_header_bytes + node_header_bytes);
+    parser.header_limit(settings.m_max_header_bytes + added_header_bytes);
     parser.body_limit(settings.m_max_body_bytes);
     http::async_read_header(socket, connection.m_buffer, parser, yield[failed]);
     if (failed || parser.is_done()) {
         return failed;
     }
-    const bool in_turn = connection.m_waiting.empty();
-    if (in_turn && boost::beast::iequals(parser.get()[http::field::expect], "100-continue")) {
-        http::response<http::empty_body> proceed;
-        proceed.version(11);
-        proceed.result(http::status::continue_);
-        http::async_write(socket, proceed, yield[failed]);
+    const bool is_current = connection.m_pending_requests.empty();
+    if (is_current && boost::beast::iequals(parser.get()[http::field::expect], "100-continue")) {
+        http::response<http::empty_body> continue_response;
+        continue_response.version(11);
+        continue_response.result(http::status::continue_);
+        http::async_write(socket, continue_response, yield[failed]);
         if (failed) {
             return failed;
         }
@@ -209,16 +209,17 @@
 }
 
 // The answer to a request that could not be read, with the exchange number that it may have.
-std::optional<http_response> refuse_unread(const error_code& failed, const request_parser& parser) {
-    auto refusal = answer_to_read_failure(failed);
-    const std::string number(header_of(parser.get(), header::exchange));
+std::optional<http_response> make_read_refusal(const error_code& failed,
+                                               const request_parser& parser) {
+    auto refusal = refusal_for_read_error(failed);
+    const std::string number(header_value(parser.get(), header::exchange));
     if (refusal && !number.empty()) {
         set_header(*refusal, header::exchange, number);
     }
     return refusal;
 }
 
-bool is_for_nodes(const http_request& request) {
+bool is_from_node(const http_request& request) {
     const std::string_view target(request.target().data(), request.target().size());
     return target.starts_with(node_path_prefix) ||
            request.find(std::string(header::service)) != request.end();
@@ -228,7 +229,7 @@
                     asio::yield_context yield) {
     traffic_context& context = connection.m_context;
     if (connection.m_callers_only) {
-        strip_internal(request, {});
+        strip_internal_headers(request, {});
         return handle_entry(context, control, request, yield);
     }
     const std::string_view target(request.target().data(), request.target().size());
@@ -237,72 +238,75 @@
         reply.m_message = handle_node_request(context, control, request, yield);
         return reply;
     }
-    return is_for_nodes(request) ? handle_backend(context, control, request, yield)
+    return is_from_node(request) ? handle_backend(context, control, request, yield)
                                  : handle_entry(context, control, request, yield);
 }
 
 // True for a request whose order against others of its connection doesn't matter.
-bool is_order_free(const served_connection& connection, const http_request& request) {
-    const bool from_caller = connection.m_callers_only || !is_for_nodes(request);
+bool may_run_out_of_order(const served_connection& connection, const http_request& request) {
+    const bool from_caller = connection.m_callers_only || !is_from_node(request);
     return from_caller && is_idempotent_call(connection.m_context, request);
 }
 
 // Runs a call beside the one whose turn it is. Its answer waits for its turn.
-void begin_early(const connection_ptr& connection, const std::shared_ptr<received_request>& early) {
-    early->m_early = call_control::create_beside(*connection->m_control);
-    spawn_call(*early->m_early, [connection, early](const auto& self, asio::yield_context yield) {
-        const end_marker marker(early->m_early_ended, *connection->m_control);
-        early->m_early_reply = dispatch(*connection, *self, early->m_request, yield);
-        self->end_call();
-    });
+void start_early_call(const connection_ptr& connection,
+                      const std::shared_ptr<received_request>& early) {
+    early->m_early_call = call_control::create_beside(*connection->m_control);
+    spawn_call(
+        *early->m_early_call, [connection, early](const auto& self, asio::yield_context yield) {
+            const completion_notifier notifier(early->m_early_call_ended, *connection->m_control);
+            early->m_early_reply = dispatch(*connection, *self, early->m_request, yield);
+            self->end_call();
+        });
 }
 
 // Begins the requests that wait, up to the first one that has to wait for its turn.
-void begin_waiting(const connection_ptr& connection) {
-    if (connection->m_turn_blocks) {
+void start_early_calls(const connection_ptr& connection) {
+    if (connection->m_current_call_blocks) {
         return;
     }
-    for (const auto& waiting : connection->m_waiting) {
-        if (waiting->m_early) {
+    for (const auto& pending : connection->m_pending_requests) {
+        if (pending->m_early_call) {
             continue;
         }
-        if (!is_order_free(*connection, waiting->m_request)) {
+        if (!may_run_out_of_order(*connection, pending->m_request)) {
             return;
         }
-        begin_early(connection, waiting);
+        start_early_call(connection, pending);
     }
 }
 
 // The caller closed the connection: nobody waits for the answers any more.
 void cancel_calls(served_connection& connection) {
     connection.m_control->cancel_call();
-    for (const auto& waiting : connection.m_waiting) {
-        if (waiting->m_early) {
-            waiting->m_early->cancel_call();
+    for (const auto& pending : connection.m_pending_requests) {
+        if (pending->m_early_call) {
+            pending->m_early_call->cancel_call();
         }
     }
 }
 
 // Reads requests until the connection ends or one of them is bad.
 void read_requests(const connection_ptr& connection, asio::yield_context yield) {
-    const auto has_room = [&connection] {
-        return connection->m_waiting.size() < max_unanswered || connection->m_closing;
+    const auto has_capacity = [&connection] {
+        return connection->m_pending_requests.size() < max_pipelined_requests ||
+               connection->m_closing;
     };
     while (!connection->m_control->is_stopped()) {
-        if (!has_room()) {
+        if (!has_capacity()) {
             connection->m_reader->wait(time_point::max(), yield);
             continue;
         }
         request_parser parser;
-        error_code failed = await_request(*connection, yield);
+        error_code failed = await_request_bytes(*connection, yield);
         if (!failed) {
-            connection->m_request_begun = true;
+            connection->m_request_started = true;
             connection->m_control->wake();
             failed = read_request(*connection, parser, yield);
-            connection->m_request_begun = false;
+            connection->m_request_started = false;
         }
         if (failed) {
-            connection->m_refusal = refuse_unread(failed, parser);
+            connection->m_refusal = make_read_refusal(failed, parser);
             if (!connection->m_refusal) {
                 cancel_calls(*connection);
             }
@@ -311,9 +315,9 @@
         if (connection->m_closing) {
             continue;
         }
-        connection->m_waiting.push_back(std::make_shared<received_request>(
+        connection->m_pending_requests.push_back(std::make_shared<received_request>(
             parser.release(), connection->m_context.m_in_progress));
-        begin_waiting(connection);
+        start_early_calls(connection);
         connection->m_control->wake();
     }
 }
@@ -327,13 +331,13 @@
     connection->m_control->watch_elsewhere();
     connection->m_reader = call_control::create_beside(*connection->m_control);
     spawn_call(*connection->m_reader, [connection](const auto&, asio::yield_context yield) {
-        const end_marker marker(connection->m_reader_ended, *connection->m_control);
+        const completion_notifier notifier(connection->m_reader_ended, *connection->m_control);
         read_requests(connection, yield);
     });
 }
 
 // Writes the answer to a request that could not be read; nothing follows it.
-void end_with_refusal(served_connection& connection, http_response& refusal,
+void refuse_and_close(served_connection& connection, http_response& refusal,
                       asio::yield_context yield) {
     frame_answer(refusal, http::verb::get, false);
     if (write_answer(connection.m_context, *connection.m_control, refusal, yield)) {
@@ -342,22 +346,22 @@
 }
 
 // Reads the next request in its turn; null when the connection ends.
-std::shared_ptr<received_request> read_next(const connection_ptr& connection,
-                                            asio::yield_context yield) {
+std::shared_ptr<received_request> read_next_request(const connection_ptr& connection,
+                                                    asio::yield_context yield) {
     call_control& control = *connection->m_control;
     const clock_source& clock = connection->m_context.m_clock;
     request_parser parser;
     control.limit_io(clock.now() + idle_timeout);
-    error_code failed = await_request(*connection, yield);
+    error_code failed = await_request_bytes(*connection, yield);
     if (failed) {
         return nullptr;
     }
     control.limit_io(clock.now() + read_timeout);
     failed = read_request(*connection, parser, yield);
     if (failed) {
-        auto refusal = refuse_unread(failed, parser);
+        auto refusal = make_read_refusal(failed, parser);
         if (refusal && !control.is_stopped()) {
-            end_with_refusal(*connection, *refusal, yield);
+            refuse_and_close(*connection, *refusal, yield);
         }
         return nullptr;
     }
@@ -370,74 +374,75 @@
 }
 
 // Takes the next request from the reader; null when the connection ends.
-std::shared_ptr<received_request> take_next(const connection_ptr& connection,
-                                            asio::yield_context yield) {
+std::shared_ptr<received_request> take_next_request(const connection_ptr& connection,
+                                                    asio::yield_context yield) {
     call_control& control = *connection->m_control;
     const time_point idle_since = connection->m_context.m_clock.now();
-    std::optional<time_point> begun_at;
-    while (connection->m_waiting.empty() && !connection->m_reader_ended && !control.is_stopped()) {
-        if (connection->m_request_begun && !begun_at) {
-            begun_at = connection->m_context.m_clock.now();
+    std::optional<time_point> started_at;
+    while (connection->m_pending_requests.empty() && !connection->m_reader_ended &&
+           !control.is_stopped()) {
+        if (connection->m_request_started && !started_at) {
+            started_at = connection->m_context.m_clock.now();
         }
-        control.limit_io(begun_at ? *begun_at + read_timeout : idle_since + idle_timeout);
+        control.limit_io(started_at ? *started_at + read_timeout : idle_since + idle_timeout);
         control.wait(time_point::max(), yield);
     }
     const bool caller_left = connection->m_reader_ended && !connection->m_refusal;
     if (control.is_stopped() || caller_left) {
         return nullptr;
     }
-    if (!connection->m_waiting.empty()) {
-        auto next = connection->m_waiting.front();
-        connection->m_waiting.pop_front();
+    if (!connection->m_pending_requests.empty()) {
+        auto next = connection->m_pending_requests.front();
+        connection->m_pending_requests.pop_front();
         connection->m_reader->wake();
         return next;
     }
     if (connection->m_refusal) {
-        end_with_refusal(*connection, *connection->m_refusal, yield);
+        refuse_and_close(*connection, *connection->m_refusal, yield);
     }
     return nullptr;
 }
 
 // The answer to the request whose turn it is; nothing when its caller has gone.
-std::optional<call_reply> run_in_turn(const connection_ptr& connection, received_request& request,
+std::optional<call_reply> run_request(const connection_ptr& connection, received_request& request,
                                       asio::yield_context yield) {
     call_control& control = *connection->m_control;
-    if (!request.m_early) {
-        connection->m_turn_blocks = !is_order_free(*connection, request.m_request);
+    if (!request.m_early_call) {
+        connection->m_current_call_blocks = !may_run_out_of_order(*connection, request.m_request);
         call_reply reply = dispatch(*connection, control, request.m_request, yield);
-        connection->m_turn_blocks = false;
+        connection->m_current_call_blocks = false;
         const bool cancelled = control.is_cancelled();
         control.end_call();
-        begin_waiting(connection);
+        start_early_calls(connection);
         return cancelled ? std::nullopt : std::make_optional(std::move(reply));
     }
     control.limit_io(time_point::max());
-    while (!request.m_early_ended && !control.is_stopped()) {
+    while (!request.m_early_call_ended && !control.is_stopped()) {
         control.wait(time_point::max(), yield);
     }
-    if (!request.m_early_ended || request.m_early->is_cancelled()) {
+    if (!request.m_early_call_ended || request.m_early_call->is_cancelled()) {
         return std::nullopt;
     }
     return std::move(request.m_early_reply);
 }
 
 // Serves one request. Returns whether the connection can carry another one.
-bool serve_next(const connection_ptr& connection, asio::yield_context yield) {
-    const auto request =
-        connection->m_reader ? take_next(connection, yield) : read_next(connection, yield);
+bool serve_next_request(const connection_ptr& connection, asio::yield_context yield) {
+    const auto request = connection->m_reader ? take_next_request(connection, yield)
+                                              : read_next_request(connection, yield);
     if (!request) {
         return false;
     }
     const http::verb method = request->m_request.method();
-    const bool asked_to_keep = request->m_request.keep_alive();
-    const std::string exchange_number(header_of(request->m_request, header::exchange));
-    auto reply = run_in_turn(connection, *request, yield);
+    const bool keep_alive_requested = request->m_request.keep_alive();
+    const std::string exchange_number(header_value(request->m_request, header::exchange));
+    auto reply = run_request(connection, *request, yield);
     if (!reply) {
         return false;
     }
     // Requests that were read while the node still took work are answered before it closes.
-    const bool ends = connection->m_context.m_draining && connection->m_waiting.empty();
-    const bool keep_alive = asked_to_keep && !ends;
+    const bool ends = connection->m_context.m_draining && connection->m_pending_requests.empty();
+    const bool keep_alive = keep_alive_requested && !ends;
     if (!exchange_number.empty()) {
         set_header(reply->m_message, header::exchange, exchange_number);
     }
@@ -445,7 +450,7 @@
     if (!write_answer(connection->m_context, *connection->m_control, reply->m_message, yield)) {
         return false;
     }
-    request->m_progress.reset();
+    request->m_progress_guard.reset();
     if (!keep_alive) {
         cancel_calls(*connection);
         linger(*connection, yield);
@@ -459,7 +464,7 @@
                       bool callers_only, asio::yield_context yield) {
     const auto connection = std::make_shared<served_connection>(context, control, callers_only);
     control->on_early_bytes([connection] { start_reader(connection); });
-    while (!control->is_stopped() && serve_next(connection, yield)) {
+    while (!control->is_stopped() && serve_next_request(connection, yield)) {
     }
     cancel_calls(*connection);
     control->on_early_bytes(nullptr);
@@ -469,7 +474,7 @@
     }
 }
 
-void answer_surplus_connection(traffic_context& context, call_control& control,
+void refuse_surplus_connection(traffic_context& context, call_control& control,
                                asio::yield_context yield) {
     call_reply reply = refuse(
         context, {error_kind::too_many_connections, "the connection limit is reached"}, false);
--- a/src/traffic/served_connection.hpp
+++ b/src/traffic/served_connection.hpp
@@ -18,7 +18,7 @@
                       bool callers_only, boost::asio::yield_context yield);
 
 // Tells a connection above the limit that it is one too many.
-void answer_surplus_connection(traffic_context& context, call_control& control,
+void refuse_surplus_connection(traffic_context& context, call_control& control,
                                boost::asio::yield_context yield);
 
 } // namespace caraway
--- a/src/traffic/sockets.cpp
+++ b/src/traffic/sockets.cpp
@@ -8,14 +8,14 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-tcp::endpoint to_tcp(const ip_endpoint& endpoint) {
+tcp::endpoint to_tcp_endpoint(const ip_endpoint& endpoint) {
     error_code ignored;
     return {asio::ip::make_address(endpoint.m_address, ignored), endpoint.m_port};
 }
 
-bool listen_at(tcp::acceptor& acceptor, const ip_endpoint& at, error& reason) {
+bool listen_at(tcp::acceptor& acceptor, const ip_endpoint& address, error& reason) {
     error_code failed;
-    const tcp::endpoint endpoint = to_tcp(at);
+    const tcp::endpoint endpoint = to_tcp_endpoint(address);
     acceptor.open(endpoint.protocol(), failed);
     if (!failed) {
         acceptor.set_option(tcp::acceptor::reuse_address(true), failed);
@@ -28,7 +28,7 @@
     }
     if (failed) {
         fail(reason, error_kind::invalid_settings,
-             "listen on " + format_endpoint(at) + ": " + failed.message());
+             "listen on " + format_endpoint(address) + ": " + failed.message());
         return false;
     }
     return true;
--- a/src/traffic/traffic.cpp
+++ b/src/traffic/traffic.cpp
@@ -142,7 +142,7 @@
             return;
         }
         if (failed) {
-            pause.expires_after(accept_pause);
+            pause.expires_after(accept_retry_delay);
             pause.async_wait(yield[failed]);
             continue;
         }
@@ -174,7 +174,7 @@
     spawn_call(*control, [this](const auto& self, asio::yield_context yield) {
         const progress_guard counted(m_refusing);
         const control_membership membership(m_context.m_background, self);
-        answer_surplus_connection(m_context, *self, yield);
+        refuse_surplus_connection(m_context, *self, yield);
         self->stop();
     });
 }
@@ -186,8 +186,8 @@
         if (failed || m_stopping) {
             return;
         }
-        m_context.m_peers.close_old();
-        m_context.m_own_server.close_old();
+        m_context.m_peers.close_expired();
+        m_context.m_own_server.close_expired();
         m_context.m_keys.expire();
         const auto load = m_context.m_gate.current();
         m_context.m_metrics.set_load(load.m_running, load.m_waiting, load.m_limit);
@@ -223,7 +223,7 @@
         std::optional<http_response> answer;
         if (used) {
             answer = exchange(*self, *used, request, m_context.limits(), nullptr, yield, reason);
-            m_context.m_own_server.give_back(std::move(used));
+            m_context.m_own_server.return_connection(std::move(used));
         }
         self->end_call();
         log_event(log_level::info, "health_probe",
--- a/src/traffic/traffic_context.cpp
+++ b/src/traffic/traffic_context.cpp
@@ -52,8 +52,8 @@
     reply.m_peer = context.m_settings.m_instance;
     reply.m_message = make_refusal(reason.m_kind, reason.m_text);
     set_header(reply.m_message, header::instance, context.m_settings.m_instance);
-    set_number(reply.m_message, header::config_version,
-               context.m_snapshot.load()->m_config_version);
+    set_numeric_header(reply.m_message, header::config_version,
+                       context.m_snapshot.load()->m_config_version);
     return reply;
 }
 
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -41,7 +41,7 @@
             m_io, {"127.0.0.1", m_port},
             [this](const admin_request& request) {
                 const std::string_view path = request.m_path;
-                ++m_handled;
+                ++m_handled_requests;
                 return path == "/big" ? admin_answer{200, "text/plain", big_body()}
                                       : admin_answer{503, "text/odd", std::string(path)};
             },
@@ -76,12 +76,12 @@
         asio::read(socket, asio::dynamic_buffer(bytes), failed);
         return bytes;
     }
-    void require_answers() { BOOST_TEST(contains(exchange(s_request), "\r\n\r\n/page")); }
+    void check_page_is_served() { BOOST_TEST(contains(exchange(s_request), "\r\n\r\n/page")); }
 
 protected:
     static constexpr const char* s_request = "GET /page?x=1 HTTP/1.1\r\nHost: a\r\n\r\n";
     std::uint16_t m_port = free_port();
-    std::atomic<int> m_handled{0};
+    std::atomic<int> m_handled_requests{0};
     asio::io_context m_client;
     asio::io_context m_io{1};
     asio::executor_work_guard<asio::io_context::executor_type> m_work;
@@ -102,7 +102,7 @@
         BOOST_TEST(contains(answer, part), part << " in " << answer);
     }
     BOOST_TEST(exchange("POST /page HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 405 "));
-    BOOST_TEST(m_handled == 1);
+    BOOST_TEST(m_handled_requests == 1);
 }
 
 // Guards against a page made for a request that is not whole, and against a server that stops
@@ -119,8 +119,8 @@
         truncated.shutdown(tcp::socket::shutdown_send);
         BOOST_TEST(read_all(truncated).empty());
     }
-    BOOST_TEST(m_handled == 0);
-    require_answers();
+    BOOST_TEST(m_handled_requests == 0);
+    check_page_is_served();
 }
 
 // Guards against connections that stall or don't take their answer and keep operators out: there
@@ -140,14 +140,14 @@
     }
     BOOST_TEST((elapsed() >= seconds(4)));
     BOOST_TEST((elapsed() < seconds(7)));
-    require_answers();
+    check_page_is_served();
     BOOST_TEST(read_all(stalled[0]).size() < big_body_bytes);
 }
 
 // Guards against a page made from the state of a node that is already destroyed.
 BOOST_AUTO_TEST_CASE(request_that_ends_after_the_server_gets_no_page) {
     tcp::socket late = send("GET /page HTTP/1.1\r\n");
-    require_answers(); // the first connection was accepted before this one
+    check_page_is_served(); // the first connection was accepted before this one
     std::promise<void> destroyed;
     asio::post(m_io, [this, &destroyed] {
         m_server.reset();
@@ -156,11 +156,11 @@
     destroyed.get_future().wait();
     asio::write(late, asio::buffer(std::string("\r\n")));
     BOOST_TEST(read_all(late).empty());
-    BOOST_TEST(m_handled == 1);
+    BOOST_TEST(m_handled_requests == 1);
 }
 
 // Guards against two nodes on one address, of which one would answer for both.
-BOOST_AUTO_TEST_CASE(taken_address_is_an_error_of_the_settings) {
+BOOST_AUTO_TEST_CASE(address_in_use_is_invalid_settings) {
     error reason;
     const ip_endpoint taken{"127.0.0.1", m_port};
     BOOST_TEST(!admin_server::start(m_io, taken, {}, reason));
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -341,18 +341,18 @@
     auto message = parser.get();
     for (const std::string_view name : {header::outcome, header::reason, header::load,
                                         header::config_version, header::deadline_ms}) {
-        const auto number = number_header(message, name);
-        set_number(message, header::exchange, number.value_or(1));
-        if (number_header(message, header::exchange) != number.value_or(1)) {
+        const auto number = numeric_header_value(message, name);
+        set_numeric_header(message, header::exchange, number.value_or(1));
+        if (numeric_header_value(message, header::exchange) != number.value_or(1)) {
             return "a number that isn't the same when read again";
         }
     }
-    if (const auto kind = error_kind_from_name(header_of(message, header::reason))) {
-        if (answer_for(*kind).m_name != header_of(message, header::reason)) {
+    if (const auto kind = error_kind_from_name(header_value(message, header::reason))) {
+        if (answer_for(*kind).m_name != header_value(message, header::reason)) {
             return "a reason read as another";
         }
     }
-    outcome_from_name(header_of(message, header::outcome));
+    outcome_from_name(header_value(message, header::outcome));
     if constexpr (is_request) {
         const std::string target(message.target());
         if (path_of(target).find('?') != std::string_view::npos) {
@@ -365,13 +365,13 @@
             named.emplace_back(token.data(), token.size());
         }
     }
-    strip_hop_by_hop(message);
+    strip_hop_by_hop_headers(message);
     for (const std::string& name : named) {
         if (message.find(name) != message.end()) {
             return "a header that Connection named is passed on";
         }
     }
-    strip_internal(message, {});
+    strip_internal_headers(message, {});
     return message.find(std::string(header::exchange)) == message.end() ? "" : "an internal header";
 }
 
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -12,24 +12,24 @@
 // Ports below the ephemeral range and below those of the integration tests: a port that the system
 // chose can become the local end of another process's connection before it is listened on.
 constexpr std::uint16_t first_test_port = 10'000;
-constexpr std::uint16_t test_ports = 4'000;
+constexpr std::uint16_t test_port_count = 4'000;
 
 // A port on which nothing listens, another one each time.
 inline std::uint16_t free_port() {
-    static auto s_next = static_cast<std::uint16_t>(::getpid() % test_ports);
+    static auto s_next = static_cast<std::uint16_t>(::getpid() % test_port_count);
     for (;;) {
-        s_next = static_cast<std::uint16_t>((s_next + 1) % test_ports);
+        s_next = static_cast<std::uint16_t>((s_next + 1) % test_port_count);
         const auto port = static_cast<std::uint16_t>(first_test_port + s_next);
         boost::asio::io_context io;
         boost::asio::ip::tcp::acceptor acceptor(io);
-        boost::system::error_code taken;
+        boost::system::error_code failed;
         acceptor.open(boost::asio::ip::tcp::v4());
         acceptor.set_option(boost::asio::socket_base::reuse_address(true));
-        acceptor.bind({boost::asio::ip::address_v4::loopback(), port}, taken);
-        if (!taken) {
-            acceptor.listen(1, taken);
+        acceptor.bind({boost::asio::ip::address_v4::loopback(), port}, failed);
+        if (!failed) {
+            acceptor.listen(1, failed);
         }
-        if (!taken) {
+        if (!failed) {
             return port;
         }
     }
--- a/tests/traffic_fixture.hpp
+++ b/tests/traffic_fixture.hpp
@@ -191,8 +191,8 @@
             return true;
         }
         if (action == "twice") {
-            const std::string one = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
-            write(one + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale");
+            const std::string answer_text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
+            write(answer_text + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale");
             return true;
         }
         if (action == "forge") {
@@ -262,7 +262,7 @@
     node_settings m_settings;
     std::unique_ptr<node_metrics> m_metrics;
     snapshot_cell m_snapshot;
-    std::atomic<std::uint64_t> m_heard{0};
+    std::atomic<std::uint64_t> m_observed_version{0};
     std::unique_ptr<traffic_server> m_server;
 };
 
@@ -271,8 +271,8 @@
 // A caller's connection.
 class caller {
 public:
-    explicit caller(const test_node& to) : m_socket(m_io) {
-        m_socket.connect({asio::ip::address_v4::loopback(), to.m_settings.m_traffic.m_port});
+    explicit caller(const test_node& node) : m_socket(m_io) {
+        m_socket.connect({asio::ip::address_v4::loopback(), node.m_settings.m_traffic.m_port});
         m_socket.set_option(tcp::no_delay(true));
     }
     void send(const std::string& path, const std::string& body = "",
@@ -309,31 +309,32 @@
     beast::flat_buffer m_buffer;
 };
 
-inline std::string reason_of(const http_answer& answer) {
+inline std::string outcome_and_reason(const http_answer& answer) {
     return std::string(answer["x-caraway-outcome"]) + "/" + std::string(answer["x-caraway-reason"]);
 }
 
 // Headers of a request with a key. The first try lies after the start of the registrars by more
 // than the allowed clock difference.
-inline std::map<std::string, std::string> keyed(const std::string& key) {
+inline std::map<std::string, std::string> key_headers(const std::string& key) {
     const auto first_sent = unix_ms(std::chrono::system_clock::now()) + 3'000;
     return {{"idempotency-key", key}, {"x-caraway-first-sent", std::to_string(first_sent)}};
 }
 
 // Makes a call go to the backend side of the node that gets it.
-inline std::map<std::string, std::string> node_call(std::map<std::string, std::string> headers) {
+inline std::map<std::string, std::string>
+node_call_headers(std::map<std::string, std::string> headers) {
     headers["x-caraway-service"] = "pour";
     headers["x-caraway-backend-version"] = "v1";
     return headers;
 }
 
 // Waits up to 300 ms until a figure has the expected value, and returns the last value seen.
-template <typename Figure>
-std::size_t settled(Figure figure, std::size_t expected) {
-    for (int i = 0; i < 300 && figure() != expected; ++i) {
+template <typename Getter>
+std::size_t wait_for_value(Getter getter, std::size_t expected) {
+    for (int i = 0; i < 300 && getter() != expected; ++i) {
         std::this_thread::sleep_for(milliseconds(1));
     }
-    return figure();
+    return getter();
 }
 
 // A mesh with one entry node and nodes beside backend servers of the service "pour". Paths below
@@ -349,77 +350,78 @@
 
     test_node& add_node(const std::string& name, const std::string& service,
                         std::uint16_t server_port) {
-        auto made = std::make_unique<test_node>();
-        made->m_settings.m_instance = name;
-        made->m_settings.m_data_centre = "north";
-        made->m_settings.m_service = service;
-        made->m_settings.m_version = "v1";
-        made->m_settings.m_traffic = {"127.0.0.1", free_port()};
-        made->m_settings.m_backend_server = {"127.0.0.1", server_port};
-        made->m_settings.m_max_connections = 40;
-        made->m_settings.m_health_interval = milliseconds(0);
-        made->m_settings.m_seed = 42 + m_nodes.size();
-        made->m_metrics = node_metrics::create(name, "north");
-        m_nodes.push_back(std::move(made));
+        auto added = std::make_unique<test_node>();
+        added->m_settings.m_instance = name;
+        added->m_settings.m_data_centre = "north";
+        added->m_settings.m_service = service;
+        added->m_settings.m_version = "v1";
+        added->m_settings.m_traffic = {"127.0.0.1", free_port()};
+        added->m_settings.m_backend_server = {"127.0.0.1", server_port};
+        added->m_settings.m_max_connections = 40;
+        added->m_settings.m_health_interval = milliseconds(0);
+        added->m_settings.m_seed = 42 + m_nodes.size();
+        added->m_metrics = node_metrics::create(name, "north");
+        m_nodes.push_back(std::move(added));
         return *m_nodes.back();
     }
 
     // Starts all nodes with a snapshot of the same configuration version.
     void start(std::uint64_t version = 5) {
-        for (const auto& each : m_nodes) {
-            publish(*each, version);
+        for (const auto& node : m_nodes) {
+            publish(*node, version);
             traffic_hooks hooks;
-            hooks.m_version_heard = [&heard = each->m_heard](const std::string&,
-                                                             std::uint64_t heard_version) {
-                heard = heard_version;
+            hooks.m_version_heard = [&observed = node->m_observed_version](
+                                        const std::string&, std::uint64_t observed_version) {
+                observed = observed_version;
             };
             error reason;
-            each->m_server = traffic_server::start(each->m_settings, m_clock, each->m_snapshot,
-                                                   *each->m_metrics, hooks, reason);
-            BOOST_REQUIRE_MESSAGE(each->m_server, reason.m_text);
+            node->m_server = traffic_server::start(node->m_settings, m_clock, node->m_snapshot,
+                                                   *node->m_metrics, hooks, reason);
+            BOOST_REQUIRE_MESSAGE(node->m_server, reason.m_text);
         }
     }
 
     // Publishes a snapshot to one node. Dead members stay known as registrars.
-    void publish(test_node& to, std::uint64_t version, const std::set<std::string>& dead = {}) {
+    void publish(test_node& receiver, std::uint64_t version,
+                 const std::set<std::string>& dead = {}) {
         auto config = std::make_shared<mesh>();
         config->m_services["pour"].m_name = "pour";
         config->m_services["pour"].m_version = "v1";
         config->m_routes = {{"/again", "pour", milliseconds(1'000), true, urgency::normal},
                             {"/front", "front", milliseconds(1'000), true, urgency::normal},
                             {"/once", "pour", milliseconds(1'000), false, urgency::normal}};
-        auto next = std::make_shared<routing_snapshot>();
-        next->m_config_version = version;
-        next->m_ready = true;
-        next->m_mesh = config;
-        next->m_own.m_service = to.m_settings.m_service;
-        next->m_own.m_version = to.m_settings.m_version;
-        next->m_own.m_slots = m_reported_slots;
-        service_view& view = next->m_services["pour"];
+        auto snapshot = std::make_shared<routing_snapshot>();
+        snapshot->m_config_version = version;
+        snapshot->m_ready = true;
+        snapshot->m_mesh = config;
+        snapshot->m_own.m_service = receiver.m_settings.m_service;
+        snapshot->m_own.m_version = receiver.m_settings.m_version;
+        snapshot->m_own.m_slots = m_reported_slots;
+        service_view& view = snapshot->m_services["pour"];
         view.m_spec = config->m_services["pour"];
         view.m_old_version = "v1";
-        for (const auto& each : m_nodes) {
-            const std::string& instance = each->m_settings.m_instance;
+        for (const auto& node : m_nodes) {
+            const std::string& instance = node->m_settings.m_instance;
             if (!dead.contains(instance)) {
-                next->m_member_traffic[instance] = each->m_settings.m_traffic;
+                snapshot->m_member_traffic[instance] = node->m_settings.m_traffic;
             }
-            if (each->m_settings.m_service != "pour") {
+            if (node->m_settings.m_service != "pour") {
                 continue;
             }
             backend_view backend;
-            backend.m_instance = each->m_settings.m_instance;
+            backend.m_instance = node->m_settings.m_instance;
             backend.m_version = "v1";
             backend.m_data_centre = "north";
             backend.m_own_data_centre = true;
-            backend.m_own = each.get() == &to;
-            backend.m_traffic = each->m_settings.m_traffic;
+            backend.m_own = node.get() == &receiver;
+            backend.m_traffic = node->m_settings.m_traffic;
             backend.m_counters = std::make_shared<backend_counters>();
             view.m_backends.push_back(backend);
             view.m_members.push_back({backend.m_instance, 1});
         }
-        to.m_snapshot.store(next);
-        if (to.m_server) {
-            to.m_server->snapshot_changed();
+        receiver.m_snapshot.store(snapshot);
+        if (receiver.m_server) {
+            receiver.m_server->snapshot_changed();
         }
     }
 
--- a/tests/traffic_test.cpp
+++ b/tests/traffic_test.cpp
@@ -9,14 +9,14 @@
 // Guards against headers that tell the caller or the auditor something untrue.
 BOOST_AUTO_TEST_CASE(answers_carry_outcome_and_origin) {
     fake_server server;
-    test_node& beside = add_node("n1", "pour", server.port());
+    test_node& backend_node = add_node("n1", "pour", server.port());
     start();
-    for (test_node* at : {&entry(), &beside}) {
+    for (test_node* node : {&entry(), &backend_node}) {
         const http_answer answer =
-            caller(*at).call("/once/echo", "two tons", {{"x-caraway-outcome", "unknown"}});
+            caller(*node).call("/once/echo", "two tons", {{"x-caraway-outcome", "unknown"}});
         BOOST_TEST(answer.result_int() == 200U);
         BOOST_TEST(answer.body() == "two tons");
-        BOOST_TEST(reason_of(answer) == "answered/none");
+        BOOST_TEST(outcome_and_reason(answer) == "answered/none");
         BOOST_TEST(answer["x-caraway-instance"] == "n1");
         BOOST_TEST(answer["x-caraway-backend-version"] == "v1");
         BOOST_TEST(answer["x-caraway-config-version"] == "5");
@@ -33,7 +33,7 @@
 
 // Guards against "not run" for a request that may have run, against truncated answers that look
 // complete, and against a second run of a request that may not run twice.
-BOOST_AUTO_TEST_CASE(each_misbehaviour_has_its_outcome_and_runs_once) {
+BOOST_AUTO_TEST_CASE(each_faulty_answer_has_its_outcome_and_runs_once) {
     fake_server first;
     fake_server second;
     add_node("n1", "pour", first.port());
@@ -54,7 +54,7 @@
         const http_answer answer =
             caller(entry()).call("/once/" + action, "", {{"x-request-number", "7"}});
         BOOST_TEST_CONTEXT(action) {
-            BOOST_TEST(reason_of(answer) == result);
+            BOOST_TEST(outcome_and_reason(answer) == result);
             BOOST_TEST(first.runs() + second.runs() - before == 1);
         }
     }
@@ -62,10 +62,10 @@
 
 // Guards against bytes without end in place of an answer, which would fill the memory, hold a slot
 // and keep the caller waiting for an end that never comes.
-BOOST_AUTO_TEST_CASE(answers_without_end_are_cut_off) {
+BOOST_AUTO_TEST_CASE(endless_answers_are_cut_off) {
     fake_server server;
-    test_node& beside = add_node("n1", "pour", server.port());
-    beside.m_settings.m_max_answer_bytes = 200'000;
+    test_node& backend_node = add_node("n1", "pour", server.port());
+    backend_node.m_settings.m_max_answer_bytes = 200'000;
     start();
     const std::vector<std::pair<std::string, std::string>> expected{
         {"endless-head", "unknown/answer-truncated"},
@@ -78,7 +78,7 @@
             const std::size_t before = server.endless_bytes();
             const auto began = std::chrono::steady_clock::now();
             const http_answer answer = caller(entry()).call("/once/" + action);
-            BOOST_TEST(reason_of(answer) == result);
+            BOOST_TEST(outcome_and_reason(answer) == result);
             // The route's timeout is 1 s: it must not take that long to see that no answer comes.
             BOOST_TEST((std::chrono::steady_clock::now() - began < milliseconds(500)));
             // Socket buffers hold some megabytes that the node never reads.
@@ -142,26 +142,26 @@
     start();
     for (int i = 0; i < 6; ++i) {
         const http_answer answer = caller(entry()).call("/once/echo", "x");
-        BOOST_TEST(reason_of(answer) == "answered/none");
+        BOOST_TEST(outcome_and_reason(answer) == "answered/none");
         BOOST_TEST(answer["x-caraway-instance"] == "n2");
     }
     BOOST_TEST(good.runs() == 6);
     const int before = good.runs();
-    BOOST_TEST(reason_of(caller(entry()).call("/again/cut")) != "answered/none");
+    BOOST_TEST(outcome_and_reason(caller(entry()).call("/again/cut")) != "answered/none");
     BOOST_TEST(good.runs() - before <= 2);
 }
 
 // Guards against a header added to a backend server's own answer, and against a refusal that
 // doesn't say when to come back.
-BOOST_AUTO_TEST_CASE(only_own_refusals_tell_when_to_return) {
+BOOST_AUTO_TEST_CASE(only_node_refusals_carry_retry_after) {
     fake_server server;
     add_node("n1", "pour", server.port());
     start();
     const http_answer refused = caller(entry()).call("/once/shed");
-    BOOST_TEST(reason_of(refused) == "not-run/backend-shed");
+    BOOST_TEST(outcome_and_reason(refused) == "not-run/backend-shed");
     BOOST_TEST(!refused["retry-after"].empty());
     const http_answer own = caller(entry()).call("/once/own-503");
-    BOOST_TEST(reason_of(own) == "answered/none");
+    BOOST_TEST(outcome_and_reason(own) == "answered/none");
     BOOST_TEST(own.result_int() == 503U);
     BOOST_TEST(own["retry-after"].empty());
 }
@@ -172,10 +172,10 @@
     add_node("n1", "pour", first.port());
     add_node("n2", "pour", second.port());
     start();
-    BOOST_TEST(reason_of(caller(entry()).call("/again/cut")) == "unknown/connection-cut");
+    BOOST_TEST(outcome_and_reason(caller(entry()).call("/again/cut")) == "unknown/connection-cut");
     BOOST_TEST(first.runs() == 1);
     BOOST_TEST(second.runs() == 1);
-    BOOST_TEST(reason_of(caller(entry()).call("/again/shed")) == "not-run/backend-shed");
+    BOOST_TEST(outcome_and_reason(caller(entry()).call("/again/shed")) == "not-run/backend-shed");
     BOOST_TEST(first.runs() == 2);
     BOOST_TEST(second.runs() == 2);
 }
@@ -209,27 +209,28 @@
 }
 
 // Guards against a deadline that is not kept, or that is reported as "did not run" after sending.
-BOOST_AUTO_TEST_CASE(deadline_is_kept_and_named) {
+BOOST_AUTO_TEST_CASE(deadline_is_enforced_and_reported) {
     fake_server server;
-    test_node& beside = add_node("n1", "pour", server.port());
+    test_node& backend_node = add_node("n1", "pour", server.port());
     start();
     const auto begin = std::chrono::steady_clock::now();
     const http_answer answer =
         caller(entry()).call("/once/slow", "", {{"x-caraway-deadline-ms", "80"}});
-    BOOST_TEST(reason_of(answer) == "unknown/deadline-after-send");
+    BOOST_TEST(outcome_and_reason(answer) == "unknown/deadline-after-send");
     BOOST_TEST((std::chrono::steady_clock::now() - begin < milliseconds(250)));
     BOOST_TEST(answer["x-caraway-instance"] == "n1"); // the side that knows answered
-    BOOST_TEST(reason_of(caller(beside).call("/once/echo", "", {{"x-caraway-deadline-ms", "0"}})) ==
+    BOOST_TEST(outcome_and_reason(
+                   caller(backend_node).call("/once/echo", "", {{"x-caraway-deadline-ms", "0"}})) ==
                "deadline/deadline-before-send");
-    BOOST_TEST(settled([&server] { return server.closed_while_slow(); }, 1U) == 1U);
+    BOOST_TEST(wait_for_value([&server] { return server.closed_while_slow(); }, 1U) == 1U);
 
     // The cold-start limit is one call: the second waits, and its deadline passes in the queue.
     caller running(entry());
     running.send("/once/slow", "a");
-    BOOST_TEST(settled([&server] { return server.running_slow(); }, 2U) == 2U);
-    BOOST_TEST(
-        reason_of(caller(entry()).call("/once/echo", "", {{"x-caraway-deadline-ms", "60"}})) ==
-        "deadline/deadline-before-send");
+    BOOST_TEST(wait_for_value([&server] { return server.running_slow(); }, 2U) == 2U);
+    BOOST_TEST(outcome_and_reason(
+                   caller(entry()).call("/once/echo", "", {{"x-caraway-deadline-ms", "60"}})) ==
+               "deadline/deadline-before-send");
     BOOST_TEST(running.receive().body() == "a");
     BOOST_TEST(server.runs() == 2);
 }
@@ -237,73 +238,79 @@
 // Guards against callers' short deadlines that make a healthy server look cold.
 BOOST_AUTO_TEST_CASE(short_deadlines_do_not_close_admission) {
     fake_server server;
-    test_node& beside = add_node("n1", "pour", server.port());
+    test_node& backend_node = add_node("n1", "pour", server.port());
     start();
     for (int i = 0; i < 20; ++i) {
-        caller(beside).call("/once/slower");
+        caller(backend_node).call("/once/slower");
     }
     for (int i = 0; i < 4; ++i) {
         BOOST_TEST(
-            reason_of(caller(beside).call("/once/slower", "", {{"x-caraway-deadline-ms", "4"}})) ==
+            outcome_and_reason(
+                caller(backend_node).call("/once/slower", "", {{"x-caraway-deadline-ms", "4"}})) ==
             "unknown/deadline-after-send");
     }
-    caller first(beside);
-    caller second(beside);
+    caller first(backend_node);
+    caller second(backend_node);
     first.send("/once/slow");
     second.send("/once/slow");
-    BOOST_TEST(settled([&server] { return server.running_slow(); }, 2U) == 2U);
+    BOOST_TEST(wait_for_value([&server] { return server.running_slow(); }, 2U) == 2U);
     first.receive();
     second.receive();
 }
 
 // Guards against work that goes on for a caller that is gone.
-BOOST_AUTO_TEST_CASE(closing_caller_cancels_over_both_hops) {
+BOOST_AUTO_TEST_CASE(caller_disconnect_cancels_both_hops) {
     fake_server server;
-    test_node& beside = add_node("n1", "pour", server.port());
+    test_node& backend_node = add_node("n1", "pour", server.port());
     start();
     for (const std::size_t expected : {1U, 2U}) {
         {
-            caller leaving(expected == 1 ? entry() : beside);
+            caller leaving(expected == 1 ? entry() : backend_node);
             leaving.send("/once/slow");
-            BOOST_TEST(settled([&server] { return server.running_slow(); }, expected) == expected);
+            BOOST_TEST(wait_for_value([&server] { return server.running_slow(); }, expected) ==
+                       expected);
         }
-        BOOST_TEST(settled([&server] { return server.closed_while_slow(); }, expected) == expected);
+        BOOST_TEST(wait_for_value([&server] { return server.closed_while_slow(); }, expected) ==
+                   expected);
     }
-    BOOST_TEST(settled([&beside] { return beside.m_server->calls_in_progress(); }, 0) == 0U);
+    BOOST_TEST(
+        wait_for_value([&backend_node] { return backend_node.m_server->calls_in_progress(); }, 0) ==
+        0U);
 }
 
 // Guards against a planned stop that loses work or takes new work.
 BOOST_AUTO_TEST_CASE(drain_finishes_running_calls_and_refuses_others) {
     fake_server server;
-    test_node& beside = add_node("n1", "pour", server.port());
+    test_node& backend_node = add_node("n1", "pour", server.port());
     start();
     caller running(entry());
     caller waiting(entry());
-    const auto in_progress = [&beside] { return beside.m_server->calls_in_progress(); };
+    const auto in_progress = [&backend_node] { return backend_node.m_server->calls_in_progress(); };
     running.send("/once/slow", "a");
-    BOOST_TEST(settled([&server] { return server.running_slow(); }, 1U) == 1U);
+    BOOST_TEST(wait_for_value([&server] { return server.running_slow(); }, 1U) == 1U);
     waiting.send("/once/echo", "b"); // the cold-start limit is one call
-    BOOST_TEST(settled(in_progress, 2U) == 2U);
-    beside.m_server->drain();
-    BOOST_TEST(reason_of(waiting.receive()) == "not-run/draining");
-    BOOST_TEST(reason_of(caller(entry()).call("/once/echo")) == "not-run/draining");
-    BOOST_TEST(reason_of(caller(beside).call("/once/echo")) == "not-run/draining");
-    BOOST_TEST(settled(in_progress, 1) == 1U);
+    BOOST_TEST(wait_for_value(in_progress, 2U) == 2U);
+    backend_node.m_server->drain();
+    BOOST_TEST(outcome_and_reason(waiting.receive()) == "not-run/draining");
+    BOOST_TEST(outcome_and_reason(caller(entry()).call("/once/echo")) == "not-run/draining");
+    BOOST_TEST(outcome_and_reason(caller(backend_node).call("/once/echo")) == "not-run/draining");
+    BOOST_TEST(wait_for_value(in_progress, 1) == 1U);
     BOOST_TEST(running.receive().body() == "a");
-    BOOST_TEST(settled(in_progress, 0) == 0U);
+    BOOST_TEST(wait_for_value(in_progress, 0) == 0U);
     BOOST_TEST(server.runs() == 1);
 }
 
 // Guards against a resumed process that starts calls by a view from before its pause: one call ran
 // on a suspended version in the millisecond before the suspension was learnt.
-BOOST_AUTO_TEST_CASE(stale_snapshot_is_not_routed_by) {
+BOOST_AUTO_TEST_CASE(stale_snapshot_is_not_used_for_routing) {
     fake_server server;
-    test_node& beside = add_node("n1", "pour", server.port());
+    test_node& backend_node = add_node("n1", "pour", server.port());
     start();
     const time_point now = std::chrono::steady_clock::now();
-    for (test_node* stale : {&entry(), &beside}) {
+    for (test_node* stale : {&entry(), &backend_node}) {
         stale->m_server->trust_snapshot_until(now - milliseconds(1));
-        BOOST_TEST(reason_of(caller(entry()).call("/once/echo")) == "not-run/node-not-ready");
+        BOOST_TEST(outcome_and_reason(caller(entry()).call("/once/echo")) ==
+                   "not-run/node-not-ready");
         stale->m_server->trust_snapshot_until(now + std::chrono::minutes(1));
     }
     BOOST_TEST(server.runs() == 0);
@@ -311,57 +318,63 @@
 }
 
 // Guards against a call that runs by an older configuration than its sender's.
-BOOST_AUTO_TEST_CASE(node_behind_waits_for_the_configuration) {
+BOOST_AUTO_TEST_CASE(call_waits_for_the_configuration_of_its_sender) {
     fake_server server;
-    test_node& beside = add_node("n1", "pour", server.port());
+    test_node& backend_node = add_node("n1", "pour", server.port());
     start();
     publish(entry(), 6);
     const auto begin = std::chrono::steady_clock::now();
-    BOOST_TEST(reason_of(caller(entry()).call("/once/echo")) == "not-run/config-behind");
+    BOOST_TEST(outcome_and_reason(caller(entry()).call("/once/echo")) == "not-run/config-behind");
     BOOST_TEST((std::chrono::steady_clock::now() - begin >= milliseconds(250)));
-    BOOST_TEST(beside.m_heard == 6U);
+    BOOST_TEST(backend_node.m_observed_version == 6U);
     caller patient(entry());
     patient.send("/once/echo", "late");
     std::this_thread::sleep_for(milliseconds(50));
-    publish(beside, 6);
+    publish(backend_node, 6);
     BOOST_TEST(patient.receive().body() == "late");
     BOOST_TEST(server.runs() == 1);
     // A node ahead tells the sender by its answer.
-    publish(beside, 7);
+    publish(backend_node, 7);
     caller(entry()).call("/once/echo");
-    BOOST_TEST(entry().m_heard == 7U);
+    BOOST_TEST(entry().m_observed_version == 7U);
 }
 
 // Guards against requests that pass a bound, and against refusals that reach the server.
-BOOST_AUTO_TEST_CASE(bounds_are_enforced_before_the_server) {
+BOOST_AUTO_TEST_CASE(limits_are_enforced_before_the_server) {
     fake_server server;
-    test_node& beside = add_node("n1", "pour", server.port());
-    beside.m_settings.m_max_body_bytes = 1'000;
-    beside.m_settings.m_max_connections = 3;
+    test_node& backend_node = add_node("n1", "pour", server.port());
+    backend_node.m_settings.m_max_body_bytes = 1'000;
+    backend_node.m_settings.m_max_connections = 3;
     start();
-    BOOST_TEST(reason_of(caller(beside).call("/once/echo", std::string(2'000, 'x'))) ==
-               "not-run/body-too-large");
     BOOST_TEST(
-        reason_of(caller(beside).call("/once/echo", "", {{"filler", std::string(40'000, 'x')}})) ==
+        outcome_and_reason(caller(backend_node).call("/once/echo", std::string(2'000, 'x'))) ==
+        "not-run/body-too-large");
+    BOOST_TEST(
+        outcome_and_reason(
+            caller(backend_node).call("/once/echo", "", {{"filler", std::string(40'000, 'x')}})) ==
         "not-run/bad-request");
-    BOOST_TEST(reason_of(caller(entry()).call("/once/echo", "", {{"x-caraway-hop", "7"}})) ==
-               "not-run/hop-limit");
-    BOOST_TEST(reason_of(caller(entry()).call("/nowhere")) == "not-run/no-route");
-    BOOST_TEST(reason_of(caller(entry()).call("/front/echo")) == "not-run/no-backend-server");
-    BOOST_TEST(reason_of(caller(beside).call(
-                   "/once/echo", "",
-                   {{"x-caraway-service", "pour"}, {"x-caraway-backend-version", "v9"}})) ==
+    BOOST_TEST(outcome_and_reason(caller(entry()).call(
+                   "/once/echo", "", {{"x-caraway-hop", "7"}})) == "not-run/hop-limit");
+    BOOST_TEST(outcome_and_reason(caller(entry()).call("/nowhere")) == "not-run/no-route");
+    BOOST_TEST(outcome_and_reason(caller(entry()).call("/front/echo")) ==
+               "not-run/no-backend-server");
+    BOOST_TEST(outcome_and_reason(caller(backend_node)
+                                      .call("/once/echo", "",
+                                            {{"x-caraway-service", "pour"},
+                                             {"x-caraway-backend-version", "v9"}})) ==
                "not-run/version-not-served");
     std::this_thread::sleep_for(milliseconds(20));
     std::vector<std::unique_ptr<caller>> holding;
     holding.reserve(3);
     for (int i = 0; i < 3; ++i) {
-        holding.push_back(std::make_unique<caller>(beside));
+        holding.push_back(std::make_unique<caller>(backend_node));
     }
     std::this_thread::sleep_for(milliseconds(20));
-    BOOST_TEST(reason_of(caller(beside).call("/once/echo")) == "not-run/too-many-connections");
+    BOOST_TEST(outcome_and_reason(caller(backend_node).call("/once/echo")) ==
+               "not-run/too-many-connections");
     // The entry side passes on that the call did not run.
-    BOOST_TEST(reason_of(caller(entry()).call("/once/echo")) == "not-run/too-many-connections");
+    BOOST_TEST(outcome_and_reason(caller(entry()).call("/once/echo")) ==
+               "not-run/too-many-connections");
     BOOST_TEST(server.runs() == 0);
 }
 
@@ -382,9 +395,11 @@
     for (int t = 0; t < 6; ++t) {
         threads.emplace_back([this, t, &wrong] {
             caller connection(*m_nodes[static_cast<std::size_t>(t) % m_nodes.size()]);
-            const http_answer answer = connection.call("/once/slow", "booked", keyed("same-time"));
+            const http_answer answer =
+                connection.call("/once/slow", "booked", key_headers("same-time"));
             const bool answered = answer.body() == "booked";
-            wrong += answered || reason_of(answer) == "unknown/key-already-claimed" ? 0 : 1;
+            wrong +=
+                answered || outcome_and_reason(answer) == "unknown/key-already-claimed" ? 0 : 1;
         });
     }
     for (std::thread& thread : threads) {
@@ -396,25 +411,26 @@
     for (int i = 0; i < 12; ++i) {
         const http_answer answer =
             caller(*m_nodes[static_cast<std::size_t>(i) % m_nodes.size()])
-                .call("/once/echo", "call " + std::to_string(i), keyed("in-turn"));
-        BOOST_TEST(reason_of(answer) == "answered/none");
+                .call("/once/echo", "call " + std::to_string(i), key_headers("in-turn"));
+        BOOST_TEST(outcome_and_reason(answer) == "answered/none");
         BOOST_TEST(answer.body() == "call 0");
         BOOST_TEST((answer["x-caraway-replayed"] == "1") == (i > 0));
     }
     BOOST_TEST(runs() - before == 1);
     for (int i = 0; i < 6; ++i) {
-        BOOST_TEST(reason_of(caller(entry()).call("/once/cut", "", keyed("cut"))) ==
+        BOOST_TEST(outcome_and_reason(caller(entry()).call("/once/cut", "", key_headers("cut"))) ==
                    (i == 0 ? "unknown/connection-cut" : "unknown/key-already-claimed"));
     }
     BOOST_TEST(runs() - before == 2);
     // Without the time of the first try, young registrars can't know that the key is new.
-    BOOST_TEST(reason_of(caller(entry()).call("/once/echo", "", {{"idempotency-key", "k"}})) ==
-               "unknown/key-history-incomplete");
+    BOOST_TEST(
+        outcome_and_reason(caller(entry()).call("/once/echo", "", {{"idempotency-key", "k"}})) ==
+        "unknown/key-history-incomplete");
     BOOST_TEST(runs() - before == 2);
 }
 
 // Guards against a refused request that leaves its key claimed, so that it could never run.
-BOOST_AUTO_TEST_CASE(refused_key_stays_free) {
+BOOST_AUTO_TEST_CASE(refused_request_leaves_its_key_unclaimed) {
     fake_server good;
     add_node("n1", "pour", 1); // nothing listens on port 1
     add_node("n2", "pour", good.port());
@@ -422,15 +438,16 @@
     start();
     int refused = 0;
     for (int i = 0; i < 10; ++i) {
-        const auto headers = keyed("key " + std::to_string(i));
+        const auto headers = key_headers("key " + std::to_string(i));
         http_answer answer = caller(entry()).call("/once/echo", "x", headers);
-        for (int again = 0; again < 10 && reason_of(answer) == "not-run/connect-failed"; ++again) {
+        for (int again = 0; again < 10 && outcome_and_reason(answer) == "not-run/connect-failed";
+             ++again) {
             ++refused;
             answer = caller(entry()).call("/once/echo", "x", headers);
         }
-        BOOST_TEST(reason_of(answer) == "answered/none");
-        BOOST_TEST(reason_of(caller(entry()).call("/once/shed", "", keyed("shed"))) !=
-                   "answered/none");
+        BOOST_TEST(outcome_and_reason(answer) == "answered/none");
+        BOOST_TEST(outcome_and_reason(caller(entry()).call(
+                       "/once/shed", "", key_headers("shed"))) != "answered/none");
     }
     BOOST_TEST(refused < 30);
 }
@@ -438,43 +455,49 @@
 // Guards against runs while a registrar that is believed alive can't be asked.
 BOOST_AUTO_TEST_CASE(unreachable_registrar_prevents_a_run) {
     fake_server server;
-    test_node& only = add_node("n1", "pour", server.port());
+    test_node& called_node = add_node("n1", "pour", server.port());
     add_node("n2", "pour", 1);
     add_node("n3", "pour", 1);
     start();
     m_nodes[2]->m_server.reset();
-    BOOST_TEST(reason_of(caller(only).call("/once/echo", "", node_call(keyed("k")))) ==
-               "not-run/peer-unreachable");
+    BOOST_TEST(
+        outcome_and_reason(
+            caller(called_node).call("/once/echo", "", node_call_headers(key_headers("k")))) ==
+        "not-run/peer-unreachable");
     BOOST_TEST(server.runs() == 0);
-    publish(only, 6, {"n2"}); // now known as dead; two of three registrars are left
-    BOOST_TEST(reason_of(caller(only).call("/once/echo", "", node_call(keyed("k")))) ==
-               "answered/none");
-    publish(only, 7, {"n2", "n3"}); // a minority
-    BOOST_TEST(reason_of(caller(only).call("/once/echo", "", node_call(keyed("other")))) ==
-               "unknown/key-history-incomplete");
+    publish(called_node, 6, {"n2"}); // now known as dead; two of three registrars are left
+    BOOST_TEST(
+        outcome_and_reason(
+            caller(called_node).call("/once/echo", "", node_call_headers(key_headers("k")))) ==
+        "answered/none");
+    publish(called_node, 7, {"n2", "n3"}); // a minority
+    BOOST_TEST(
+        outcome_and_reason(
+            caller(called_node).call("/once/echo", "", node_call_headers(key_headers("other")))) ==
+        "unknown/key-history-incomplete");
     BOOST_TEST(server.runs() == 1);
 }
 
 // Guards against evidence that misses failures or counts calls that the server never got.
 BOOST_AUTO_TEST_CASE(evidence_counts_the_own_servers_calls) {
     fake_server server;
-    test_node& beside = add_node("n1", "pour", server.port());
+    test_node& backend_node = add_node("n1", "pour", server.port());
     start();
-    caller(beside).call("/once/echo");
-    caller(beside).call("/once/cut");
-    caller(beside).call("/once/error");
-    caller(beside).call("/once/shed");
-    const evidence_report report = beside.m_server->take_evidence();
+    caller(backend_node).call("/once/echo");
+    caller(backend_node).call("/once/cut");
+    caller(backend_node).call("/once/error");
+    caller(backend_node).call("/once/shed");
+    const evidence_report report = backend_node.m_server->take_evidence();
     BOOST_TEST(report.m_version == "v1");
     BOOST_REQUIRE(report.m_routes.contains("/once"));
     BOOST_TEST(report.m_routes.at("/once").m_calls == 3U);
     BOOST_TEST(report.m_routes.at("/once").m_failures == 2U);
-    BOOST_TEST(beside.m_server->take_evidence().m_routes.empty());
+    BOOST_TEST(backend_node.m_server->take_evidence().m_routes.empty());
 }
 
 // Guards against a health endpoint that is slow, truncated, oversized, closed or wrong and takes
 // calls away from its server, and against a probe that ends without a trace in the log.
-BOOST_AUTO_TEST_CASE(each_end_of_a_health_probe_is_logged_and_decides_nothing) {
+BOOST_AUTO_TEST_CASE(every_health_probe_result_is_logged_and_does_not_affect_routing) {
     const std::map<std::string, std::string> expected{{"echo", "none"},
                                                       {"error", "none"},
                                                       {"cut", "connection-cut"},
@@ -516,13 +539,13 @@
         BOOST_TEST(servers[i]->runs() == 1);
         BOOST_TEST(node.m_server->take_evidence().m_routes.empty());
         BOOST_TEST(node.m_server->calls_in_progress() == 0U);
-        BOOST_TEST(reason_of(caller(node).call("/once/echo", "", node_call({}))) ==
+        BOOST_TEST(outcome_and_reason(caller(node).call("/once/echo", "", node_call_headers({}))) ==
                    "answered/none");
     }
 }
 
 // Guards against probes that cost a busy server time, and against ones that can't be turned off.
-BOOST_AUTO_TEST_CASE(health_is_not_probed_while_calls_tell_enough) {
+BOOST_AUTO_TEST_CASE(health_is_not_probed_while_calls_are_served) {
     fake_server idle;
     fake_server busy;
     fake_server unprobed;
@@ -531,7 +554,7 @@
     called.m_settings.m_health_interval = milliseconds(10'000);
     add_node("unprobed", "pour", unprobed.port()); // interval 0
     start();
-    caller(called).call("/once/echo", "", node_call({}));
+    caller(called).call("/once/echo", "", node_call_headers({}));
     std::this_thread::sleep_for(milliseconds(2'300)); // two times at which a probe may start
     BOOST_TEST(idle.runs() == 1);
     BOOST_TEST(busy.runs() == 1); // the call
