--- a/src/traffic/admin.cpp
+++ b/src/traffic/admin.cpp
@@ -15,9 +15,9 @@
 namespace beast = boost::beast;
 using beast::error_code;
 
-// A scraper and a few persons at a time; more would only burden the control thread.
+// Enough for a scraper and a few operators; more would only load the control thread.
 constexpr std::size_t max_connections = 16;
-// A request has to come and its answer has to be taken within this time.
+// Time within which a request must arrive and its answer must be received.
 constexpr milliseconds connection_timeout{5'000};
 constexpr std::uint32_t max_request_header_bytes = 8U << 10U;
 constexpr std::uint64_t max_request_body_bytes = 64U << 10U;
@@ -62,7 +62,7 @@
                 continue;
             }
             if (m_open_connections >= max_connections) {
-                continue; // closes it; a scraper tries again
+                continue; // closes the connection; a scraper retries
             }
             ++m_open_connections;
             auto stream = std::make_shared<beast::tcp_stream>(std::move(socket));
--- a/src/traffic/admin.hpp
+++ b/src/traffic/admin.hpp
@@ -1,4 +1,4 @@
-// The admin address of a node: metrics, health and status over plain HTTP, on the control thread.
+// Admin server of a node: metrics, health and status over plain HTTP, on the control thread.
 #pragma once
 
 #include <cstdint>
@@ -14,27 +14,30 @@
 
 namespace caraway {
 
+// HTTP answer of the admin server.
 struct admin_answer {
     std::uint16_t m_status = 200;
     std::string m_content_type;
     std::string m_body;
 };
 
-// A request of a scraper, of a person or of the backend server.
+// A request of a metrics scraper, an operator or the backend server. The views are valid during the
+// handler call.
 struct admin_request {
-    bool m_is_get = true; // GET; else POST
+    bool m_is_get = true; // true for GET, false for POST
     std::string_view m_path;
     std::string_view m_body;
 };
 
-// Called with each request, on the thread that runs the io_context.
+// Called for each request on the thread that runs the io_context.
 using admin_handler = std::function<admin_answer(const admin_request&)>;
 
-// A server with few connections at a time, each closed after one answer.
+// HTTP server with a small number of concurrent connections, each closed after one answer.
 class admin_server {
 public:
     enum class methods : std::uint8_t { get, get_and_post };
-    // Binds the address and begins to accept. Fails with invalid_settings when it can't be bound.
+    // Binds the address and starts to accept connections. Returns null with invalid_settings if the
+    // address cannot be bound. Requests with other methods are answered with status 405.
     static std::unique_ptr<admin_server> start(boost::asio::io_context& io,
                                                const ip_endpoint& address, admin_handler handler,
                                                error& reason, methods allowed = methods::get);
@@ -42,8 +45,8 @@
     admin_server& operator=(const admin_server&) = delete;
     admin_server(admin_server&&) = delete;
     admin_server& operator=(admin_server&&) = delete;
-    // Closes the listening socket. Connections that are open then get no page any more and end when
-    // the other side closes them or their time is up.
+    // Closes the listening socket. Open connections receive no further page; they end when the peer
+    // closes them or their timeout expires.
     ~admin_server();
 
 private:
--- a/src/traffic/connection_pool.cpp
+++ b/src/traffic/connection_pool.cpp
@@ -14,21 +14,23 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// A connection attempt that takes longer goes to a dead or cut off machine: the users' round trips
-// are below 20 ms. Giving up early leaves time for another backend server.
+// Timeout of a connection attempt. Round trips in the networks of the users are below 20 ms, so a
+// longer attempt goes to a dead or partitioned machine. Failing early leaves time for another
+// backend server.
 constexpr milliseconds connect_timeout{250};
-// Part of the idle time stated by the other side after which a connection is used no more, so that
-// a request never meets a connection that the other side closes at the same moment.
+// Fraction of the idle timeout announced by the peer after which a connection is no longer reused,
+// so that no request is sent just as the peer closes the connection.
 constexpr double idle_timeout_fraction = 0.6;
-// Answers to earlier requests that are dropped before the one that is waited for.
+// Number of answers to earlier requests that are dropped before the exchange fails.
 constexpr int max_mismatched_answers = 2;
-// Interim answers before the final one; a server that sends them without end is given up.
+// Limit of interim (1xx) answers before the final one; an exchange fails with a server that sends
+// them endlessly.
 constexpr int max_interim_answers = 16;
-// Bytes read at once beyond the header limit.
+// Buffer capacity in bytes beyond the header limit.
 constexpr std::size_t read_ahead_bytes = 64U << 10U;
 
-// Closes the socket of an attempt that takes too long. The handler may run after the attempt is
-// over, so it holds a shared flag instead of the attempt's state.
+// Closes the socket if the connection attempt takes too long. The timer handler may run after the
+// attempt has ended, so it holds a shared flag instead of a reference to this object.
 class connect_timeout_guard {
 public:
     connect_timeout_guard(call_control& control, tcp::socket& socket, duration limit)
@@ -53,8 +55,8 @@
     std::shared_ptr<bool> m_active;
 };
 
-// Binds the local address and leaves the port to connect, so that the number of connections is not
-// bounded by the ports of one address.
+// Binds the local address but leaves the choice of the port to connect(). Ports are then unique per
+// destination only, so the number of connections is not limited by the ports of one address.
 void bind_source(tcp::socket& socket, const asio::ip::address& source, error_code& failed) {
     using bind_without_port =
         asio::detail::socket_option::boolean<IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT>;
@@ -96,7 +98,8 @@
             if (found == m_idle.end() || found->second.empty()) {
                 return nullptr;
             }
-            // The most recently used one, so that surplus connections age and are closed.
+            // Takes the most recently used connection, so that surplus connections expire and are
+            // closed.
             idle_connection = std::move(found->second.back());
             found->second.pop_back();
             --m_idle_count;
@@ -166,11 +169,11 @@
 
 void connection_pool::close_expired() {
     const time_point now = m_clock.now();
-    std::vector<std::unique_ptr<connection>> closing; // closed outside the lock
+    std::vector<std::unique_ptr<connection>> closing; // closed after the lock is released
     const std::lock_guard lock(m_mutex);
     for (auto peer = m_idle.begin(); peer != m_idle.end();) {
         auto& idle = peer->second;
-        // Idle times grow towards the front, since the back is taken first.
+        // Connections are taken from the back, so the front ones have been idle longest.
         std::size_t expired = 0;
         while (expired < idle.size() &&
                now - idle[expired]->m_idle_since > idle[expired]->m_max_idle_time) {
@@ -193,7 +196,8 @@
 
 namespace {
 
-// Takes over how long the other side keeps an idle connection, if its answer says so.
+// Limits the idle time of the connection to the timeout that the peer announces in its Keep-Alive
+// header, if any.
 void apply_keep_alive_timeout(connection& peer_connection, const http_response& answer) {
     constexpr std::string_view parameter = "timeout=";
     const auto found = answer.find(http::field::keep_alive);
@@ -229,7 +233,7 @@
     if (control.is_ended()) {
         return fail(reason, control.ended_kind(true), "the call ended while it was sent");
     }
-    // A refusal may arrive although the peer didn't read the whole request, so the answer is read
+    // A refusal may arrive although the peer did not read the whole request, so the answer is read
     // even after a failed write.
     while (true) {
         http::response_parser<http::string_body> parser;
--- a/src/traffic/connection_pool.hpp
+++ b/src/traffic/connection_pool.hpp
@@ -1,5 +1,5 @@
-// Persistent HTTP/1.1 connections to nodes and to the own backend server, with one request
-// outstanding on each. A connection with any doubt about its state is closed, never used again.
+// Persistent HTTP/1.1 connections to other nodes and to the own backend server, with one
+// outstanding request on each. A connection whose state is in doubt is closed and never reused.
 #pragma once
 
 #include <cstdint>
@@ -18,6 +18,7 @@
 
 namespace caraway {
 
+// Connection to a node or to the own backend server, with its read buffer.
 struct connection {
     connection(boost::asio::io_context& io, ip_endpoint peer, std::size_t buffer_bytes,
                milliseconds max_idle_time)
@@ -27,33 +28,37 @@
     tcp::socket m_socket;
     boost::beast::flat_buffer m_buffer;
     time_point m_idle_since;
-    milliseconds m_max_idle_time; // the other side may close it soon after
-    bool m_first_request = true;  // carried no request before the present one
-    bool m_reusable = true;       // the last answer was whole and the peer keeps the connection
+    milliseconds m_max_idle_time; // the peer may close the idle connection soon after this time
+    bool m_first_request = true;  // no request was sent before the current one
+    bool m_reusable = true; // the last answer was complete and the peer keeps the connection open
 };
 
-// Bounds of one exchange over a connection.
+// Size limits of the answer in one exchange over a connection.
 struct exchange_limits {
     std::uint32_t m_max_header_bytes = 16U << 10U;
     std::uint64_t m_max_body_bytes = 1U << 20U;
 };
 
-// Idle connections by endpoint. max_idle_time counts for those whose other side states none. source
-// is the local IP address of new connections; empty: the system chooses.
+// Pool of idle connections by endpoint. max_idle_time limits their idle time; an idle timeout that
+// the peer announces can only shorten it. source is the local IP address of new connections; if it
+// is empty, the system chooses one. Safe to use from any thread.
 class connection_pool {
 public:
     connection_pool(boost::asio::io_context& io, const clock_source& clock,
                     std::size_t max_idle_per_peer, std::size_t max_idle, milliseconds max_idle_time,
                     std::string_view source = {});
 
-    // An idle connection that is still open, or a new one. Fails with connect_failed (no byte was
-    // sent), or with the call's end.
+    // Returns an idle connection that is still open, or opens a new one. Returns null with
+    // connect_failed (no byte was sent) or with the error kind by which the call ended. Suspends
+    // the coroutine while connecting.
     std::unique_ptr<connection> open(call_control& control, const ip_endpoint& peer,
                                      boost::asio::yield_context yield, error& reason);
-    // Keeps the connection for the next call if it is reusable, else closes it.
+    // Returns a connection to the pool for the next call if it is reusable and the pool has space;
+    // closes it otherwise.
     void return_connection(std::unique_ptr<connection> peer_connection);
-    // Closes connections that idled too long.
+    // Closes connections that have been idle longer than their idle time.
     void close_expired();
+    // Closes all idle connections; connections returned later are closed at once.
     void close_all();
 
 private:
@@ -65,19 +70,21 @@
     std::size_t m_max_idle;
     milliseconds m_max_idle_time;
     std::optional<boost::asio::ip::address> m_source;
-    std::mutex m_mutex; // never held over input or output
+    std::mutex m_mutex; // not held during I/O
     bool m_closed = false;
     std::size_t m_idle_count = 0;
     std::map<ip_endpoint, std::vector<std::unique_ptr<connection>>> m_idle;
 };
 
-// True for the answer to the request; an answer to an earlier one may arrive late before it.
+// Returns true if the answer belongs to the request. A late answer to an earlier request may arrive
+// before it.
 using answer_matcher = std::function<bool(const http_response&)>;
 
-// Sends the request and reads the whole answer; those that belong to another request are dropped.
-// An answer without a length ends with its connection, unless that is reset. Fails with
-// connection_cut when no byte of an answer came, answer_truncated when it ended early,
-// answer_too_large, or the call's end; the request may have been received in all these cases.
+// Sends the request and reads the complete answer; answers to other requests are dropped. An answer
+// without a length ends when its connection closes, unless the connection is reset. Fails with
+// connection_cut if no byte of an answer arrived, answer_truncated if it ended early,
+// answer_too_large, or the error kind by which the call ended. The peer may have received the
+// request in all these cases.
 std::optional<http_response> exchange(call_control& control, connection& peer_connection,
                                       const http_request& request, const exchange_limits& limits,
                                       const answer_matcher& matches,
--- a/src/traffic/entry_side.cpp
+++ b/src/traffic/entry_side.cpp
@@ -13,21 +13,22 @@
 
 namespace asio = boost::asio;
 
-// Time by which the backend side's deadline comes before the own one. Its answer, which knows
-// whether the call was sent, then still arrives: two ways of 1.5 ms between data centres and the
-// handling at both ends.
+// Time by which the deadline sent to the backend side precedes the entry side's own. The answer of
+// the backend side, which states whether the call was sent, then still arrives in time: the margin
+// covers two trips of 1.5 ms between data centres and the processing at both ends.
 constexpr milliseconds answer_margin{5};
 
-// Time that a caller is taken to have left when none of its calls has begun.
+// Remaining time assumed for a caller whose call was refused before its deadline was set.
 constexpr milliseconds default_remaining_time{1'000};
 
-// Routes whose callers' deadlines are remembered, over all configurations since the start.
+// Number of routes, over all configurations since the start, for which the deadlines of callers are
+// recorded.
 constexpr std::size_t max_tracked_routes = 10'000;
 
-// Latency above which a stated one says no more.
+// Upper bound for latencies and waiting times reported by other nodes; larger values are clamped.
 constexpr std::uint64_t max_latency_us = 3'600'000'000;
 
-// One call at the entry side, over all of its attempts.
+// State of one call at the entry side, over all of its attempts.
 struct entry_call {
     call_info m_info;
     std::shared_ptr<const routing_snapshot> m_snapshot;
@@ -36,7 +37,7 @@
     std::vector<bool> m_tried;
     std::uint32_t m_attempts = 0;
     std::uint32_t m_server_attempts = 0;  // attempts that reached a backend server
-    std::uint32_t m_refused_attempts = 0; // attempts that a node refused before
+    std::uint32_t m_refused_attempts = 0; // attempts refused before they reached a backend server
 };
 
 std::string_view target_of(const http_request& request) {
@@ -61,12 +62,13 @@
                                    std::memory_order_relaxed);
 }
 
-// Tells the breaker how an attempt ended. A node that refuses answers, so it is reachable; one
-// whose backend server refuses connections is not.
+// Records the result of an attempt in the circuit breaker. A refusal shows that the node is
+// reachable. connect_failed of another node means that the node or its backend server refuses
+// connections, and counts as unreachable; for the own backend server it counts as one failure.
 void update_breaker(backend_counters& counters, error_kind reason, bool own_server,
                     time_point now) {
     if (reason == error_kind::cancelled_before_send || reason == error_kind::cancelled_after_send) {
-        return; // says nothing about the backend server
+        return; // does not indicate the state of the backend server
     }
     circuit_breaker breaker = load_breaker(counters);
     if (reason == error_kind::connect_failed && !own_server) {
@@ -98,7 +100,7 @@
     }
 }
 
-// Remembers whether the backend server had room for the call.
+// Records whether the backend server had capacity for the call.
 void update_refusals(backend_counters& counters, const call_info& info, const call_reply& reply,
                      time_point now) {
     refusal_state refusals = load_refusals(counters);
@@ -115,7 +117,8 @@
     store_refusals(counters, refusals);
 }
 
-// The backend servers of a version as this node knows them; an empty version stands for all but the
+// Returns the backend servers of the service with their state as known to this node; those that do
+// not serve the version are marked as not usable. An empty version matches every version but the
 // target of a move.
 std::vector<candidate> make_candidates(const entry_call& call, std::string_view version,
                                        time_point now) {
@@ -146,13 +149,14 @@
     return candidates;
 }
 
-// How the choice of a backend server ended: its place in the service, or why there is none.
+// Result of the choice of a backend server: its index in the service, or the reason why there is
+// none.
 struct backend_choice {
     std::optional<std::size_t> m_backend;
     error_kind m_reason = error_kind::no_backend_server;
 };
 
-// Chooses a backend server of the version that was not tried yet.
+// Chooses a backend server of the version that has not been tried for this call.
 backend_choice choose_backend_of_version(const entry_call& call, std::string_view version,
                                          random_source& random, time_point now) {
     const std::vector<candidate> candidates = make_candidates(call, version, now);
@@ -162,8 +166,9 @@
     return {choose_candidate(candidates, random)};
 }
 
-// Chooses version and backend server. Calls of a new version without a usable backend server go to
-// the old one; the other way round the new version would get more than its share.
+// Chooses the backend server for a call of the new or the old version. A call of the new version
+// falls back to the old one if the new version has no usable backend server. The reverse is not
+// done, since the new version would receive more than its share.
 backend_choice choose_backend(entry_call& call, bool new_version, random_source& random,
                               time_point now) {
     if (new_version) {
@@ -179,8 +184,9 @@
     return choose_backend_of_version(call, call.m_service->m_old_version, random, now);
 }
 
-// Reads the outcome that the next node states. An answer without a consistent outcome is not one of
-// a node, so nothing is known of the request.
+// Returns the error kind that the next node reports in its headers. An answer without a consistent
+// outcome and reason does not come from a node, so it is unknown whether the request ran; internal
+// is returned for it.
 error_kind reported_error_kind(const http_response& answer) {
     const auto stated = outcome_from_name(header_value(answer, header::outcome));
     const auto kind = error_kind_from_name(header_value(answer, header::reason));
@@ -190,8 +196,8 @@
     return *kind;
 }
 
-// True when the answer is the one to the request with the given exchange number. A node that
-// refuses a new connection answers without having read a request, so without a number.
+// Returns true if the answer belongs to the request with this exchange number. A node that refuses
+// a new connection answers without having read a request, so its answer has no number.
 bool matches_request(const http_response& answer, std::uint64_t number, bool first_request) {
     if (answer.find(std::string(header::exchange)) != answer.end()) {
         return numeric_header_value(answer, header::exchange) == number;
@@ -199,7 +205,8 @@
     return first_request && reported_error_kind(answer) == error_kind::too_many_connections;
 }
 
-// Takes over what the answer's headers tell of the backend server and of its node.
+// Updates the counters of the backend server, and the configuration version known for its node,
+// from the headers of the answer.
 void update_backend_counters(traffic_context& context, const entry_call& call,
                              const backend_view& backend, const http_response& answer,
                              time_point now) {
@@ -225,7 +232,7 @@
                          call.m_snapshot->m_config_version);
 }
 
-// Sends the call to the node beside the chosen backend server and reads its answer.
+// Forwards the call to the node beside the chosen backend server and returns its answer.
 call_reply forward(traffic_context& context, call_control& control, const entry_call& call,
                    const backend_view& backend, http_request& request, asio::yield_context yield) {
     const call_info& info = call.m_info;
@@ -297,7 +304,7 @@
     return reply;
 }
 
-// Counts a call as outstanding with its backend server.
+// Counts a call as outstanding at its backend server for the lifetime of the guard.
 class outstanding_guard {
 public:
     explicit outstanding_guard(std::shared_ptr<backend_counters> counters)
@@ -314,7 +321,7 @@
     std::shared_ptr<backend_counters> m_counters;
 };
 
-// Makes one attempt at the chosen backend server.
+// Makes one attempt at the chosen backend server and updates its circuit breaker and refusal state.
 call_reply attempt_call(traffic_context& context, call_control& control, entry_call& call,
                         const backend_view& backend, http_request& request,
                         asio::yield_context yield) {
@@ -333,15 +340,15 @@
     return reply;
 }
 
-// True when a backend server got the request, be it that it didn't run it.
+// Returns true if a backend server received the request, even if it shed it without running it.
 bool reached_server(error_kind reason) {
     const outcome stated = answer_for(reason).m_outcome;
     return stated == outcome::answered || stated == outcome::unknown ||
            reason == error_kind::backend_shed;
 }
 
-// How an attempt counts for a retry: an idempotent call that its server failed is repeated like one
-// whose answer was lost.
+// Returns the error kind by which a retry is decided. An idempotent call that the backend server
+// answered with a status of 500 or above is retried like one whose answer was lost.
 error_kind retry_reason(const entry_call& call, const call_reply& reply) {
     const bool failed = reply.m_reason == error_kind::none && call.m_info.m_idempotent &&
                         reply.m_message.result_int() >= 500;
@@ -363,7 +370,8 @@
                      context.m_clock.now());
 }
 
-// Counts the first attempt of a call and chooses its version: true for the new one.
+// Credits the retry budget of the service for a new call and chooses its version. Returns true for
+// the new version.
 bool begin_attempts(traffic_context& context, const service_view& service, random_source& random) {
     const std::lock_guard lock(context.m_entry_mutex);
     const auto [entry, added] = context.m_entries.try_emplace(service.m_spec.m_name);
@@ -376,7 +384,8 @@
            choose_new_version(entry->second.m_share, service.m_new_weight_permille, random);
 }
 
-// Makes the attempts of a call whose route and service are known.
+// Attempts a call whose route and service are known, with retries. A refusal does not replace an
+// earlier answer that states that the call may have run.
 call_reply run_attempts(traffic_context& context, call_control& control, entry_call& call,
                         http_request& request, asio::yield_context yield) {
     bool new_version = begin_attempts(context, *call.m_service, control.random());
@@ -404,7 +413,7 @@
         call_reply reply = attempt_call(context, control, call, backend, request, yield);
         const error_kind failure = retry_reason(call, reply);
         ++(reached_server(reply.m_reason) ? call.m_server_attempts : call.m_refused_attempts);
-        // An earlier attempt that may have run is not undone by a later refusal.
+        // A refusal of a later attempt does not change that an earlier attempt may have run.
         const bool may_have_run = last && reached_server(last->m_reason) &&
                                   last->m_reason != error_kind::backend_shed &&
                                   answer_for(reply.m_reason).m_outcome != outcome::answered;
@@ -414,11 +423,11 @@
         if (control.is_ended() || !retry_allowed(context, control, call, failure)) {
             return may_have_run ? std::move(*last) : std::move(reply);
         }
-        // A call that a server of the new version failed goes on with the old one: a repeat there
-        // would be one more than the version's share.
+        // If a backend server of the new version received the call and failed, the call is retried
+        // with the old version: a retry with the new version would exceed that version's share.
         new_version = new_version && reply.m_reason != error_kind::version_suspended &&
                       !reached_server(reply.m_reason);
-        if (!may_have_run) { // else the earlier reply says more
+        if (!may_have_run) { // otherwise the earlier reply states that the call may have run
             last = std::move(reply);
         }
     }
@@ -428,7 +437,7 @@
     return route.m_host + route.m_path;
 }
 
-// The service that gets the call, by the weights of a split route.
+// Returns the service that receives the call, chosen by weight if the route is split.
 std::string choose_service(traffic_context& context, const route_spec& route) {
     if (route.m_split.empty()) {
         return route.m_service;
@@ -442,8 +451,9 @@
     return route.m_split[choose_weighted(split, weights)].m_service;
 }
 
-// Remembers the deadline that a caller stated; returns how long it has tried before. A route's own
-// timeout doesn't count, since a shorter one would make all callers look like returning ones.
+// Records the deadline that a caller stated and returns how long the call has already been in
+// progress at the caller. The route's own timeout is not recorded, since a shorter one would make
+// all callers look like retrying ones.
 duration record_caller_deadline(traffic_context& context, const route_spec& route,
                                 std::optional<milliseconds> stated, time_point now) {
     if (!stated) {
@@ -451,19 +461,19 @@
     }
     const std::lock_guard lock(context.m_entry_mutex);
     if (context.m_callers.size() >= max_tracked_routes) {
-        context.m_callers.clear(); // learnt again within a few calls
+        context.m_callers.clear(); // recorded again within a few calls
     }
     caller_history& history = context.m_callers[route_name(route)];
     record_deadline(history, *stated);
     return elapsed_before_attempt(history, *stated, now);
 }
 
-// Tells a refused caller when to come back.
+// Sets the Retry-After header of a refusal and records the refused caller.
 void set_retry_delay(traffic_context& context, call_control& control, const entry_call& call,
                      call_reply& reply) {
     const bool own_refusal = reply.m_reason != error_kind::none;
     if (!own_refusal || reply.m_message.result() != http::status::service_unavailable) {
-        return; // a backend server's own answer is passed on as it is
+        return; // a backend server's own answer is passed on unchanged
     }
     const time_point now = context.m_clock.now();
     const duration left =
@@ -477,7 +487,7 @@
     }
 }
 
-// Finds route, service and deadline, then runs the call.
+// Finds the route, service and deadline of a call, then runs its attempts.
 call_reply run_entry(traffic_context& context, call_control& control, entry_call& call,
                      http_request& request, asio::yield_context yield) {
     const auto refused = [&context](error_kind kind, std::string_view text) {
@@ -493,7 +503,7 @@
     if (call.m_info.m_hop > max_hops) {
         return refused(error_kind::hop_limit, "the chain of calls is too deep");
     }
-    // Onward calls belong to work in progress, which a leaving instance finishes.
+    // Onward calls belong to work in progress, which an instance that is leaving still finishes.
     if (!onward &&
         (context.m_draining.load(std::memory_order_relaxed) || call.m_snapshot->m_draining)) {
         return refused(error_kind::draining, "the instance is leaving");
--- a/src/traffic/http_message.cpp
+++ b/src/traffic/http_message.cpp
@@ -14,8 +14,8 @@
 namespace beast = boost::beast;
 
 constexpr std::uint64_t max_time_left_ms = 3'600'000;
-// When a refused caller may come again unless the refusal says otherwise. Queues turn over several
-// times in a second, and nodes learn of a lost server within one.
+// Delay after which a refused caller should retry unless the refusal states another one. Queues
+// turn over several times per second, and nodes detect a lost server within a second.
 constexpr milliseconds default_retry_after{300};
 
 beast::string_view to_beast(std::string_view text) {
@@ -120,9 +120,9 @@
 
 namespace {
 
-// Start line and the empty line that ends the head.
+// Approximate size of the start line and of the empty line that ends the headers.
 constexpr std::size_t framing_bytes = 24;
-// Colon, space and line end of one field.
+// Colon, space and line end of one header field.
 constexpr std::size_t field_framing_bytes = 4;
 
 std::size_t field_bytes(const http::fields& fields) {
--- a/src/traffic/served_connection.cpp
+++ b/src/traffic/served_connection.cpp
@@ -14,27 +14,28 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// An idle connection is closed after this time; nodes close theirs after 30 s, see connection_pool.
+// Time after which an idle connection is closed. Nodes close their idle connections earlier, after
+// 30 s; see connection_pool.
 constexpr milliseconds idle_timeout{75'000};
-// A request has to arrive whole within this time once it began. Slower callers would hold
-// connections that others need.
+// Time within which a request must arrive completely once its first byte was received. Slower
+// callers would occupy connections that others need.
 constexpr milliseconds read_timeout{10'000};
-// The caller has to take its answer within this time.
+// Time within which the caller must receive its answer.
 constexpr milliseconds write_timeout{10'000};
-// After a refusal the rest of the request is read and dropped for this long. Closing at once would
-// reset the connection, and the refusal could be lost.
+// Time for which the rest of a refused request is read and discarded. Closing at once would reset
+// the connection, and the refusal could be lost.
 constexpr milliseconds linger_time{500};
-// Room above the limit for the headers that the entry side adds, so that the next node doesn't
-// refuse what the first one took.
+// Allowance above the header limit for the headers that the entry side adds, so that the next node
+// does not refuse a request that the first one accepted.
 constexpr std::uint32_t added_header_bytes = 2U << 10U;
-// Bytes read ahead of the header limit.
+// Buffer capacity in bytes beyond the header limit.
 constexpr std::size_t read_ahead_bytes = 64U << 10U;
 constexpr std::size_t first_read_bytes = 8U << 10U;
-// Requests of one connection that are read and not answered yet, at most. The rest stays in the
-// socket, which slows the sender down.
+// Limit of requests that are read from one connection and not answered yet. Further requests stay
+// in the socket buffer, which slows the sender down.
 constexpr std::size_t max_pipelined_requests = 16;
 
-// A request that was read and is not answered yet.
+// A request that has been read and not answered yet.
 struct received_request {
     received_request(http_request request, std::atomic<std::size_t>& in_progress)
         : m_request(std::move(request)) {
@@ -42,13 +43,15 @@
     }
 
     http_request m_request;
-    std::optional<progress_guard> m_progress_guard; // until it is answered
-    std::shared_ptr<call_control> m_early_call;     // of its call, if that began before its turn
+    // Counts the request as in progress until it is answered.
+    std::optional<progress_guard> m_progress_guard;
+    // Control of the call if it was started before its turn; otherwise null.
+    std::shared_ptr<call_control> m_early_call;
     bool m_early_call_ended = false;
     call_reply m_early_reply;
 };
 
-// The connection's state. Everything happens on the control's strand.
+// State of one served connection. All access is on the strand of its call_control.
 struct served_connection {
     served_connection(traffic_context& context, const std::shared_ptr<call_control>& control,
                       bool callers_only)
@@ -56,24 +59,28 @@
           m_buffer(context.m_settings.m_max_header_bytes + read_ahead_bytes) {}
 
     traffic_context& m_context;
-    const std::shared_ptr<call_control> m_control; // of the connection and the call in turn
+    const std::shared_ptr<call_control> m_control; // of the connection and its current call
     const bool m_callers_only;
     boost::beast::flat_buffer m_buffer;
 
-    // Read ahead, in the order of arrival. Used once a request came behind an unanswered one; the
-    // reader then reads all of the connection's requests.
+    // Requests that were read ahead, in the order of arrival. Used once a request arrives before an
+    // earlier one is answered; from then on the reader coroutine reads all requests of the
+    // connection.
     std::deque<std::shared_ptr<received_request>> m_pending_requests;
-    std::shared_ptr<call_control> m_reader; // null: requests are read in their turn
+    // Reader coroutine; null while each request is read after the previous one is answered.
+    std::shared_ptr<call_control> m_reader;
     bool m_reader_ended = false;
-    bool m_request_started = false;         // the reader has a part of a request
-    std::optional<http_response> m_refusal; // the reader ended on a bad request: its answer
-    bool m_current_call_blocks = false;     // the call in turn must end before others begin
-    bool m_closing = false;                 // what still arrives is dropped
+    bool m_request_started = false; // the reader has received part of a request
+    // Answer to the invalid request on which the reader ended.
+    std::optional<http_response> m_refusal;
+    bool m_current_call_blocks = false; // the current call must end before others start
+    bool m_closing = false;             // further input is discarded
 };
 
 using connection_ptr = std::shared_ptr<served_connection>;
 
-// Tells the connection's coroutine that another one has ended, be it by an exception.
+// Sets a flag and wakes the connection's coroutine when another coroutine ends, even by an
+// exception.
 class completion_notifier {
 public:
     completion_notifier(bool& ended, call_control& waiter) : m_ended(ended), m_waiter(waiter) {}
@@ -91,11 +98,11 @@
     call_control& m_waiter;
 };
 
-// Sets the headers that frame the answer for this connection.
+// Sets the HTTP version and the headers that delimit the answer: Connection and Content-Length.
 void frame_answer(http_response& answer, http::verb method, bool keep_alive) {
     answer.version(11);
     answer.keep_alive(keep_alive);
-    // These have no body by definition; a length of 0 would be wrong for them.
+    // These answers have no body by definition; a length of 0 would be wrong for them.
     if (answer.result() == http::status::no_content ||
         answer.result() == http::status::not_modified) {
         answer.body().clear();
@@ -107,7 +114,7 @@
         answer.prepare_payload();
         return;
     }
-    // The length that a GET would have; the body itself is not sent.
+    // Content-Length states the size that a GET would return; the body itself is not sent.
     if (!answer.body().empty()) {
         answer.content_length(answer.body().size());
         answer.body().clear();
@@ -115,7 +122,8 @@
     answer.erase(http::field::transfer_encoding);
 }
 
-// The answer to a request that could not be read, nothing when there is no one to answer.
+// Returns the refusal for a request that could not be read, or nothing if the connection ended and
+// there is no one to answer.
 std::optional<http_response> refusal_for_read_error(const error_code& failed) {
     if (failed == http::error::body_limit) {
         return make_refusal(error_kind::body_too_large, "the body is above the limit");
@@ -139,7 +147,8 @@
     return !failed;
 }
 
-// Ends the sending direction and drops what still arrives, until the other side closes.
+// Shuts down the sending direction and discards input until the other side closes or linger_time
+// has passed.
 void linger(traffic_context& context, call_control& control, asio::yield_context yield) {
     control.limit_io(context.m_clock.now() + linger_time);
     error_code failed;
@@ -150,7 +159,7 @@
     }
 }
 
-// The same; a reader goes on reading by itself.
+// Same for a served connection. If it has a reader, the reader discards the input.
 void linger(served_connection& connection, asio::yield_context yield) {
     if (!connection.m_reader) {
         linger(connection.m_context, *connection.m_control, yield);
@@ -169,7 +178,7 @@
 
 using request_parser = http::request_parser<http::string_body>;
 
-// Reads the beginning of a request, unless some of it is there already.
+// Waits for the first bytes of a request unless some are buffered already.
 error_code await_request_bytes(served_connection& connection, asio::yield_context yield) {
     error_code failed;
     if (connection.m_buffer.size() == 0) {
@@ -182,7 +191,8 @@
     return failed;
 }
 
-// Reads the rest of a request, leaving it in the parser.
+// Reads the rest of a request into the parser. Confirms "Expect: 100-continue" if no other request
+// is pending.
 error_code read_request(served_connection& connection, request_parser& parser,
                         asio::yield_context yield) {
     const node_settings& settings = connection.m_context.m_settings;
@@ -208,7 +218,8 @@
     return failed;
 }
 
-// The answer to a request that could not be read, with the exchange number that it may have.
+// Returns the refusal for a request that could not be read, with its exchange number if the headers
+// contain one; nothing if there is no one to answer.
 std::optional<http_response> make_read_refusal(const error_code& failed,
                                                const request_parser& parser) {
     auto refusal = refusal_for_read_error(failed);
@@ -242,13 +253,14 @@
                                  : handle_entry(context, control, request, yield);
 }
 
-// True for a request whose order against others of its connection doesn't matter.
+// Returns true if the request may run before earlier requests of its connection have ended: it
+// comes from a caller and is idempotent.
 bool may_run_out_of_order(const served_connection& connection, const http_request& request) {
     const bool from_caller = connection.m_callers_only || !is_from_node(request);
     return from_caller && is_idempotent_call(connection.m_context, request);
 }
 
-// Runs a call beside the one whose turn it is. Its answer waits for its turn.
+// Starts a call while the current one is running. Its answer is sent when its turn comes.
 void start_early_call(const connection_ptr& connection,
                       const std::shared_ptr<received_request>& early) {
     early->m_early_call = call_control::create_beside(*connection->m_control);
@@ -260,7 +272,7 @@
         });
 }
 
-// Begins the requests that wait, up to the first one that has to wait for its turn.
+// Starts the pending requests up to the first one that must wait for its turn.
 void start_early_calls(const connection_ptr& connection) {
     if (connection->m_current_call_blocks) {
         return;
@@ -276,7 +288,7 @@
     }
 }
 
-// The caller closed the connection: nobody waits for the answers any more.
+// Cancels all calls of the connection; their answers can no longer be delivered.
 void cancel_calls(served_connection& connection) {
     connection.m_control->cancel_call();
     for (const auto& pending : connection.m_pending_requests) {
@@ -286,7 +298,7 @@
     }
 }
 
-// Reads requests until the connection ends or one of them is bad.
+// Reader coroutine: reads requests until the connection ends or a request is invalid.
 void read_requests(const connection_ptr& connection, asio::yield_context yield) {
     const auto has_capacity = [&connection] {
         return connection->m_pending_requests.size() < max_pipelined_requests ||
@@ -322,8 +334,8 @@
     }
 }
 
-// A request came behind an unanswered one: from now on a coroutine of its own reads the requests,
-// and notices when the caller closes.
+// Starts the reader coroutine if it is not running. Called when a request arrives before an earlier
+// one is answered; the reader also detects that the caller closes the connection.
 void start_reader(const connection_ptr& connection) {
     if (connection->m_reader) {
         return;
@@ -336,7 +348,7 @@
     });
 }
 
-// Writes the answer to a request that could not be read; nothing follows it.
+// Sends the refusal of a request that could not be read, then closes the connection.
 void refuse_and_close(served_connection& connection, http_response& refusal,
                       asio::yield_context yield) {
     frame_answer(refusal, http::verb::get, false);
@@ -345,7 +357,7 @@
     }
 }
 
-// Reads the next request in its turn; null when the connection ends.
+// Reads the next request while there is no reader. Returns null when the connection ends.
 std::shared_ptr<received_request> read_next_request(const connection_ptr& connection,
                                                     asio::yield_context yield) {
     call_control& control = *connection->m_control;
@@ -373,7 +385,7 @@
     return received;
 }
 
-// Takes the next request from the reader; null when the connection ends.
+// Returns the next request that the reader has read. Returns null when the connection ends.
 std::shared_ptr<received_request> take_next_request(const connection_ptr& connection,
                                                     asio::yield_context yield) {
     call_control& control = *connection->m_control;
@@ -403,7 +415,8 @@
     return nullptr;
 }
 
-// The answer to the request whose turn it is; nothing when its caller has gone.
+// Runs the request, or waits for its call if that was started early, and returns the answer.
+// Returns nothing if the caller has closed the connection.
 std::optional<call_reply> run_request(const connection_ptr& connection, received_request& request,
                                       asio::yield_context yield) {
     call_control& control = *connection->m_control;
@@ -426,7 +439,7 @@
     return std::move(request.m_early_reply);
 }
 
-// Serves one request. Returns whether the connection can carry another one.
+// Serves one request. Returns true if the connection can carry another one.
 bool serve_next_request(const connection_ptr& connection, asio::yield_context yield) {
     const auto request = connection->m_reader ? take_next_request(connection, yield)
                                               : read_next_request(connection, yield);
@@ -440,7 +453,8 @@
     if (!reply) {
         return false;
     }
-    // Requests that were read while the node still took work are answered before it closes.
+    // Requests that were read before the node began to drain are answered before the connection
+    // closes.
     const bool ends = connection->m_context.m_draining && connection->m_pending_requests.empty();
     const bool keep_alive = keep_alive_requested && !ends;
     if (!exchange_number.empty()) {
--- a/src/traffic/sockets.hpp
+++ b/src/traffic/sockets.hpp
@@ -1,4 +1,4 @@
-// TCP sockets of the traffic side and the admin address.
+// TCP sockets of the traffic side and of the admin server.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -11,17 +11,18 @@
 
 using tcp = boost::asio::ip::tcp;
 
-// Pause after a failed accept, which is mostly a lack of file descriptors.
+// Delay before the next accept after one failed, mostly for lack of file descriptors.
 constexpr milliseconds accept_retry_delay{10};
 
-// Converts an address of the settings; a malformed address gives an unspecified one, to which no
-// connection succeeds.
+// Converts an address from the settings. A malformed address gives the unspecified address, to
+// which every connection attempt fails.
 tcp::endpoint to_tcp_endpoint(const ip_endpoint& endpoint);
 
-// Binds the acceptor to the address and listens. Fails with invalid_settings.
+// Binds the acceptor to the address and listens. Returns false with invalid_settings if that fails.
 bool listen_at(tcp::acceptor& acceptor, const ip_endpoint& address, error& reason);
 
-// True when an idle connection can't be used: the other side closed it or sent bytes unasked.
+// Returns true if an idle connection cannot be reused because the peer closed it or sent unexpected
+// bytes.
 bool is_readable_or_closed(tcp::socket& socket);
 
 } // namespace caraway
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the admin address: its pages, and requests that are slow, oversized, truncated or not
-// read.
+// Tests of the admin server: its pages, and requests that are slow, oversized or truncated or whose
+// answer is not read.
 #include <atomic>
 #include <future>
 #include <memory>
@@ -23,7 +23,7 @@
 
 namespace {
 
-// More than the buffers of a connection take.
+// More than the socket buffers of a connection hold.
 constexpr std::size_t big_body_bytes = 32'000'000;
 
 std::string big_body() {
@@ -32,7 +32,7 @@
     return body;
 }
 
-// An admin server on a thread of its own.
+// Admin server on a thread of its own.
 class admin_fixture {
 public:
     admin_fixture() : m_work(m_io.get_executor()) {
@@ -69,7 +69,7 @@
         tcp::socket socket = send(request);
         return read_all(socket);
     }
-    // Everything until the server closes the connection.
+    // Reads until the server closes the connection.
     static std::string read_all(tcp::socket& socket) {
         std::string bytes;
         boost::system::error_code failed;
@@ -93,7 +93,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(admin, admin_fixture)
 
-// Guards against an answer that a scraper misreads: wrong status, type, path or framing.
+// Guards against an answer that a scraper misreads because of a wrong status, type, path or
+// framing.
 BOOST_AUTO_TEST_CASE(answer_has_status_type_and_length_and_ends_the_connection) {
     const std::string answer = exchange(s_request);
     BOOST_TEST(answer.starts_with("HTTP/1.1 503 "));
@@ -105,8 +106,8 @@
     BOOST_TEST(m_handled_requests == 1);
 }
 
-// Guards against a page made for a request that is not whole, and against a server that stops
-// answering after one.
+// Guards against a page returned for an incomplete request, and against a server that stops
+// answering after such a request.
 BOOST_AUTO_TEST_CASE(oversized_malformed_and_truncated_requests_get_no_page) {
     const std::string large(20'000, 'x');
     for (const std::string& request :
@@ -123,8 +124,8 @@
     check_page_is_served();
 }
 
-// Guards against connections that stall or don't take their answer and keep operators out: there
-// are at most 16, a further one is closed at once, and each ends after 5 s.
+// Guards against stalled connections that lock operators out. At most 16 connections are open, a
+// further one is closed at once, and each ends after 5 s.
 BOOST_AUTO_TEST_CASE(stalled_connections_are_bounded_and_end) {
     const auto start = std::chrono::steady_clock::now();
     const auto elapsed = [start] { return std::chrono::steady_clock::now() - start; };
@@ -144,7 +145,7 @@
     BOOST_TEST(read_all(stalled[0]).size() < big_body_bytes);
 }
 
-// Guards against a page made from the state of a node that is already destroyed.
+// Guards against a page made from the state of a node that has already been destroyed.
 BOOST_AUTO_TEST_CASE(request_that_ends_after_the_server_gets_no_page) {
     tcp::socket late = send("GET /page HTTP/1.1\r\n");
     check_page_is_served(); // the first connection was accepted before this one
@@ -159,7 +160,7 @@
     BOOST_TEST(m_handled_requests == 1);
 }
 
-// Guards against two nodes on one address, of which one would answer for both.
+// Guards against two nodes on one address, where one would answer for both.
 BOOST_AUTO_TEST_CASE(address_in_use_is_invalid_settings) {
     error reason;
     const ip_endpoint taken{"127.0.0.1", m_port};
@@ -170,8 +171,8 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// Guards against a node that is taken for ready before its configuration is in force or while it
-// leaves, for dead while it drains, and against a status page that misses what an operator needs.
+// Guards against a node that reports ready before its configuration is in force or while it leaves,
+// that reports unhealthy while it drains, and against missing fields in the status page.
 BOOST_AUTO_TEST_CASE(admin_pages_follow_the_state_of_the_node) {
     log_identity("test", "north", log_level::error);
     asio::io_context io;
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -1,4 +1,4 @@
-// Addresses of tests that use real sockets.
+// Ports for tests that use real sockets.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,13 @@
 
 namespace caraway {
 
-// Ports below the ephemeral range and below those of the integration tests: a port that the system
-// chose can become the local end of another process's connection before it is listened on.
+// Range below the ephemeral ports and below the ports of the integration tests. A port chosen by
+// the system could become the local port of another process's connection before the test listens on
+// it.
 constexpr std::uint16_t first_test_port = 10'000;
 constexpr std::uint16_t test_port_count = 4'000;
 
-// A port on which nothing listens, another one each time.
+// Returns a port on which nothing listens; each call returns a different one.
 inline std::uint16_t free_port() {
     static auto s_next = static_cast<std::uint16_t>(::getpid() % test_port_count);
     for (;;) {
--- a/tests/traffic_fixture.hpp
+++ b/tests/traffic_fixture.hpp
@@ -1,4 +1,5 @@
-// Nodes on loopback in front of small misbehaving backend servers, for tests of the traffic side.
+// Test nodes on loopback in front of small misbehaving backend servers, for tests of the traffic
+// side.
 #pragma once
 
 #include <atomic>
@@ -29,7 +30,8 @@
 using tcp = asio::ip::tcp;
 using boost::system::error_code;
 
-// A backend server with one thread per connection. What it does follows from the last path segment.
+// Backend server with one thread per connection. The last path segment of a request selects its
+// behaviour.
 class fake_server {
 public:
     fake_server() : m_acceptor(m_io, {asio::ip::address_v4::loopback(), 0}) {
@@ -56,12 +58,18 @@
         }
     }
     std::uint16_t port() const { return m_acceptor.local_endpoint().port(); }
+    // Requests received.
     int runs() const { return m_runs; }
+    // Slow requests whose connection the node closed before their answer.
     std::size_t closed_while_slow() const { return m_closed_while_slow; }
+    // Slow requests started.
     std::size_t running_slow() const { return m_running_slow; }
+    // Bytes sent by the endless behaviours.
     std::size_t endless_bytes() const { return m_endless_bytes; }
-    // The action of GET /healthz; an echo if not set.
+    // Sets the behaviour for GET /healthz; without it the request is echoed. Call it before the
+    // node starts.
     void set_health(const std::string& action) { m_health = action; }
+    // Headers of the last request as "name=value;".
     std::string last_headers() {
         const std::lock_guard lock(m_mutex);
         return m_last_headers;
@@ -102,13 +110,13 @@
                 break;
             }
         }
-        // The destructor shuts down every socket; a descriptor closed before is another one's by
-        // then.
+        // The destructor shuts down every socket. Closing under the lock keeps it from using a
+        // descriptor that already belongs to another socket.
         const std::lock_guard lock(m_mutex);
         socket.shutdown(tcp::socket::shutdown_both, failed);
         socket.close(failed);
     }
-    // Writes bytes that never become a whole answer until the other side closes.
+    // Writes bytes that never form a complete answer, until the peer closes the connection.
     bool write_endlessly(tcp::socket& socket, const std::string& action) {
         std::string start = "HTTP/1.1 200 OK\r\n";
         std::string more = "x-more: 0123456789abcdef\r\n";
@@ -135,7 +143,7 @@
         }
         return false;
     }
-    // Returns whether the connection stays open.
+    // Answers the request as its path selects. Returns true if the connection stays open.
     bool answer(tcp::socket& socket, const http::request<http::string_body>& request) {
         const std::string target(request.target());
         const std::string action =
@@ -161,7 +169,7 @@
         }
         if (action == "no-length-reset") {
             write("HTTP/1.1 200 OK\r\n\r\nthis is cut by a reset");
-            // Time for the bytes to be read before the reset discards them.
+            // Leaves time to read the bytes before the reset discards them.
             std::this_thread::sleep_for(milliseconds(50));
             error_code ignored;
             const std::lock_guard lock(m_mutex);
@@ -221,7 +229,7 @@
         }
         if (action == "slow") {
             ++m_running_slow;
-            // Sees the cancellation as a closed connection.
+            // A cancellation is detected as a closed connection.
             ::timeval wait{0, 400'000};
             ::setsockopt(socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
             char byte = 0;
@@ -247,7 +255,7 @@
     std::atomic<bool> m_stopped{false};
     std::atomic<int> m_runs{0};
     std::atomic<std::size_t> m_closed_while_slow{0};
-    std::atomic<std::size_t> m_running_slow{0}; // slow requests that began
+    std::atomic<std::size_t> m_running_slow{0}; // slow requests that were started
     std::atomic<std::size_t> m_endless_bytes{0};
     std::string m_health; // set before the node starts
     std::mutex m_mutex;
@@ -257,7 +265,7 @@
     std::thread m_thread;
 };
 
-// One node with its traffic server.
+// A node reduced to its traffic server.
 struct test_node {
     node_settings m_settings;
     std::unique_ptr<node_metrics> m_metrics;
@@ -268,7 +276,7 @@
 
 using http_answer = http::response<http::string_body>;
 
-// A caller's connection.
+// Connection of a caller to a node.
 class caller {
 public:
     explicit caller(const test_node& node) : m_socket(m_io) {
@@ -309,18 +317,19 @@
     beast::flat_buffer m_buffer;
 };
 
+// Returns the outcome and reason headers of an answer as "outcome/reason".
 inline std::string outcome_and_reason(const http_answer& answer) {
     return std::string(answer["x-caraway-outcome"]) + "/" + std::string(answer["x-caraway-reason"]);
 }
 
-// Headers of a request with a key. The first try lies after the start of the registrars by more
-// than the allowed clock difference.
+// Returns the headers of a request with an idempotency key. The time of the first attempt is later
+// than the start of the registrars by more than the allowed clock difference.
 inline std::map<std::string, std::string> key_headers(const std::string& key) {
     const auto first_sent = unix_ms(std::chrono::system_clock::now()) + 3'000;
     return {{"idempotency-key", key}, {"x-caraway-first-sent", std::to_string(first_sent)}};
 }
 
-// Makes a call go to the backend side of the node that gets it.
+// Adds the headers that make the receiving node handle a call on its backend side.
 inline std::map<std::string, std::string>
 node_call_headers(std::map<std::string, std::string> headers) {
     headers["x-caraway-service"] = "pour";
@@ -328,7 +337,7 @@
     return headers;
 }
 
-// Waits up to 300 ms until a figure has the expected value, and returns the last value seen.
+// Waits up to 300 ms until the getter returns the expected value. Returns the last value.
 template <typename Getter>
 std::size_t wait_for_value(Getter getter, std::size_t expected) {
     for (int i = 0; i < 300 && getter() != expected; ++i) {
@@ -337,7 +346,7 @@
     return getter();
 }
 
-// A mesh with one entry node and nodes beside backend servers of the service "pour". Paths below
+// A mesh with one entry node and nodes beside backend servers of the service "pour". Routes below
 // /once are not idempotent, those below /again are.
 class mesh_fixture {
 public:
@@ -381,7 +390,8 @@
         }
     }
 
-    // Publishes a snapshot to one node. Dead members stay known as registrars.
+    // Publishes a snapshot to one node. Dead members remain known as registrars but have no
+    // address.
     void publish(test_node& receiver, std::uint64_t version,
                  const std::set<std::string>& dead = {}) {
         auto config = std::make_shared<mesh>();
@@ -428,7 +438,8 @@
 protected:
     system_clock_source m_clock;
     std::vector<std::unique_ptr<test_node>> m_nodes;
-    std::uint32_t m_reported_slots = 0; // by the backend servers; 0: their cold start is inferred
+    // Slots that the backend servers report; 0: their cold start is inferred.
+    std::uint32_t m_reported_slots = 0;
 };
 
 } // namespace caraway::traffic_tests
--- a/tests/traffic_test.cpp
+++ b/tests/traffic_test.cpp
@@ -6,7 +6,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(traffic, mesh_fixture)
 
-// Guards against headers that tell the caller or the auditor something untrue.
+// Guards against headers that state a wrong outcome or origin to the caller or the auditor.
 BOOST_AUTO_TEST_CASE(answers_carry_outcome_and_origin) {
     fake_server server;
     test_node& backend_node = add_node("n1", "pour", server.port());
@@ -32,7 +32,7 @@
 }
 
 // Guards against "not run" for a request that may have run, against truncated answers that look
-// complete, and against a second run of a request that may not run twice.
+// complete, and against a second run of a request that is not idempotent.
 BOOST_AUTO_TEST_CASE(each_faulty_answer_has_its_outcome_and_runs_once) {
     fake_server first;
     fake_server second;
@@ -60,8 +60,8 @@
     }
 }
 
-// Guards against bytes without end in place of an answer, which would fill the memory, hold a slot
-// and keep the caller waiting for an end that never comes.
+// Guards against endless bytes in place of an answer. They would fill the memory, hold a slot and
+// keep the caller waiting.
 BOOST_AUTO_TEST_CASE(endless_answers_are_cut_off) {
     fake_server server;
     test_node& backend_node = add_node("n1", "pour", server.port());
@@ -79,7 +79,8 @@
             const auto began = std::chrono::steady_clock::now();
             const http_answer answer = caller(entry()).call("/once/" + action);
             BOOST_TEST(outcome_and_reason(answer) == result);
-            // The route's timeout is 1 s: it must not take that long to see that no answer comes.
+            // The route's timeout is 1 s; the node must detect much earlier that no valid answer
+            // arrives.
             BOOST_TEST((std::chrono::steady_clock::now() - began < milliseconds(500)));
             // Socket buffers hold some megabytes that the node never reads.
             BOOST_TEST(server.endless_bytes() - before < 20'000'000U);
@@ -88,7 +89,8 @@
     }
 }
 
-// Guards against an answer of one request that reaches the next caller on the same connection.
+// Guards against an answer to one request that is delivered to the next caller on the same
+// connection.
 BOOST_AUTO_TEST_CASE(stale_answer_is_never_passed_on) {
     fake_server server;
     add_node("n1", "pour", server.port());
@@ -99,7 +101,7 @@
     }
 }
 
-// Guards against answers without a body that leave the caller waiting for one.
+// Guards against answers without a body after which the caller waits for one.
 BOOST_AUTO_TEST_CASE(head_and_empty_answers_end) {
     fake_server server;
     add_node("n1", "pour", server.port());
@@ -116,7 +118,7 @@
     BOOST_TEST(connection.call("/once/echo", "mine").body() == "mine");
 }
 
-// Guards against a loss where a socket takes only a part of a message at once.
+// Guards against lost bytes when a socket accepts only part of a message at once.
 BOOST_AUTO_TEST_CASE(large_bodies_pass_whole_to_a_slow_reader) {
     fake_server server;
     add_node("n1", "pour", server.port());
@@ -134,7 +136,8 @@
     }
 }
 
-// Guards against retries where the request may have run, and against missing ones where it is safe.
+// Guards against retries where the request may have run, and against missing retries where they are
+// safe.
 BOOST_AUTO_TEST_CASE(retries_only_where_safe) {
     fake_server good;
     add_node("n1", "pour", 1); // nothing listens on port 1
@@ -151,8 +154,8 @@
     BOOST_TEST(good.runs() - before <= 2);
 }
 
-// Guards against a header added to a backend server's own answer, and against a refusal that
-// doesn't say when to come back.
+// Guards against a Retry-After header added to a backend server's own answer, and against a refusal
+// without one.
 BOOST_AUTO_TEST_CASE(only_node_refusals_carry_retry_after) {
     fake_server server;
     add_node("n1", "pour", server.port());
@@ -166,6 +169,8 @@
     BOOST_TEST(own["retry-after"].empty());
 }
 
+// Guards against an idempotent call that is not retried, or runs more than twice, when its
+// connection is cut or the backend server sheds it.
 BOOST_AUTO_TEST_CASE(idempotent_call_is_retried_after_a_cut) {
     fake_server first;
     fake_server second;
@@ -180,7 +185,7 @@
     BOOST_TEST(second.runs() == 2);
 }
 
-// Guards against mixed up or lost answers when many calls share connections and wait for slots.
+// Guards against swapped or lost answers when many calls share connections and wait for slots.
 BOOST_AUTO_TEST_CASE(concurrent_answers_match_their_requests) {
     fake_server first;
     fake_server second;
@@ -208,7 +213,8 @@
     BOOST_TEST(first.runs() + second.runs() == 800);
 }
 
-// Guards against a deadline that is not kept, or that is reported as "did not run" after sending.
+// Guards against a deadline that is exceeded, or that is reported as "not run" although the request
+// was sent.
 BOOST_AUTO_TEST_CASE(deadline_is_enforced_and_reported) {
     fake_server server;
     test_node& backend_node = add_node("n1", "pour", server.port());
@@ -218,13 +224,14 @@
         caller(entry()).call("/once/slow", "", {{"x-caraway-deadline-ms", "80"}});
     BOOST_TEST(outcome_and_reason(answer) == "unknown/deadline-after-send");
     BOOST_TEST((std::chrono::steady_clock::now() - begin < milliseconds(250)));
-    BOOST_TEST(answer["x-caraway-instance"] == "n1"); // the side that knows answered
+    // The backend side answered, which knows whether the call was sent.
+    BOOST_TEST(answer["x-caraway-instance"] == "n1");
     BOOST_TEST(outcome_and_reason(
                    caller(backend_node).call("/once/echo", "", {{"x-caraway-deadline-ms", "0"}})) ==
                "deadline/deadline-before-send");
     BOOST_TEST(wait_for_value([&server] { return server.closed_while_slow(); }, 1U) == 1U);
 
-    // The cold-start limit is one call: the second waits, and its deadline passes in the queue.
+    // The cold-start limit is one call: the second call is queued, and its deadline expires there.
     caller running(entry());
     running.send("/once/slow", "a");
     BOOST_TEST(wait_for_value([&server] { return server.running_slow(); }, 2U) == 2U);
@@ -235,7 +242,7 @@
     BOOST_TEST(server.runs() == 2);
 }
 
-// Guards against callers' short deadlines that make a healthy server look cold.
+// Guards against short deadlines of callers that make admission treat a healthy server as cold.
 BOOST_AUTO_TEST_CASE(short_deadlines_do_not_close_admission) {
     fake_server server;
     test_node& backend_node = add_node("n1", "pour", server.port());
@@ -258,7 +265,7 @@
     second.receive();
 }
 
-// Guards against work that goes on for a caller that is gone.
+// Guards against calls that continue to run after their caller has closed the connection.
 BOOST_AUTO_TEST_CASE(caller_disconnect_cancels_both_hops) {
     fake_server server;
     test_node& backend_node = add_node("n1", "pour", server.port());
@@ -278,7 +285,7 @@
         0U);
 }
 
-// Guards against a planned stop that loses work or takes new work.
+// Guards against a drain that aborts running calls or accepts new ones.
 BOOST_AUTO_TEST_CASE(drain_finishes_running_calls_and_refuses_others) {
     fake_server server;
     test_node& backend_node = add_node("n1", "pour", server.port());
@@ -300,8 +307,8 @@
     BOOST_TEST(server.runs() == 1);
 }
 
-// Guards against a resumed process that starts calls by a view from before its pause: one call ran
-// on a suspended version in the millisecond before the suspension was learnt.
+// Guards against a process that resumes after a pause and routes calls by its outdated snapshot:
+// one call ran on a suspended version in the millisecond before the node received the suspension.
 BOOST_AUTO_TEST_CASE(stale_snapshot_is_not_used_for_routing) {
     fake_server server;
     test_node& backend_node = add_node("n1", "pour", server.port());
@@ -317,7 +324,7 @@
     BOOST_TEST(caller(entry()).call("/once/echo", "a").body() == "a");
 }
 
-// Guards against a call that runs by an older configuration than its sender's.
+// Guards against a call that runs under an older configuration than its sender's.
 BOOST_AUTO_TEST_CASE(call_waits_for_the_configuration_of_its_sender) {
     fake_server server;
     test_node& backend_node = add_node("n1", "pour", server.port());
@@ -333,13 +340,13 @@
     publish(backend_node, 6);
     BOOST_TEST(patient.receive().body() == "late");
     BOOST_TEST(server.runs() == 1);
-    // A node ahead tells the sender by its answer.
+    // A node with a newer configuration reports its version to the sender in the answer.
     publish(backend_node, 7);
     caller(entry()).call("/once/echo");
     BOOST_TEST(entry().m_observed_version == 7U);
 }
 
-// Guards against requests that pass a bound, and against refusals that reach the server.
+// Guards against requests that exceed a limit, and against refused requests that reach the server.
 BOOST_AUTO_TEST_CASE(limits_are_enforced_before_the_server) {
     fake_server server;
     test_node& backend_node = add_node("n1", "pour", server.port());
@@ -378,7 +385,7 @@
     BOOST_TEST(server.runs() == 0);
 }
 
-// Guards against a second run of a request that is sent again, at any node and at the same time.
+// Guards against a second run of a request that is sent again to any node, also concurrently.
 BOOST_AUTO_TEST_CASE(key_runs_once_and_is_replayed) {
     std::vector<std::unique_ptr<fake_server>> servers;
     for (const char* name : {"n1", "n2", "n3"}) {
@@ -422,7 +429,8 @@
                    (i == 0 ? "unknown/connection-cut" : "unknown/key-already-claimed"));
     }
     BOOST_TEST(runs() - before == 2);
-    // Without the time of the first try, young registrars can't know that the key is new.
+    // Without the time of the first attempt, recently started registrars cannot tell whether the
+    // key is new.
     BOOST_TEST(
         outcome_and_reason(caller(entry()).call("/once/echo", "", {{"idempotency-key", "k"}})) ==
         "unknown/key-history-incomplete");
@@ -452,7 +460,7 @@
     BOOST_TEST(refused < 30);
 }
 
-// Guards against runs while a registrar that is believed alive can't be asked.
+// Guards against runs while a registrar that is considered alive cannot be reached.
 BOOST_AUTO_TEST_CASE(unreachable_registrar_prevents_a_run) {
     fake_server server;
     test_node& called_node = add_node("n1", "pour", server.port());
@@ -465,7 +473,7 @@
             caller(called_node).call("/once/echo", "", node_call_headers(key_headers("k")))) ==
         "not-run/peer-unreachable");
     BOOST_TEST(server.runs() == 0);
-    publish(called_node, 6, {"n2"}); // now known as dead; two of three registrars are left
+    publish(called_node, 6, {"n2"}); // now considered dead; two of three registrars remain
     BOOST_TEST(
         outcome_and_reason(
             caller(called_node).call("/once/echo", "", node_call_headers(key_headers("k")))) ==
@@ -478,7 +486,7 @@
     BOOST_TEST(server.runs() == 1);
 }
 
-// Guards against evidence that misses failures or counts calls that the server never got.
+// Guards against evidence that misses failures or counts calls that the server never received.
 BOOST_AUTO_TEST_CASE(evidence_counts_the_own_servers_calls) {
     fake_server server;
     test_node& backend_node = add_node("n1", "pour", server.port());
@@ -495,8 +503,8 @@
     BOOST_TEST(backend_node.m_server->take_evidence().m_routes.empty());
 }
 
-// Guards against a health endpoint that is slow, truncated, oversized, closed or wrong and takes
-// calls away from its server, and against a probe that ends without a trace in the log.
+// Guards against a health endpoint that affects routing when it is slow, truncated, oversized,
+// closed or failing, and against a probe whose result is not logged.
 BOOST_AUTO_TEST_CASE(every_health_probe_result_is_logged_and_does_not_affect_routing) {
     const std::map<std::string, std::string> expected{{"echo", "none"},
                                                       {"error", "none"},
@@ -516,7 +524,7 @@
     for (const auto& [action, reason] : expected) {
         reasons.insert(reason);
     }
-    // Probes are due 1 s after the start and end within another second.
+    // Probes start 1 s after the start of the node and end within another second.
     log_identity("test", "north", log_level::info);
     const std::string log = captured_log([this] {
         start();
@@ -544,7 +552,8 @@
     }
 }
 
-// Guards against probes that cost a busy server time, and against ones that can't be turned off.
+// Guards against probes that take time of a busy server, and against probes that cannot be turned
+// off.
 BOOST_AUTO_TEST_CASE(health_is_not_probed_while_calls_are_served) {
     fake_server idle;
     fake_server busy;
@@ -555,7 +564,7 @@
     add_node("unprobed", "pour", unprobed.port()); // interval 0
     start();
     caller(called).call("/once/echo", "", node_call_headers({}));
-    std::this_thread::sleep_for(milliseconds(2'300)); // two times at which a probe may start
+    std::this_thread::sleep_for(milliseconds(2'300)); // a probe could start twice in this time
     BOOST_TEST(idle.runs() == 1);
     BOOST_TEST(busy.runs() == 1); // the call
     BOOST_TEST(unprobed.runs() == 0);
