--- a/src/traffic/entry_side.cpp
+++ b/src/traffic/entry_side.cpp
@@ -13,21 +13,22 @@
 
 namespace asio = boost::asio;
 
-// Time by which the backend side's deadline comes before the own one. Its answer, which knows
-// whether the call was sent, then still arrives: two ways of 1.5 ms between data centres and the
-// handling at both ends.
+// Time by which the deadline sent to the backend side precedes the entry side's own. The answer of
+// the backend side, which states whether the call was sent, then still arrives in time: the margin
+// covers two trips of 1.5 ms between data centres and the processing at both ends.
 constexpr milliseconds answer_margin{5};
 
-// Time that a caller is taken to have left when none of its calls has begun.
-constexpr milliseconds default_time_left{1'000};
+// Remaining time assumed for a caller whose call was refused before its deadline was set.
+constexpr milliseconds default_remaining_time{1'000};
 
-// Routes whose callers' deadlines are remembered, over all configurations since the start.
+// Number of routes, over all configurations since the start, for which the deadlines of callers are
+// recorded.
 constexpr std::size_t max_tracked_routes = 10'000;
 
-// Latency above which a stated one says no more.
+// Upper bound for latencies and waiting times reported by other nodes; larger values are clamped.
 constexpr std::uint64_t max_latency_us = 3'600'000'000;
 
-// One call at the entry side, over all of its attempts.
+// State of one call at the entry side, over all of its attempts.
 struct entry_call {
     call_info m_info;
     std::shared_ptr<const routing_snapshot> m_snapshot;
@@ -35,15 +36,15 @@
     const route_spec* m_route = nullptr;
     std::vector<bool> m_tried;
     std::uint32_t m_attempts = 0;
-    std::uint32_t m_servers = 0;  // attempts that reached a backend server
-    std::uint32_t m_refusals = 0; // attempts that a node refused before
+    std::uint32_t m_server_attempts = 0;  // attempts that reached a backend server
+    std::uint32_t m_refused_attempts = 0; // attempts refused before they reached a backend server
 };
 
 std::string_view target_of(const http_request& request) {
     return {request.target().data(), request.target().size()};
 }
 
-time_point from_us(std::int64_t us) {
+time_point time_point_from_us(std::int64_t us) {
     return time_point(std::chrono::duration_cast<duration>(std::chrono::microseconds(us)));
 }
 
@@ -51,7 +52,7 @@
     circuit_breaker breaker;
     breaker.m_failures = counters.m_failures.load(std::memory_order_relaxed);
     breaker.m_open_until =
-        from_us(counters.m_circuit_open_until_us.load(std::memory_order_relaxed));
+        time_point_from_us(counters.m_circuit_open_until_us.load(std::memory_order_relaxed));
     return breaker;
 }
 
@@ -61,14 +62,16 @@
                                            std::memory_order_relaxed);
 }
 
-// Tells the breaker how an attempt ended. A node that refuses answers, so it is reachable; one
-// whose backend server refuses connections is not.
-void update_breaker(backend_counters& counters, error_kind reason, bool own, time_point now) {
+// Records the result of an attempt in the circuit breaker. A refusal shows that the node is
+// reachable. connect_failed of another node means that the node or its backend server refuses
+// connections, and counts as unreachable; for the own backend server it counts as one failure.
+void update_breaker(backend_counters& counters, error_kind reason, bool own_server,
+                    time_point now) {
     if (reason == error_kind::cancelled_before_send || reason == error_kind::cancelled_after_send) {
-        return; // says nothing about the backend server
+        return; // does not indicate the state of the backend server
     }
     circuit_breaker breaker = load_breaker(counters);
-    if (reason == error_kind::connect_failed && !own) {
+    if (reason == error_kind::connect_failed && !own_server) {
         breaker_record_unreachable(breaker, now);
     } else if (reason == error_kind::connect_failed || reason == error_kind::connection_cut ||
                reason == error_kind::deadline_after_send) {
@@ -82,40 +85,43 @@
 }
 
 refusal_state load_refusals(const backend_counters& counters) {
-    refusal_state memory;
+    refusal_state refusals;
     for (std::size_t i = 0; i < urgency_levels; ++i) {
-        memory.m_until[i] = from_us(counters.m_refuses_until_us[i].load(std::memory_order_relaxed));
+        refusals.m_until[i] =
+            time_point_from_us(counters.m_refuses_until_us[i].load(std::memory_order_relaxed));
     }
-    return memory;
+    return refusals;
 }
 
-void store_refusals(backend_counters& counters, const refusal_state& memory) {
+void store_refusals(backend_counters& counters, const refusal_state& refusals) {
     for (std::size_t i = 0; i < urgency_levels; ++i) {
-        counters.m_refuses_until_us[i].store(to_us(memory.m_until[i].time_since_epoch()),
+        counters.m_refuses_until_us[i].store(to_us(refusals.m_until[i].time_since_epoch()),
                                              std::memory_order_relaxed);
     }
 }
 
-// Remembers whether the backend server had room for the call.
+// Records whether the backend server had capacity for the call.
 void update_refusals(backend_counters& counters, const call_info& info, const call_reply& reply,
                      time_point now) {
-    refusal_state memory = load_refusals(counters);
+    refusal_state refusals = load_refusals(counters);
     if (is_overload_refusal(reply.m_reason)) {
-        const auto stated = number_header(reply.m_message, header::room_after_us).value_or(0);
+        const auto stated =
+            numeric_header_value(reply.m_message, header::capacity_after_us).value_or(0);
         const auto wait = std::chrono::microseconds(std::min(stated, max_latency_us));
-        record_refusal(memory, info.m_urgency, wait, now);
+        record_refusal(refusals, info.m_urgency, wait, now);
     } else if (reply.m_reason == error_kind::none) {
-        record_acceptance(memory, info.m_urgency);
+        record_acceptance(refusals, info.m_urgency);
     } else {
         return;
     }
-    store_refusals(counters, memory);
+    store_refusals(counters, refusals);
 }
 
-// The backend servers of a version as this node knows them; an empty version stands for all but the
+// Returns the backend servers of the service with their state as known to this node; those that do
+// not serve the version are marked as not usable. An empty version matches every version but the
 // target of a move.
-std::vector<candidate> candidates_of(const entry_call& call, std::string_view version,
-                                     time_point now) {
+std::vector<candidate> make_candidates(const entry_call& call, std::string_view version,
+                                       time_point now) {
     std::vector<candidate> candidates;
     candidates.reserve(call.m_service->m_backends.size());
     for (std::size_t i = 0; i < call.m_service->m_backends.size(); ++i) {
@@ -123,18 +129,18 @@
         const backend_counters& counters = *backend.m_counters;
         candidate entry;
         entry.m_own_data_centre = backend.m_own_data_centre;
-        const bool wanted = version.empty()
-                                ? is_old_version(call.m_service->m_spec, backend.m_version)
-                                : backend.m_version == version;
+        const bool has_version = version.empty()
+                                     ? is_old_version(call.m_service->m_spec, backend.m_version)
+                                     : backend.m_version == version;
         entry.m_usable =
-            wanted && !(backend.m_is_own && call.m_snapshot->m_own_refusal != error_kind::none);
+            has_version && !(backend.m_is_own && call.m_snapshot->m_own_refusal != error_kind::none);
         entry.m_outstanding = counters.m_outstanding.load(std::memory_order_relaxed);
         entry.m_load_permille = counters.m_load_permille.load(std::memory_order_relaxed);
         entry.m_failure_permille = counters.m_failure_permille.load(std::memory_order_relaxed);
         entry.m_latency =
             std::chrono::microseconds(counters.m_latency_us.load(std::memory_order_relaxed));
         entry.m_load_age =
-            now - from_us(counters.m_load_reported_us.load(std::memory_order_relaxed));
+            now - time_point_from_us(counters.m_load_reported_us.load(std::memory_order_relaxed));
         entry.m_breaker_open = breaker_is_open(load_breaker(counters), now);
         entry.m_refusing = is_refusing(load_refusals(counters), call.m_info.m_urgency, now);
         entry.m_tried = call.m_tried[i];
@@ -143,82 +149,90 @@
     return candidates;
 }
 
-// How the choice of a backend server ended: its place in the service, or why there is none.
-struct choice {
+// Result of the choice of a backend server: its index in the service, or the reason why there is
+// none.
+struct backend_choice {
     std::optional<std::size_t> m_backend;
     error_kind m_reason = error_kind::no_backend_server;
 };
 
-// Chooses a backend server of the version that was not tried yet.
-choice choose_of_version(const entry_call& call, std::string_view version, random_source& random,
-                         time_point now) {
-    const std::vector<candidate> candidates = candidates_of(call, version, now);
+// Chooses a backend server of the version that has not been tried for this call.
+backend_choice choose_backend_of_version(const entry_call& call, std::string_view version,
+                                         random_source& random, time_point now) {
+    const std::vector<candidate> candidates = make_candidates(call, version, now);
     if (is_overloaded(candidates)) {
         return {std::nullopt, error_kind::queue_full};
     }
     return {choose_candidate(candidates, random)};
 }
 
-// Chooses version and backend server. Calls of a new version without a usable backend server go to
-// the old one; the other way round the new version would get more than its share.
-choice choose_backend(entry_call& call, bool new_version, random_source& random, time_point now) {
+// Chooses the backend server for a call of the new or the old version. A call of the new version
+// falls back to the old one if the new version has no usable backend server. The reverse is not
+// done, since the new version would receive more than its share.
+backend_choice choose_backend(entry_call& call, bool new_version, random_source& random,
+                              time_point now) {
     if (new_version) {
-        const choice found = choose_of_version(call, call.m_service->m_new_version, random, now);
+        const backend_choice found =
+            choose_backend_of_version(call, call.m_service->m_new_version, random, now);
         if (found.m_backend) {
             return found;
         }
-        const choice old = choose_of_version(call, call.m_service->m_old_version, random, now);
+        const backend_choice old =
+            choose_backend_of_version(call, call.m_service->m_old_version, random, now);
         return old.m_backend ? old : found;
     }
-    return choose_of_version(call, call.m_service->m_old_version, random, now);
+    return choose_backend_of_version(call, call.m_service->m_old_version, random, now);
 }
 
-// Reads the outcome that the next node states. An answer without a consistent outcome is not one of
-// a node, so nothing is known of the request.
-error_kind stated_reason(const http_response& answer) {
-    const auto stated = outcome_from_name(header_of(answer, header::outcome));
-    const auto kind = error_kind_from_name(header_of(answer, header::reason));
+// Returns the error kind that the next node reports in its headers. An answer without a consistent
+// outcome and reason does not come from a node, so it is unknown whether the request ran; internal
+// is returned for it.
+error_kind reported_error_kind(const http_response& answer) {
+    const auto stated = outcome_from_name(header_value(answer, header::outcome));
+    const auto kind = error_kind_from_name(header_value(answer, header::reason));
     if (!stated || !kind || answer_for(*kind).m_outcome != *stated) {
         return error_kind::internal;
     }
     return *kind;
 }
 
-// True when the answer is the one to the request with the given exchange number. A node that
-// refuses a new connection answers without having read a request, so without a number.
-bool belongs_to(const http_response& answer, std::uint64_t number, bool fresh) {
+// Returns true if the answer belongs to the request with this exchange number. A node that refuses
+// a new connection answers without having read a request, so its answer has no number.
+bool matches_request(const http_response& answer, std::uint64_t number, bool first_request) {
     if (answer.find(std::string(header::exchange)) != answer.end()) {
-        return number_header(answer, header::exchange) == number;
+        return numeric_header_value(answer, header::exchange) == number;
     }
-    return fresh && stated_reason(answer) == error_kind::too_many_connections;
+    return first_request && reported_error_kind(answer) == error_kind::too_many_connections;
 }
 
-// Takes over what the answer's headers tell of the backend server and of its node.
-void note_answer(traffic_context& context, const entry_call& call, const backend_view& backend,
-                 const http_response& answer, time_point now) {
-    if (const auto load = number_header(answer, header::load)) {
+// Updates the counters of the backend server, and the configuration version known for its node,
+// from the headers of the answer.
+void update_backend_counters(traffic_context& context, const entry_call& call,
+                             const backend_view& backend, const http_response& answer,
+                             time_point now) {
+    if (const auto load = numeric_header_value(answer, header::load)) {
         backend.m_counters->m_load_permille.store(
             static_cast<std::uint32_t>(std::min<std::uint64_t>(*load, 1'000'000)),
             std::memory_order_relaxed);
         backend.m_counters->m_load_reported_us.store(to_us(now.time_since_epoch()),
                                                      std::memory_order_relaxed);
     }
-    if (const auto failures = number_header(answer, header::failures)) {
+    if (const auto failures = numeric_header_value(answer, header::failures)) {
         backend.m_counters->m_failure_permille.store(
             static_cast<std::uint32_t>(std::min<std::uint64_t>(*failures, 1000)),
             std::memory_order_relaxed);
     }
-    if (const auto latency = number_header(answer, header::latency_us)) {
+    if (const auto latency = numeric_header_value(answer, header::latency_us)) {
         backend.m_counters->m_latency_us.store(
             static_cast<std::int64_t>(std::min<std::uint64_t>(*latency, max_latency_us)),
             std::memory_order_relaxed);
     }
-    context.report_newer_version(header_of(answer, header::instance),
-                                 number_header(answer, header::config_version).value_or(0),
+    context.report_newer_version(header_value(answer, header::instance),
+                         numeric_header_value(answer, header::config_version).value_or(0),
                                  call.m_snapshot->m_config_version);
 }
 
-// Sends the call to the node beside the chosen backend server and reads its answer.
+// Forwards the call to the node beside the chosen backend server and returns its answer.
 call_reply forward(traffic_context& context, call_control& control, const entry_call& call,
                    const backend_view& backend, http_request& request, asio::yield_context yield) {
     const call_info& info = call.m_info;
@@ -229,8 +243,8 @@
         reply.m_version = backend.m_version;
         return reply;
     };
-    auto used = context.m_peer_pool.open(control, backend.m_traffic, yield, reason);
-    if (!used) {
+    auto peer_connection = context.m_peer_pool.open(control, backend.m_traffic, yield, reason);
+    if (!peer_connection) {
         return failed(false);
     }
     const std::uint64_t left = ms_left(control.deadline(), context.m_clock.now());
@@ -238,48 +252,50 @@
     const std::uint64_t allowed = left > 2 * margin ? left - margin : left / 2;
     if (allowed == 0) {
         fail(reason, error_kind::deadline_before_send, "too little time is left to send the call");
-        context.m_peer_pool.give_back(std::move(used));
+        context.m_peer_pool.return_connection(std::move(peer_connection));
         return failed(false);
     }
     const std::uint64_t number = control.random()();
-    strip_internal(request, {});
+    strip_internal_headers(request, {});
     set_header(request, header::service, info.m_service);
     set_header(request, header::backend_version, backend.m_version);
     set_header(request, header::instance, context.m_settings.m_instance);
     set_header(request, header::traceparent, format_traceparent(info.m_trace));
-    set_number(request, header::config_version, call.m_snapshot->m_config_version);
-    set_number(request, header::deadline_ms, allowed);
-    set_number(request, header::hop, info.m_hop);
-    set_number(request, header::exchange, number);
+    set_numeric_header(request, header::config_version, call.m_snapshot->m_config_version);
+    set_numeric_header(request, header::deadline_ms, allowed);
+    set_numeric_header(request, header::hop, info.m_hop);
+    set_numeric_header(request, header::exchange, number);
     if (info.m_useful_until != time_point{}) {
-        set_number(request, header::useful_ms, ms_left(info.m_useful_until, context.m_clock.now()));
+        set_numeric_header(request, header::useful_ms,
+                           ms_left(info.m_useful_until, context.m_clock.now()));
     }
     if (info.m_first_sent_ms) {
-        set_number(request, header::first_sent, *info.m_first_sent_ms);
+        set_numeric_header(request, header::first_sent, *info.m_first_sent_ms);
     }
     const byte_scope scope =
         backend.m_own_data_centre ? byte_scope::own_data_centre : byte_scope::other_data_centre;
-    byte_account& moved = context.m_metrics.bytes();
-    moved.add(byte_purpose::call, scope, message_bytes(request));
-    const bool fresh = used->m_fresh;
-    const auto belongs = [number, fresh](const http_response& candidate) {
-        return belongs_to(candidate, number, fresh);
+    byte_account& byte_counts = context.m_metrics.bytes();
+    byte_counts.add(byte_purpose::call, scope, message_bytes(request));
+    const bool first_request = peer_connection->m_first_request;
+    const auto matches = [number, first_request](const http_response& candidate) {
+        return matches_request(candidate, number, first_request);
     };
-    auto answer = exchange(control, *used, request, context.limits(), belongs, yield, reason);
+    auto answer =
+        exchange(control, *peer_connection, request, context.limits(), matches, yield, reason);
     if (!answer) {
         return failed(true);
     }
-    context.m_peer_pool.give_back(std::move(used));
-    moved.add(byte_purpose::call, scope, message_bytes(*answer));
+    context.m_peer_pool.return_connection(std::move(peer_connection));
+    byte_counts.add(byte_purpose::call, scope, message_bytes(*answer));
     call_reply reply;
-    reply.m_reason = stated_reason(*answer);
+    reply.m_reason = reported_error_kind(*answer);
     if (reply.m_reason == error_kind::internal) {
         fail(reason, error_kind::internal, "the next node states no outcome");
         return failed(true);
     }
-    note_answer(context, call, backend, *answer, context.m_clock.now());
+    update_backend_counters(context, call, backend, *answer, context.m_clock.now());
     reply.m_message = std::move(*answer);
-    strip_hop_by_hop(reply.m_message);
+    strip_hop_by_hop_headers(reply.m_message);
     reply.m_message.erase(std::string(header::exchange));
     const outcome stated = answer_for(reply.m_reason).m_outcome;
     reply.m_sent = stated == outcome::answered || stated == outcome::unknown;
@@ -288,7 +304,7 @@
     return reply;
 }
 
-// Counts a call as outstanding with its backend server.
+// Counts a call as outstanding at its backend server for the lifetime of the guard.
 class outstanding_guard {
 public:
     explicit outstanding_guard(std::shared_ptr<backend_counters> counters)
@@ -305,7 +321,7 @@
     std::shared_ptr<backend_counters> m_counters;
 };
 
-// Makes one attempt at the chosen backend server.
+// Makes one attempt at the chosen backend server and updates its circuit breaker and refusal state.
 call_reply attempt_call(traffic_context& context, call_control& control, entry_call& call,
                         const backend_view& backend, http_request& request,
                         asio::yield_context yield) {
@@ -316,23 +332,23 @@
                                               call.m_snapshot->m_config_version, request, yield)
                            : forward(context, control, call, backend, request, yield);
     if (backend.m_is_own) {
-        note_answer(context, call, backend, reply.m_message, context.m_clock.now());
+        update_backend_counters(context, call, backend, reply.m_message, context.m_clock.now());
     }
     update_breaker(*backend.m_counters, reply.m_reason, backend.m_is_own, context.m_clock.now());
     update_refusals(*backend.m_counters, call.m_info, reply, context.m_clock.now());
-    reply.m_message.erase(std::string(header::room_after_us));
+    reply.m_message.erase(std::string(header::capacity_after_us));
     return reply;
 }
 
-// True when a backend server got the request, be it that it didn't run it.
+// Returns true if a backend server received the request, even if it shed it without running it.
 bool reached_server(error_kind reason) {
     const outcome stated = answer_for(reason).m_outcome;
     return stated == outcome::answered || stated == outcome::unknown ||
            reason == error_kind::backend_shed;
 }
 
-// How an attempt counts for a retry: an idempotent call that its server failed is repeated like one
-// whose answer was lost.
+// Returns the error kind by which a retry is decided. An idempotent call that the backend server
+// answered with a status of 500 or above is retried like one whose answer was lost.
 error_kind retry_reason(const entry_call& call, const call_reply& reply) {
     const bool failed = reply.m_reason == error_kind::none && call.m_info.m_idempotent &&
                         reply.m_message.result_int() >= 500;
@@ -345,7 +361,8 @@
     failed.m_failure = reason;
     failed.m_idempotent = call.m_info.m_idempotent;
     failed.m_reached_server = reached_server(reason);
-    failed.m_retries = (failed.m_reached_server ? call.m_servers : call.m_refusals) - 1;
+    failed.m_retries =
+        (failed.m_reached_server ? call.m_server_attempts : call.m_refused_attempts) - 1;
     failed.m_max_retries = call.m_route->m_attempts - 1;
     failed.m_deadline = control.deadline();
     const std::lock_guard lock(context.m_entry_mutex);
@@ -353,7 +370,8 @@
                      context.m_clock.now());
 }
 
-// Counts the first attempt of a call and chooses its version: true for the new one.
+// Credits the retry budget of the service for a new call and chooses its version. Returns true for
+// the new version.
 bool begin_attempts(traffic_context& context, const service_view& service, random_source& random) {
     const std::lock_guard lock(context.m_entry_mutex);
     const auto [entry, added] = context.m_entry_states.try_emplace(service.m_spec.m_name);
@@ -366,7 +384,8 @@
            choose_new_version(entry->second.m_share, service.m_new_weight_permille, random);
 }
 
-// Makes the attempts of a call whose route and service are known.
+// Attempts a call whose route and service are known, with retries. A refusal does not replace an
+// earlier answer that states that the call may have run.
 call_reply run_attempts(traffic_context& context, call_control& control, entry_call& call,
                         http_request& request, asio::yield_context yield) {
     bool new_version = begin_attempts(context, *call.m_service, control.random());
@@ -374,7 +393,7 @@
     std::optional<call_reply> last;
     while (true) {
         const time_point now = context.m_clock.now();
-        const choice chosen = choose_backend(call, new_version, control.random(), now);
+        const backend_choice chosen = choose_backend(call, new_version, control.random(), now);
         if (!chosen.m_backend) {
             return last ? std::move(*last)
                         : refuse(context,
@@ -393,8 +412,8 @@
         }
         call_reply reply = attempt_call(context, control, call, backend, request, yield);
         const error_kind failure = retry_reason(call, reply);
-        ++(reached_server(reply.m_reason) ? call.m_servers : call.m_refusals);
-        // An earlier attempt that may have run is not undone by a later refusal.
+        ++(reached_server(reply.m_reason) ? call.m_server_attempts : call.m_refused_attempts);
+        // A refusal of a later attempt does not change that an earlier attempt may have run.
         const bool may_have_run = last && reached_server(last->m_reason) &&
                                   last->m_reason != error_kind::backend_shed &&
                                   answer_for(reply.m_reason).m_outcome != outcome::answered;
@@ -404,11 +423,11 @@
         if (control.is_ended() || !retry_allowed(context, control, call, failure)) {
             return may_have_run ? std::move(*last) : std::move(reply);
         }
-        // A call that a server of the new version failed goes on with the old one: a repeat there
-        // would be one more than the version's share.
+        // If a backend server of the new version received the call and failed, the call is retried
+        // with the old version: a retry with the new version would exceed that version's share.
         new_version = new_version && reply.m_reason != error_kind::version_suspended &&
                       !reached_server(reply.m_reason);
-        if (!may_have_run) { // else the earlier reply says more
+        if (!may_have_run) { // otherwise the earlier reply states that the call may have run
             last = std::move(reply);
         }
     }
@@ -418,7 +437,7 @@
     return route.m_host + route.m_path;
 }
 
-// The service that gets the call, by the weights of a split route.
+// Returns the service that receives the call, chosen by weight if the route is split.
 std::string choose_service(traffic_context& context, const route_spec& route) {
     if (route.m_split.empty()) {
         return route.m_service;
@@ -432,32 +451,33 @@
     return route.m_split[choose_weighted(split, weights)].m_service;
 }
 
-// Remembers the deadline that a caller stated; returns how long it has tried before. A route's own
-// timeout doesn't count, since a shorter one would make all callers look like returning ones.
-duration note_caller(traffic_context& context, const route_spec& route,
-                     std::optional<milliseconds> stated, time_point now) {
+// Records the deadline that a caller stated and returns how long the call has already been in
+// progress at the caller. The route's own timeout is not recorded, since a shorter one would make
+// all callers look like retrying ones.
+duration record_caller_deadline(traffic_context& context, const route_spec& route,
+                                std::optional<milliseconds> stated, time_point now) {
     if (!stated) {
         return {};
     }
     const std::lock_guard lock(context.m_entry_mutex);
     if (context.m_callers.size() >= max_tracked_routes) {
-        context.m_callers.clear(); // learnt again within a few calls
+        context.m_callers.clear(); // recorded again within a few calls
     }
     caller_history& history = context.m_callers[route_name(route)];
     record_deadline(history, *stated);
     return elapsed_before_attempt(history, *stated, now);
 }
 
-// Tells a refused caller when to come back.
-void advise_caller(traffic_context& context, call_control& control, const entry_call& call,
-                   call_reply& reply) {
+// Sets the Retry-After header of a refusal and records the refused caller.
+void set_retry_delay(traffic_context& context, call_control& control, const entry_call& call,
+                     call_reply& reply) {
     const bool own_refusal = reply.m_reason != error_kind::none;
     if (!own_refusal || reply.m_message.result() != http::status::service_unavailable) {
-        return; // a backend server's own answer is passed on as it is
+        return; // a backend server's own answer is passed on unchanged
     }
     const time_point now = context.m_clock.now();
     const duration left =
-        control.deadline() == time_point::max() ? default_time_left : control.deadline() - now;
+        control.deadline() == time_point::max() ? default_remaining_time : control.deadline() - now;
     const duration wait = suggest_retry_delay(reply.m_reason, call.m_info.m_useful_until - now,
                                               left, control.random());
     set_retry_after(reply.m_message, wait);
@@ -467,7 +487,7 @@
     }
 }
 
-// Finds route, service and deadline, then runs the call.
+// Finds the route, service and deadline of a call, then runs its attempts.
 call_reply run_entry(traffic_context& context, call_control& control, entry_call& call,
                      http_request& request, asio::yield_context yield) {
     const auto refused = [&context](error_kind kind, std::string_view text) {
@@ -483,7 +503,7 @@
     if (call.m_info.m_hop > max_hops) {
         return refused(error_kind::hop_limit, "the chain of calls is too deep");
     }
-    // Onward calls belong to work in progress, which a leaving instance finishes.
+    // Onward calls belong to work in progress, which an instance that is leaving still finishes.
     if (!onward &&
         (context.m_draining.load(std::memory_order_relaxed) || call.m_snapshot->m_draining)) {
         return refused(error_kind::draining, "the instance is leaving");
@@ -503,7 +523,7 @@
         return refused(error_kind::no_backend_server, "the service is not known here");
     }
     call.m_service = &service->second;
-    const auto stated = time_left(request, context.m_settings.m_edge_headers.m_deadline_ms);
+    const auto stated = remaining_time(request, context.m_settings.m_edge_headers.m_deadline_ms);
     const milliseconds allowed = std::min(route->m_timeout, stated.value_or(route->m_timeout));
     if (allowed.count() <= 0) {
         return refused(error_kind::deadline_before_send, "the caller's deadline has passed");
@@ -511,10 +531,10 @@
     const time_point now = context.m_clock.now();
     if (route->m_target_latency.count() > 0) {
         call.m_info.m_useful_until =
-            now + route->m_target_latency - note_caller(context, *route, stated, now);
+            now + route->m_target_latency - record_caller_deadline(context, *route, stated, now);
     }
     control.begin_call(now + allowed);
-    strip_hop_by_hop(request);
+    strip_hop_by_hop_headers(request);
     if (!context.m_settings.m_edge_headers.m_caller_service.empty()) {
         set_header(request, context.m_settings.m_edge_headers.m_caller_service,
                    call.m_snapshot->m_own_server.m_service);
@@ -540,15 +560,16 @@
     const wall_time wall_start = context.m_clock.wall_now();
     entry_call call;
     call.m_snapshot = context.m_snapshot.load();
-    call.m_info.m_key = header_of(request, header::idempotency_key);
-    call.m_info.m_first_sent_ms = number_header(request, header::first_sent);
+    call.m_info.m_key = header_value(request, header::idempotency_key);
+    call.m_info.m_first_sent_ms = numeric_header_value(request, header::first_sent);
     call.m_info.m_request_number =
-        header_of(request, context.m_settings.m_edge_headers.m_request_number);
+        header_value(request, context.m_settings.m_edge_headers.m_request_number);
     call.m_info.m_hop = 1 + static_cast<std::uint32_t>(std::min<std::uint64_t>(
-                                number_header(request, header::hop).value_or(0), max_hops));
-    call.m_info.m_trace = continue_trace(header_of(request, header::traceparent), control.random());
+                                numeric_header_value(request, header::hop).value_or(0), max_hops));
+    call.m_info.m_trace =
+        continue_trace(header_value(request, header::traceparent), control.random());
     call_reply reply = run_entry(context, control, call, request, yield);
-    advise_caller(context, control, call, reply);
+    set_retry_delay(context, control, call, reply);
     record_call_end(context, "entry", call.m_info, call.m_info.m_trace, reply,
                     std::max(call.m_attempts, 1U), start, wall_start);
     return reply;
--- a/src/traffic/traffic.cpp
+++ b/src/traffic/traffic.cpp
@@ -144,7 +144,7 @@
             return;
         }
         if (failed) {
-            pause.expires_after(accept_pause);
+            pause.expires_after(accept_retry_delay);
             pause.async_wait(yield[failed]);
             continue;
         }
@@ -177,7 +177,7 @@
     spawn_coroutine(*control, [this](const auto& self, asio::yield_context yield) {
         const progress_guard counted(m_refusing);
         const control_registration registration(m_context.m_background, self);
-        answer_surplus_connection(m_context, *self, yield);
+        refuse_surplus_connection(m_context, *self, yield);
         self->stop();
     });
 }
@@ -190,8 +190,8 @@
             if (failed || m_stopping) {
                 return;
             }
-            m_context.m_peer_pool.close_old();
-            m_context.m_server_pool.close_old();
+            m_context.m_peer_pool.close_expired();
+            m_context.m_server_pool.close_expired();
             m_context.m_keys.expire();
             const auto load = m_context.m_gate.current_load();
             m_context.m_metrics.set_load(load.m_running, load.m_waiting, load.m_limit);
@@ -229,7 +229,7 @@
         if (open_connection) {
             answer = exchange(*self, *open_connection, request, m_context.limits(), nullptr, yield,
                               reason);
-            m_context.m_server_pool.give_back(std::move(open_connection));
+            m_context.m_server_pool.return_connection(std::move(open_connection));
         }
         self->end_call();
         log_event(log_level::info, "health_probe",
--- a/tests/traffic_fixture.hpp
+++ b/tests/traffic_fixture.hpp
@@ -1,4 +1,5 @@
-// Nodes on loopback in front of small misbehaving backend servers, for tests of the traffic side.
+// Test nodes on loopback in front of small misbehaving backend servers, for tests of the traffic
+// side.
 #pragma once
 
 #include <atomic>
@@ -29,7 +30,8 @@
 using tcp = asio::ip::tcp;
 using boost::system::error_code;
 
-// A backend server with one thread per connection. What it does follows from the last path segment.
+// Backend server with one thread per connection. The last path segment of a request selects its
+// behaviour.
 class fake_server {
 public:
     fake_server() : m_acceptor(m_io, {asio::ip::address_v4::loopback(), 0}) {
@@ -56,12 +58,18 @@
         }
     }
     std::uint16_t port() const { return m_acceptor.local_endpoint().port(); }
+    // Requests received.
     int runs() const { return m_runs; }
+    // Slow requests whose connection the node closed before their answer.
     std::size_t closed_while_slow() const { return m_closed_while_slow; }
+    // Slow requests started.
     std::size_t running_slow() const { return m_running_slow; }
+    // Bytes sent by the endless behaviours.
     std::size_t endless_bytes() const { return m_endless_bytes; }
-    // The action of GET /healthz; an echo if not set.
+    // Sets the behaviour for GET /healthz; without it the request is echoed. Call it before the
+    // node starts.
     void set_health(const std::string& action) { m_health = action; }
+    // Headers of the last request as "name=value;".
     std::string last_headers() {
         const std::lock_guard lock(m_mutex);
         return m_last_headers;
@@ -102,13 +110,13 @@
                 break;
             }
         }
-        // The destructor shuts down every socket; a descriptor closed before is another one's by
-        // then.
+        // The destructor shuts down every socket. Closing under the lock keeps it from using a
+        // descriptor that already belongs to another socket.
         const std::lock_guard lock(m_mutex);
         socket.shutdown(tcp::socket::shutdown_both, failed);
         socket.close(failed);
     }
-    // Writes bytes that never become a whole answer until the other side closes.
+    // Writes bytes that never form a complete answer, until the peer closes the connection.
     bool write_endlessly(tcp::socket& socket, const std::string& action) {
         std::string start = "HTTP/1.1 200 OK\r\n";
         std::string more = "x-more: 0123456789abcdef\r\n";
@@ -135,7 +143,7 @@
         }
         return false;
     }
-    // Returns whether the connection stays open.
+    // Answers the request as its path selects. Returns true if the connection stays open.
     bool answer(tcp::socket& socket, const http::request<http::string_body>& request) {
         const std::string target(request.target());
         const std::string action =
@@ -161,7 +169,7 @@
         }
         if (action == "no-length-reset") {
             write("HTTP/1.1 200 OK\r\n\r\nthis is cut by a reset");
-            // Time for the bytes to be read before the reset discards them.
+            // Leaves time to read the bytes before the reset discards them.
             std::this_thread::sleep_for(milliseconds(50));
             error_code ignored;
             const std::lock_guard lock(m_mutex);
@@ -191,8 +199,8 @@
             return true;
         }
         if (action == "twice") {
-            const std::string one = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
-            write(one + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale");
+            const std::string answer_text = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
+            write(answer_text + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale");
             return true;
         }
         if (action == "forge") {
@@ -221,7 +229,7 @@
         }
         if (action == "slow") {
             ++m_running_slow;
-            // Sees the cancellation as a closed connection.
+            // A cancellation is detected as a closed connection.
             ::timeval wait{0, 400'000};
             ::setsockopt(socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
             char byte = 0;
@@ -247,7 +255,7 @@
     std::atomic<bool> m_stopped{false};
     std::atomic<int> m_runs{0};
     std::atomic<std::size_t> m_closed_while_slow{0};
-    std::atomic<std::size_t> m_running_slow{0}; // slow requests that began
+    std::atomic<std::size_t> m_running_slow{0}; // slow requests that were started
     std::atomic<std::size_t> m_endless_bytes{0};
     std::string m_health; // set before the node starts
     std::mutex m_mutex;
@@ -257,22 +265,22 @@
     std::thread m_thread;
 };
 
-// One node with its traffic server.
+// A node reduced to its traffic server.
 struct test_node {
     node_settings m_settings;
     std::unique_ptr<node_metrics> m_metrics;
     snapshot_cell m_snapshot;
-    std::atomic<std::uint64_t> m_heard{0};
+    std::atomic<std::uint64_t> m_observed_version{0};
     std::unique_ptr<traffic_server> m_server;
 };
 
 using http_answer = http::response<http::string_body>;
 
-// A caller's connection.
+// Connection of a caller to a node.
 class caller {
 public:
-    explicit caller(const test_node& to) : m_socket(m_io) {
-        m_socket.connect({asio::ip::address_v4::loopback(), to.m_settings.m_traffic.m_port});
+    explicit caller(const test_node& node) : m_socket(m_io) {
+        m_socket.connect({asio::ip::address_v4::loopback(), node.m_settings.m_traffic.m_port});
         m_socket.set_option(tcp::no_delay(true));
     }
     void send(const std::string& path, const std::string& body = "",
@@ -309,34 +317,36 @@
     beast::flat_buffer m_buffer;
 };
 
-inline std::string reason_of(const http_answer& answer) {
+// Returns the outcome and reason headers of an answer as "outcome/reason".
+inline std::string outcome_and_reason(const http_answer& answer) {
     return std::string(answer["x-caraway-outcome"]) + "/" + std::string(answer["x-caraway-reason"]);
 }
 
-// Headers of a request with a key. The first try lies after the start of the registrars by more
-// than the allowed clock difference.
-inline std::map<std::string, std::string> keyed(const std::string& key) {
+// Returns the headers of a request with an idempotency key. The time of the first attempt is later
+// than the start of the registrars by more than the allowed clock difference.
+inline std::map<std::string, std::string> key_headers(const std::string& key) {
     const auto first_sent = unix_ms(std::chrono::system_clock::now()) + 3'000;
     return {{"idempotency-key", key}, {"x-caraway-first-sent", std::to_string(first_sent)}};
 }
 
-// Makes a call go to the backend side of the node that gets it.
-inline std::map<std::string, std::string> node_call(std::map<std::string, std::string> headers) {
+// Adds the headers that make the receiving node handle a call on its backend side.
+inline std::map<std::string, std::string>
+node_call_headers(std::map<std::string, std::string> headers) {
     headers["x-caraway-service"] = "pour";
     headers["x-caraway-backend-version"] = "v1";
     return headers;
 }
 
-// Waits up to 300 ms until a figure has the expected value, and returns the last value seen.
-template <typename Figure>
-std::size_t settled(Figure figure, std::size_t expected) {
-    for (int i = 0; i < 300 && figure() != expected; ++i) {
+// Waits up to 300 ms until the getter returns the expected value. Returns the last value.
+template <typename Getter>
+std::size_t wait_for_value(Getter getter, std::size_t expected) {
+    for (int i = 0; i < 300 && getter() != expected; ++i) {
         std::this_thread::sleep_for(milliseconds(1));
     }
-    return figure();
+    return getter();
 }
 
-// A mesh with one entry node and nodes beside backend servers of the service "pour". Paths below
+// A mesh with one entry node and nodes beside backend servers of the service "pour". Routes below
 // /once are not idempotent, those below /again are.
 class mesh_fixture {
 public:
@@ -349,84 +359,88 @@
 
     test_node& add_node(const std::string& name, const std::string& service,
                         std::uint16_t server_port) {
-        auto made = std::make_unique<test_node>();
-        made->m_settings.m_instance = name;
-        made->m_settings.m_data_centre = "north";
-        made->m_settings.m_service = service;
-        made->m_settings.m_version = "v1";
-        made->m_settings.m_traffic = {"127.0.0.1", free_port()};
-        made->m_settings.m_backend_server = {"127.0.0.1", server_port};
-        made->m_settings.m_max_connections = 40;
-        made->m_settings.m_health_interval = milliseconds(0);
-        made->m_settings.m_seed = 42 + m_nodes.size();
-        made->m_metrics = node_metrics::create(name, "north");
-        m_nodes.push_back(std::move(made));
+        auto added = std::make_unique<test_node>();
+        added->m_settings.m_instance = name;
+        added->m_settings.m_data_centre = "north";
+        added->m_settings.m_service = service;
+        added->m_settings.m_version = "v1";
+        added->m_settings.m_traffic = {"127.0.0.1", free_port()};
+        added->m_settings.m_backend_server = {"127.0.0.1", server_port};
+        added->m_settings.m_max_connections = 40;
+        added->m_settings.m_health_interval = milliseconds(0);
+        added->m_settings.m_seed = 42 + m_nodes.size();
+        added->m_metrics = node_metrics::create(name, "north");
+        m_nodes.push_back(std::move(added));
         return *m_nodes.back();
     }
 
     // Starts all nodes with a snapshot of the same configuration version.
     void start(std::uint64_t version = 5) {
-        for (const auto& each : m_nodes) {
-            publish(*each, version);
+        for (const auto& node : m_nodes) {
+            publish(*node, version);
             traffic_hooks hooks;
-            hooks.m_newer_version_seen = [&heard = each->m_heard](const std::string&,
-                                                                  std::uint64_t heard_version) {
-                heard = heard_version;
+            hooks.m_newer_version_seen = [&observed = node->m_observed_version](
+                                        const std::string&,
+                                                                  std::uint64_t observed_version) {
+                observed = observed_version;
             };
             error reason;
-            each->m_server = traffic_server::start(each->m_settings, m_clock, each->m_snapshot,
-                                                   *each->m_metrics, hooks, reason);
-            BOOST_REQUIRE_MESSAGE(each->m_server, reason.m_text);
+            node->m_server = traffic_server::start(node->m_settings, m_clock, node->m_snapshot,
+                                                   *node->m_metrics, hooks, reason);
+            BOOST_REQUIRE_MESSAGE(node->m_server, reason.m_text);
         }
     }
 
-    // Publishes a snapshot to one node. Dead members stay known as registrars.
-    void publish(test_node& to, std::uint64_t version, const std::set<std::string>& dead = {}) {
+    // Publishes a snapshot to one node. Dead members remain known as registrars but have no
+    // address.
+    void publish(test_node& receiver, std::uint64_t version,
+                 const std::set<std::string>& dead = {}) {
         auto config = std::make_shared<mesh>();
         config->m_services["pour"].m_name = "pour";
         config->m_services["pour"].m_version = "v1";
         config->m_routes = {{"/again", "pour", milliseconds(1'000), true, urgency::normal},
                             {"/front", "front", milliseconds(1'000), true, urgency::normal},
                             {"/once", "pour", milliseconds(1'000), false, urgency::normal}};
-        auto next = std::make_shared<routing_snapshot>();
-        next->m_config_version = version;
-        next->m_ready = true;
-        next->m_mesh = config;
-        next->m_own_server.m_service = to.m_settings.m_service;
-        next->m_own_server.m_version = to.m_settings.m_version;
-        next->m_own_server.m_slots = m_reported_slots;
-        service_view& view = next->m_services["pour"];
+        auto snapshot = std::make_shared<routing_snapshot>();
+        snapshot->m_config_version = version;
+        snapshot->m_ready = true;
+        snapshot->m_mesh = config;
+        snapshot->m_own_server.m_service = receiver.m_settings.m_service;
+        snapshot->m_own_server.m_version = receiver.m_settings.m_version;
+        snapshot->m_own_server.m_slots = m_reported_slots;
+        service_view& view = snapshot->m_services["pour"];
         view.m_spec = config->m_services["pour"];
         view.m_old_version = "v1";
-        for (const auto& each : m_nodes) {
-            const std::string& instance = each->m_settings.m_instance;
+        for (const auto& node : m_nodes) {
+            const std::string& instance = node->m_settings.m_instance;
             if (!dead.contains(instance)) {
-                next->m_member_traffic[instance] = each->m_settings.m_traffic;
+                snapshot->m_member_traffic[instance] = node->m_settings.m_traffic;
             }
-            if (each->m_settings.m_service != "pour") {
+            if (node->m_settings.m_service != "pour") {
                 continue;
             }
             backend_view backend;
-            backend.m_instance = each->m_settings.m_instance;
+            backend.m_instance = node->m_settings.m_instance;
             backend.m_version = "v1";
             backend.m_data_centre = "north";
             backend.m_own_data_centre = true;
-            backend.m_is_own = each.get() == &to;
-            backend.m_traffic = each->m_settings.m_traffic;
+            backend.m_is_own = node.get() == &receiver;
+            backend.m_traffic = node->m_settings.m_traffic;
             backend.m_counters = std::make_shared<backend_counters>();
             view.m_backends.push_back(backend);
             view.m_members.push_back({backend.m_instance, 1});
         }
-        to.m_snapshot.store(next);
-        if (to.m_server) {
-            to.m_server->snapshot_changed();
+        receiver.m_snapshot.store(snapshot);
+        if (receiver.m_server) {
+            receiver.m_server->snapshot_changed();
         }
     }
 
 protected:
     system_clock_source m_clock;
     std::vector<std::unique_ptr<test_node>> m_nodes;
-    std::uint32_t m_reported_slots = 0; // by the backend servers; 0: their cold start is inferred
+    // Slots that the backend servers report; 0: their cold start is inferred.
+    std::uint32_t m_reported_slots = 0;
 };
 
 } // namespace caraway::traffic_tests
