--- a/src/traffic/backend_side.cpp
+++ b/src/traffic/backend_side.cpp
@@ -145,7 +145,8 @@
         fail(result.m_reason, error_kind::backend_shed, "the backend server is overloaded");
         return;
     }
-    if (!edge.m_server_marker.empty() && header_value(*result.m_answer, edge.m_server_marker).empty()) {
+    if (!edge.m_server_marker.empty() &&
+        header_value(*result.m_answer, edge.m_server_marker).empty()) {
         open_connection.m_reusable = false;
         result.m_answer.reset();
         fail(result.m_reason, error_kind::connection_cut, "the response lacks the server's seal");
@@ -427,7 +428,8 @@
     info.m_service = header_value(request, header::service);
     info.m_version = header_value(request, header::backend_version);
     info.m_key = header_value(request, header::idempotency_key);
-    info.m_request_number = header_value(request, context.m_settings.m_edge_headers.m_request_number);
+    info.m_request_number =
+        header_value(request, context.m_settings.m_edge_headers.m_request_number);
     info.m_first_sent_ms = numeric_header_value(request, header::first_sent);
     info.m_hop = static_cast<std::uint32_t>(std::min<std::uint64_t>(
         numeric_header_value(request, header::hop).value_or(1), max_hops + 1));
--- a/src/traffic/entry_side.cpp
+++ b/src/traffic/entry_side.cpp
@@ -132,8 +132,8 @@
         const bool has_version = version.empty()
                                      ? is_old_version(call.m_service->m_spec, backend.m_version)
                                      : backend.m_version == version;
-        entry.m_usable =
-            has_version && !(backend.m_is_own && call.m_snapshot->m_own_refusal != error_kind::none);
+        entry.m_usable = has_version &&
+                         !(backend.m_is_own && call.m_snapshot->m_own_refusal != error_kind::none);
         entry.m_outstanding = counters.m_outstanding.load(std::memory_order_relaxed);
         entry.m_load_permille = counters.m_load_permille.load(std::memory_order_relaxed);
         entry.m_failure_permille = counters.m_failure_permille.load(std::memory_order_relaxed);
@@ -228,7 +228,7 @@
             std::memory_order_relaxed);
     }
     context.report_newer_version(header_value(answer, header::instance),
-                         numeric_header_value(answer, header::config_version).value_or(0),
+                                 numeric_header_value(answer, header::config_version).value_or(0),
                                  call.m_snapshot->m_config_version);
 }
 
--- a/tests/traffic_fixture.hpp
+++ b/tests/traffic_fixture.hpp
@@ -380,8 +380,7 @@
             publish(*node, version);
             traffic_hooks hooks;
             hooks.m_newer_version_seen = [&observed = node->m_observed_version](
-                                        const std::string&,
-                                                                  std::uint64_t observed_version) {
+                                             const std::string&, std::uint64_t observed_version) {
                 observed = observed_version;
             };
             error reason;
