--- a/bench/watch_baseline.cpp
+++ b/bench/watch_baseline.cpp
@@ -146,12 +146,12 @@
         all.m_totals.m_bytes += sent + received;
         all.m_totals.m_throttled += kind == error_kind::store_throttled ? 1 : 0;
     };
-    const auto writer =
-        store_client::create(all.m_context, {*address}, own_store_codec(), call_timeout, nullptr);
+    const auto writer = store_client::create(all.m_context, {*address}, native_store_codec(),
+                                             call_timeout, nullptr);
     for (int i = 0; i < nodes; ++i) {
         auto node = std::make_unique<watcher>();
-        node->m_client =
-            store_client::create(all.m_context, {*address}, own_store_codec(), call_timeout, count);
+        node->m_client = store_client::create(all.m_context, {*address}, native_store_codec(),
+                                              call_timeout, count);
         all.m_watchers.push_back(std::move(node));
         watch(all, *all.m_watchers.back());
     }
--- a/src/base/error.hpp
+++ b/src/base/error.hpp
@@ -68,7 +68,7 @@
 };
 
 // One row of the table from error kind to answer.
-struct error_answer {
+struct error_info {
     error_kind m_kind{};
     std::string_view m_name;    // stable name in logs and in the x-caraway-reason header
     outcome m_outcome{};        // what the caller is told
@@ -78,10 +78,10 @@
 };
 
 // Returns the row for a kind; the table is total over error_kind.
-const error_answer& answer_for(error_kind kind);
+const error_info& error_info_for(error_kind kind);
 
 // Returns the whole table, in the order of the enumeration.
-std::span<const error_answer> error_table();
+std::span<const error_info> error_table();
 
 // Returns the kind whose stable name is given, or nothing if there is none.
 std::optional<error_kind> error_kind_from_name(std::string_view name);
--- a/src/carawayd/main.cpp
+++ b/src/carawayd/main.cpp
@@ -103,7 +103,7 @@
                     clock, reason);
     if (!running) {
         log_event(log_level::error, "start_failed", {{"reason", reason.m_text}});
-        return answer_for(reason.m_kind).m_exit_code;
+        return error_info_for(reason.m_kind).m_exit_code;
     }
     boost::asio::signal_set hangups(context, SIGHUP);
     reload_on_hangup(hangups, *running, parsed);
@@ -123,7 +123,7 @@
     std::signal(SIGPIPE, SIG_IGN);
     const auto parsed = parse_arguments(argc, argv);
     if (!parsed) {
-        return answer_for(error_kind::usage).m_exit_code;
+        return error_info_for(error_kind::usage).m_exit_code;
     }
     if (parsed->m_version) {
         fmt::print("{}", version_text);
@@ -131,7 +131,7 @@
     }
     const auto settings = load_settings(*parsed);
     if (!settings) {
-        return answer_for(error_kind::invalid_settings).m_exit_code;
+        return error_info_for(error_kind::invalid_settings).m_exit_code;
     }
     return parsed->m_check ? 0 : run(*settings, *parsed);
 }
--- a/src/config/adapter.hpp
+++ b/src/config/adapter.hpp
@@ -32,7 +32,7 @@
 };
 
 struct adapter {
-    store_codec m_store = own_store_codec();
+    store_codec m_store = native_store_codec();
     std::string m_readiness_path = "/readyz";
     // Keys below which operators keep their configuration and orders. Empty: the product's own
     // text, which an accepter judges; else the store accepts only what is valid, and nodes read it
--- a/src/ctl/current_text.cpp
+++ b/src/ctl/current_text.cpp
@@ -18,7 +18,7 @@
     const auto packed =
         reply.m_kind == error_kind::none ? decode_stored_text(reply.m_value, reason) : std::nullopt;
     if (packed) {
-        auto text = load_whole_text(reply.m_value, packed->m_hash, reason);
+        auto text = decode_whole_text(reply.m_value, packed->m_hash, reason);
         reply.m_kind = text ? error_kind::none : error_kind::store_not_found;
         reply.m_value = std::move(text).value_or(std::string{});
     }
--- a/src/ctl/replay_outcomes.cpp
+++ b/src/ctl/replay_outcomes.cpp
@@ -104,8 +104,8 @@
     const std::string key = input.text("key");
     if (input.m_input == "reply") {
         const std::string kind = input.text("kind");
-        const bool failed = kind == answer_for(error_kind::store_unreachable).m_name ||
-                            kind == answer_for(error_kind::store_outcome_unknown).m_name;
+        const bool failed = kind == error_info_for(error_kind::store_unreachable).m_name ||
+                            kind == error_info_for(error_kind::store_outcome_unknown).m_name;
         m_store_errors += failed ? 1 : 0;
     }
     const auto holds = [&](const replayed_process& of) {
--- a/src/ctl/report_commands.cpp
+++ b/src/ctl/report_commands.cpp
@@ -28,7 +28,7 @@
 
 int report_store_failure(const console& out, const store_reply& reply) {
     const std::string text =
-        fmt::format("store: {} ({})", answer_for(reply.m_kind).m_name, reply.m_text);
+        fmt::format("store: {} ({})", error_info_for(reply.m_kind).m_name, reply.m_text);
     if (out.m_json) {
         out.m_out(json::serialize(json::object{{"result", "unreachable"}, {"text", text}}));
     } else {
--- a/src/ctl/store_session.cpp
+++ b/src/ctl/store_session.cpp
@@ -118,8 +118,8 @@
 
 store_calls open_store(std::vector<ip_endpoint> addresses, milliseconds timeout) {
     auto open = std::make_shared<session>();
-    open->m_client =
-        store_client::create(open->m_context, std::move(addresses), own_store_codec(), timeout, {});
+    open->m_client = store_client::create(open->m_context, std::move(addresses),
+                                          native_store_codec(), timeout, {});
     store_calls calls;
     calls.m_get = [open](std::string_view key) {
         return open->retry(true, [&](store_callback done) { open->m_client->get(key, done); });
--- a/src/ctl/text_commands.cpp
+++ b/src/ctl/text_commands.cpp
@@ -125,7 +125,7 @@
 int report_store_failure(const console& out, const store_reply& reply) {
     return report_failure(
         out, exit_unreachable, "unreachable",
-        fmt::format("store: {} ({})", answer_for(reply.m_kind).m_name, reply.m_text));
+        fmt::format("store: {} ({})", error_info_for(reply.m_kind).m_name, reply.m_text));
 }
 
 int report_unreadable(const console& out, const std::string& file) {
--- a/src/decide/retry.cpp
+++ b/src/decide/retry.cpp
@@ -40,7 +40,7 @@
     if (failed.m_deadline - now < min_retry_time) {
         return false;
     }
-    const bool not_run = answer_for(failed.m_failure).m_retry_elsewhere;
+    const bool not_run = error_info_for(failed.m_failure).m_retry_elsewhere;
     if (!not_run && !(failed.m_idempotent && is_retryable_unknown(failed.m_failure))) {
         return false;
     }
--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -70,7 +70,7 @@
                            log_event(log_level::info, "text_accepted",
                                      {{"version", record.m_version},
                                       {"source_revision", record.m_source_revision},
-                                      {"result", answer_for(reply.m_kind).m_name}});
+                                      {"result", error_info_for(reply.m_kind).m_name}});
                            accepter_role& role = state.m_accepter;
                            if (reply.m_kind != error_kind::none) {
                                reset_accepter(role, state.now() + store_retry_pause);
@@ -104,7 +104,7 @@
 void write_whole_text(control& state, const accepted_record& record, std::string_view text,
                       std::string delta) {
     state.m_store->put(text_key(record.m_version, record.m_hash),
-                       store_whole_text(record.m_version, record.m_hash, text), 0, {},
+                       encode_whole_text(record.m_version, record.m_hash, text), 0, {},
                        [&state, record, delta = std::move(delta)](const store_reply& reply) {
                            // The key identifies the content, so a text that exists under it is this
                            // text.
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -17,10 +17,10 @@
     const std::vector<std::uint64_t> own = member_bucket_hashes(state.m_members);
     for (std::uint32_t i = 0; i < own.size() && i < request.m_bucket_hashes.size(); ++i) {
         if (own[i] != request.m_bucket_hashes[i]) {
-            reply.m_differing.push_back(i);
+            reply.m_differing_buckets.push_back(i);
         }
     }
-    reply.m_members = members_in_buckets(state.m_members, reply.m_differing);
+    reply.m_members = members_in_buckets(state.m_members, reply.m_differing_buckets);
     return reply;
 }
 
@@ -46,7 +46,7 @@
     }
     bulk_reply operator()(const merge_members_request& request) const {
         perform(m_state, membership_merge(m_state.m_members, request.m_members, m_state.now()));
-        return done_reply{};
+        return ack_reply{};
     }
     bulk_reply operator()(const evidence_report& request) const {
         receive_evidence(m_state, request);
@@ -54,7 +54,7 @@
     }
     bulk_reply operator()(const in_force_request& request) const {
         receive_in_force(m_state, request);
-        return done_reply{};
+        return ack_reply{};
     }
 };
 
@@ -123,10 +123,10 @@
                                          member_bucket_hashes(state.m_members)};
     send_bulk(state, to, request, [&state, to](const std::optional<bulk_reply>& reply) {
         const auto* digest = reply ? std::get_if<members_digest_reply>(&*reply) : nullptr;
-        if (digest == nullptr || digest->m_differing.empty()) {
+        if (digest == nullptr || digest->m_differing_buckets.empty()) {
             return;
         }
-        merge_members_request own{members_in_buckets(state.m_members, digest->m_differing)};
+        merge_members_request own{members_in_buckets(state.m_members, digest->m_differing_buckets)};
         perform(state, membership_merge(state.m_members, digest->m_members, state.now()));
         send_bulk(state, to, own, [](const std::optional<bulk_reply>&) {});
     });
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -58,7 +58,7 @@
     if (store_reached != watch.m_store_reachable) {
         watch.m_store_reachable = store_reached;
         log_event(log_level::info, store_reached ? "store_regained" : "store_lost",
-                  {{"reason", answer_for(reply.m_kind).m_name}, {"text", reply.m_text}});
+                  {{"reason", error_info_for(reply.m_kind).m_name}, {"text", reply.m_text}});
     }
 }
 
--- a/src/node/recorded.cpp
+++ b/src/node/recorded.cpp
@@ -118,7 +118,7 @@
     if (is_recording()) {
         record_input(lease_component, "reply", now,
                      {{"key", keeper.m_key},
-                      {"kind", answer_for(reply.m_kind).m_name},
+                      {"kind", error_info_for(reply.m_kind).m_name},
                       {"lease", reply.m_lease},
                       {"revision", reply.m_revision},
                       {"value", reply.m_value}},
--- a/src/node/server_reports.cpp
+++ b/src/node/server_reports.cpp
@@ -118,7 +118,7 @@
                    {"service", view.m_service},
                    {"version", view.m_version},
                    {"takes_work", takes_work},
-                   {"refusal", answer_for(view.m_refusal).m_name}});
+                   {"refusal", error_info_for(view.m_refusal).m_name}});
         announce_own_server(state);
     }
 }
--- a/src/node/stored_text.cpp
+++ b/src/node/stored_text.cpp
@@ -33,7 +33,7 @@
                            }
                            error reason;
                            auto whole_text =
-                               load_whole_text(reply.m_value, whole_text_name.m_hash, reason);
+                               decode_whole_text(reply.m_value, whole_text_name.m_hash, reason);
                            if (!whole_text) {
                                done(reason.m_kind, nullptr);
                                return;
--- a/src/observe/action_text.cpp
+++ b/src/observe/action_text.cpp
@@ -73,7 +73,7 @@
         text = "wait; ";
         break;
     case admission_verdict::refuse:
-        text = fmt::format("refuse {}; ", answer_for(result.m_reason).m_name);
+        text = fmt::format("refuse {}; ", error_info_for(result.m_reason).m_name);
         break;
     }
     if (result.m_displaced != 0) {
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -68,7 +68,7 @@
             m_calls.Add({{"side", std::string(side)},
                          {"service", std::string(service)},
                          {"outcome", std::string(outcome_name(result))},
-                         {"reason", std::string(answer_for(reason).m_name)}});
+                         {"reason", std::string(error_info_for(reason).m_name)}});
         const std::unique_lock lock(m_cache_mutex);
         return *m_call_cache.emplace(id, &added).first->second;
     }
@@ -142,7 +142,7 @@
 void node_metrics::count_store_call(std::string_view operation, error_kind result) {
     m_impl->m_store_calls
         .Add({{"operation", std::string(operation)},
-              {"result", std::string(answer_for(result).m_name)}})
+              {"result", std::string(error_info_for(result).m_name)}})
         .Increment();
 }
 
--- a/src/peer/transport.cpp
+++ b/src/peer/transport.cpp
@@ -22,13 +22,13 @@
 // Receive buffer of the UDP socket: a burst of rumours from the whole fanout must not be dropped.
 constexpr int udp_receive_buffer_bytes = 1 << 20;
 // Requests that are served at the same time; the control thread computes replies one by one.
-constexpr std::size_t serving_contexts = 16;
+constexpr std::size_t max_concurrent_requests_served = 16;
 // Largest bulk message: a join reply with 14,000 members is below 3 MiB.
 constexpr std::size_t max_bulk_bytes = 8U << 20U;
 
 // A source address stands before the remote one, see nng_tcp(7).
-std::string nng_url(const ip_endpoint& endpoint, std::string_view source = {}) {
-    return fmt::format("tcp://{}{}{}", source, source.empty() ? "" : ";",
+std::string nng_url(const ip_endpoint& endpoint, std::string_view source_address = {}) {
+    return fmt::format("tcp://{}{}{}", source_address, source_address.empty() ? "" : ";",
                        format_endpoint(endpoint));
 }
 
@@ -36,8 +36,9 @@
 
 class datagram_socket::impl : public std::enable_shared_from_this<datagram_socket::impl> {
 public:
-    impl(asio::io_context& context, receiver on_packet, byte_counter count)
-        : m_socket(context), m_on_packet(std::move(on_packet)), m_count(std::move(count)) {}
+    impl(asio::io_context& context, receiver on_packet, byte_counter count_bytes)
+        : m_socket(context), m_on_packet(std::move(on_packet)),
+          m_count_bytes(std::move(count_bytes)) {}
 
     bool bind(const ip_endpoint& listen, error& reason) {
         boost::system::error_code ec;
@@ -67,7 +68,7 @@
                     return;
                 }
                 if (!ec) {
-                    self->m_count(0, size);
+                    self->m_count_bytes(0, size);
                     const ip_endpoint from{self->m_from.address().to_string(), self->m_from.port()};
                     self->m_on_packet(from, {self->m_buffer.data(), size});
                 }
@@ -83,7 +84,7 @@
         }
         const std::size_t sent = m_socket.send_to(asio::buffer(bytes.data(), bytes.size()),
                                                   udp::endpoint(address, to.m_port), 0, ec);
-        m_count(sent, 0);
+        m_count_bytes(sent, 0);
     }
 
     void close() {
@@ -94,16 +95,17 @@
 private:
     udp::socket m_socket;
     receiver m_on_packet;
-    byte_counter m_count;
+    byte_counter m_count_bytes;
     udp::endpoint m_from;
     std::array<char, 2048> m_buffer{};
 };
 
 std::unique_ptr<datagram_socket> datagram_socket::open(asio::io_context& context,
                                                        const ip_endpoint& listen,
-                                                       receiver on_packet, byte_counter count,
+                                                       receiver on_packet, byte_counter count_bytes,
                                                        error& reason) {
-    auto implementation = std::make_shared<impl>(context, std::move(on_packet), std::move(count));
+    auto implementation =
+        std::make_shared<impl>(context, std::move(on_packet), std::move(count_bytes));
     if (!implementation->bind(listen, reason)) {
         return nullptr;
     }
@@ -125,9 +127,10 @@
 // nng runs its own threads. Their callbacks only move the message and post to the control thread.
 class bulk_transport::impl : public std::enable_shared_from_this<bulk_transport::impl> {
 public:
-    impl(asio::io_context& context, handler on_request, byte_counter count, std::string_view source)
-        : m_context(context), m_on_request(std::move(on_request)), m_count(std::move(count)),
-          m_source(source) {}
+    impl(asio::io_context& context, handler on_request, byte_counter count_bytes,
+         std::string_view source_address)
+        : m_context(context), m_on_request(std::move(on_request)),
+          m_count_bytes(std::move(count_bytes)), m_source_address(source_address) {}
     impl(const impl&) = delete;
     impl& operator=(const impl&) = delete;
     impl(impl&&) = delete;
@@ -135,22 +138,22 @@
 
     // Closing the socket ends every receive; freeing an aio waits for its callback.
     ~impl() {
-        nng_close(m_server);
+        nng_close(m_server_socket);
         for (const auto& slot : m_slots) {
             nng_aio_free(slot->m_aio);
         }
     }
 
     bool listen(const ip_endpoint& address, error& reason) {
-        int status = nng_rep0_open(&m_server);
+        int status = nng_rep0_open(&m_server_socket);
         if (status == 0) {
-            nng_socket_set_size(m_server, NNG_OPT_RECVMAXSZ, max_bulk_bytes);
-            status = nng_listen(m_server, nng_url(address).c_str(), nullptr, 0);
+            nng_socket_set_size(m_server_socket, NNG_OPT_RECVMAXSZ, max_bulk_bytes);
+            status = nng_listen(m_server_socket, nng_url(address).c_str(), nullptr, 0);
         }
-        for (std::size_t i = 0; status == 0 && i < serving_contexts; ++i) {
+        for (std::size_t i = 0; status == 0 && i < max_concurrent_requests_served; ++i) {
             auto slot = std::make_unique<serving_slot>();
             slot->m_owner = this;
-            status = nng_ctx_open(&slot->m_context, m_server);
+            status = nng_ctx_open(&slot->m_context, m_server_socket);
             if (status == 0) {
                 status = nng_aio_alloc(&slot->m_aio, &impl::on_server_event, slot.get());
             }
@@ -164,7 +167,7 @@
                              nng_strerror(status)));
             return false;
         }
-        m_weak = weak_from_this();
+        m_weak_self = weak_from_this();
         for (const auto& slot : m_slots) {
             nng_ctx_recv(slot->m_context, slot->m_aio);
         }
@@ -187,7 +190,7 @@
             status = nng_aio_alloc(&pending->m_aio, &impl::on_client_event, pending.get());
         }
         if (status == 0) {
-            status = nng_dial(pending->m_socket, nng_url(to, m_source).c_str(), nullptr,
+            status = nng_dial(pending->m_socket, nng_url(to, m_source_address).c_str(), nullptr,
                               NNG_FLAG_NONBLOCK);
         }
         nng_msg* message = nullptr;
@@ -203,9 +206,9 @@
             return;
         }
         nng_msg_append(message, bytes.data(), bytes.size());
-        m_count(bytes.size(), 0);
+        m_count_bytes(bytes.size(), 0);
         ++m_pending;
-        pending->m_owner = m_weak;
+        pending->m_owner = m_weak_self;
         pending->m_context = &m_context;
         pending->m_deadline = std::chrono::steady_clock::now() + timeout;
         pending->m_done = std::move(done);
@@ -251,13 +254,13 @@
             return;
         }
         nng_msg* message = nng_aio_get_msg(slot->m_aio);
-        asio::post(slot->m_owner->m_context,
-                   [weak = slot->m_owner->m_weak, slot, message] { serve(weak, slot, message); });
+        asio::post(slot->m_owner->m_context, [weak_owner = slot->m_owner->m_weak_self, slot,
+                                              message] { serve(weak_owner, slot, message); });
     }
 
     // Runs on the control thread.
-    static void serve(const std::weak_ptr<impl>& weak, serving_slot* slot, nng_msg* message) {
-        const auto self = weak.lock();
+    static void serve(const std::weak_ptr<impl>& weak_owner, serving_slot* slot, nng_msg* message) {
+        const auto self = weak_owner.lock();
         if (!self) {
             nng_msg_free(message);
             return;
@@ -265,7 +268,7 @@
         const std::string_view request(static_cast<const char*>(nng_msg_body(message)),
                                        nng_msg_len(message));
         const std::string reply = self->m_on_request(request);
-        self->m_count(reply.size(), request.size());
+        self->m_count_bytes(reply.size(), request.size());
         nng_msg_clear(message);
         nng_msg_append(message, reply.data(), reply.size());
         slot->m_sending = true;
@@ -280,11 +283,11 @@
         if (status != 0 && !pending->m_receiving) {
             nng_msg_free(nng_aio_get_msg(pending->m_aio));
         }
-        const auto left = std::chrono::duration_cast<milliseconds>(
+        const auto remaining = std::chrono::duration_cast<milliseconds>(
             pending->m_deadline - std::chrono::steady_clock::now());
-        if (status == 0 && !pending->m_receiving && left > milliseconds{0}) {
+        if (status == 0 && !pending->m_receiving && remaining > milliseconds{0}) {
             pending->m_receiving = true;
-            nng_aio_set_timeout(pending->m_aio, static_cast<nng_duration>(left.count()));
+            nng_aio_set_timeout(pending->m_aio, static_cast<nng_duration>(remaining.count()));
             nng_recv_aio(pending->m_socket, pending->m_aio);
             return;
         }
@@ -309,26 +312,26 @@
             return;
         }
         --self->m_pending;
-        self->m_count(0, pending->m_reply.size());
+        self->m_count_bytes(0, pending->m_reply.size());
         pending->m_done(pending->m_kind, pending->m_reply);
     }
 
     asio::io_context& m_context;
     handler m_on_request;
-    byte_counter m_count;
-    std::string m_source;
-    nng_socket m_server = NNG_SOCKET_INITIALIZER;
+    byte_counter m_count_bytes;
+    std::string m_source_address;
+    nng_socket m_server_socket = NNG_SOCKET_INITIALIZER;
     std::vector<std::unique_ptr<serving_slot>> m_slots;
-    std::weak_ptr<impl> m_weak;
+    std::weak_ptr<impl> m_weak_self;
     std::size_t m_pending = 0;
 };
 
 std::unique_ptr<bulk_transport> bulk_transport::open(asio::io_context& context,
                                                      const ip_endpoint& listen, handler on_request,
-                                                     byte_counter count, error& reason,
-                                                     std::string_view source) {
-    auto implementation =
-        std::make_shared<impl>(context, std::move(on_request), std::move(count), source);
+                                                     byte_counter count_bytes, error& reason,
+                                                     std::string_view source_address) {
+    auto implementation = std::make_shared<impl>(context, std::move(on_request),
+                                                 std::move(count_bytes), source_address);
     if (!implementation->listen(listen, reason)) {
         return nullptr;
     }
--- a/src/peer/transport.hpp
+++ b/src/peer/transport.hpp
@@ -30,7 +30,7 @@
     // Binds the socket and starts receiving. Fails with invalid_settings when it can't be bound.
     static std::unique_ptr<datagram_socket> open(boost::asio::io_context& context,
                                                  const ip_endpoint& listen, receiver on_packet,
-                                                 byte_counter count, error& reason);
+                                                 byte_counter count_bytes, error& reason);
     datagram_socket(const datagram_socket&) = delete;
     datagram_socket& operator=(const datagram_socket&) = delete;
     datagram_socket(datagram_socket&&) = delete;
@@ -57,8 +57,8 @@
     // source is the local IP address of outgoing connections; empty: the system chooses.
     static std::unique_ptr<bulk_transport> open(boost::asio::io_context& context,
                                                 const ip_endpoint& listen, handler on_request,
-                                                byte_counter count, error& reason,
-                                                std::string_view source = {});
+                                                byte_counter count_bytes, error& reason,
+                                                std::string_view source_address = {});
     bulk_transport(const bulk_transport&) = delete;
     bulk_transport& operator=(const bulk_transport&) = delete;
     bulk_transport(bulk_transport&&) = delete;
--- a/src/peer/wire.cpp
+++ b/src/peer/wire.cpp
@@ -23,13 +23,13 @@
 // zstd level of texts on the wire.
 constexpr int compression_level = 3;
 // Window large enough that the whole base text (up to 1 MiB) can be referred to.
-constexpr int delta_window_log = 21;
-constexpr int least_window_log = 10; // of zstd
+constexpr int max_window_log = 21;
+constexpr int min_window_log = 10; // of zstd
 
 // Most repeated entries of one bulk message: a whole member table with all facts. An empty member
 // takes 2 bytes on the wire and some 500 in memory, so the message's size limit alone would let one
 // message of 8 MiB take 2 GB. Members and facts count twice, see count_entries.
-constexpr std::size_t max_entries = 2 * (max_members + max_facts) + 64;
+constexpr std::size_t max_repeated_entries = 2 * (max_members + max_facts) + 64;
 
 // Protobuf prints to standard error when a peer's message is damaged; the log there is JSON lines,
 // and the adapter reports the damage itself.
@@ -37,12 +37,12 @@
 
 // The value of an enumeration; numbers of newer nodes above the last known value count as that one.
 template <typename Enum>
-Enum get_enum(std::uint32_t from, Enum last) {
+Enum clamp_to_enum(std::uint32_t from, Enum last) {
     return static_cast<Enum>(std::min(from, static_cast<std::uint32_t>(last)));
 }
 
 // Addresses travel as their 4 or 16 bytes; anything else is an empty address.
-void put_endpoint(wire::Endpoint& to, const ip_endpoint& from) {
+void endpoint_to_wire(wire::Endpoint& to, const ip_endpoint& from) {
     const auto set_bytes = [&to](const auto& bytes) { to.set_address(bytes.data(), bytes.size()); };
     boost::system::error_code ec;
     const auto address = ip::make_address(from.m_address, ec);
@@ -56,33 +56,33 @@
 
 // The text of an address of this kind, if the bytes are one.
 template <typename Address>
-std::optional<std::string> get_address(std::string_view raw) {
+std::optional<std::string> format_address_bytes(std::string_view bytes_of_address) {
     typename Address::bytes_type bytes{};
-    if (raw.size() != bytes.size()) {
+    if (bytes_of_address.size() != bytes.size()) {
         return std::nullopt;
     }
-    std::copy(raw.begin(), raw.end(), bytes.begin());
+    std::copy(bytes_of_address.begin(), bytes_of_address.end(), bytes.begin());
     return Address(bytes).to_string();
 }
 
-ip_endpoint get_endpoint(const wire::Endpoint& from) {
-    auto address = get_address<ip::address_v4>(from.address());
+ip_endpoint endpoint_from_wire(const wire::Endpoint& from) {
+    auto address = format_address_bytes<ip::address_v4>(from.address());
     if (!address) {
-        address = get_address<ip::address_v6>(from.address());
+        address = format_address_bytes<ip::address_v6>(from.address());
     }
     return {address.value_or(""), static_cast<std::uint16_t>(from.port())};
 }
 
-void put(wire::Member& to, const member& from) {
+void to_wire(wire::Member& to, const member& from) {
     to.set_instance(from.m_instance);
     to.set_incarnation(from.m_incarnation);
     to.set_state(static_cast<std::uint32_t>(from.m_state));
     to.set_data_centre(from.m_data_centre);
     to.set_service(from.m_service);
     to.set_version(from.m_version);
-    put_endpoint(*to.mutable_traffic(), from.m_traffic);
-    put_endpoint(*to.mutable_udp(), from.m_udp);
-    put_endpoint(*to.mutable_bulk(), from.m_bulk);
+    endpoint_to_wire(*to.mutable_traffic(), from.m_traffic);
+    endpoint_to_wire(*to.mutable_udp(), from.m_udp);
+    endpoint_to_wire(*to.mutable_bulk(), from.m_bulk);
     to.set_config_version(from.m_config_version);
     to.set_ready(from.m_ready);
     to.set_store_lost(from.m_store_lost);
@@ -90,17 +90,17 @@
     to.set_lost_ms(from.m_lost_ms);
 }
 
-member get(const wire::Member& from) {
+member from_wire(const wire::Member& from) {
     member out;
     out.m_instance = from.instance();
     out.m_incarnation = from.incarnation();
-    out.m_state = get_enum(from.state(), member_state::left);
+    out.m_state = clamp_to_enum(from.state(), member_state::left);
     out.m_data_centre = from.data_centre();
     out.m_service = from.service();
     out.m_version = from.version();
-    out.m_traffic = get_endpoint(from.traffic());
-    out.m_udp = get_endpoint(from.udp());
-    out.m_bulk = get_endpoint(from.bulk());
+    out.m_traffic = endpoint_from_wire(from.traffic());
+    out.m_udp = endpoint_from_wire(from.udp());
+    out.m_bulk = endpoint_from_wire(from.bulk());
     out.m_config_version = from.config_version();
     out.m_ready = from.ready();
     out.m_store_lost = from.store_lost();
@@ -109,7 +109,7 @@
     return out;
 }
 
-void put(wire::Suspension& to, const suspension& from) {
+void to_wire(wire::Suspension& to, const suspension& from) {
     to.set_move_id(from.m_move_id);
     to.set_service(from.m_service);
     to.set_version(from.m_version);
@@ -118,12 +118,12 @@
     to.set_at_ms(from.m_at_ms);
 }
 
-suspension get(const wire::Suspension& from) {
+suspension from_wire(const wire::Suspension& from) {
     return {from.move_id(),  from.service(), from.version(),
             from.instance(), from.reason(),  from.at_ms()};
 }
 
-void put(wire::MoveRecord& to, const move_record& from) {
+void to_wire(wire::MoveRecord& to, const move_record& from) {
     to.set_move_id(from.m_move_id);
     to.set_service(from.m_service);
     to.set_from(from.m_from);
@@ -139,13 +139,13 @@
     to.set_revision(from.m_revision);
 }
 
-move_record get(const wire::MoveRecord& from) {
+move_record from_wire(const wire::MoveRecord& from) {
     move_record out;
     out.m_move_id = from.move_id();
     out.m_service = from.service();
     out.m_from = from.from();
     out.m_to = from.to();
-    out.m_state = get_enum(from.state(), move_state::taken_back);
+    out.m_state = clamp_to_enum(from.state(), move_state::taken_back);
     out.m_stage = from.stage();
     out.m_weight_permille = from.weight_permille();
     out.m_started_ms = from.started_ms();
@@ -157,7 +157,7 @@
     return out;
 }
 
-void put(wire::ConfigText& to, const packed_text& from) {
+void to_wire(wire::ConfigText& to, const packed_text& from) {
     to.set_version(from.m_version);
     to.set_hash(from.m_hash);
     to.set_base_version(from.m_base_version);
@@ -165,52 +165,52 @@
     to.set_compressed(from.m_compressed);
 }
 
-packed_text get(const wire::ConfigText& from) {
+packed_text from_wire(const wire::ConfigText& from) {
     return {from.version(), from.hash(), from.base_version(), from.size(), from.compressed()};
 }
 
 // Sets the text of a reply, if there is one.
 template <typename Body>
-void put_config(Body& to, const std::optional<packed_text>& from) {
+void config_to_wire(Body& to, const std::optional<packed_text>& from) {
     if (from) {
-        put(*to.mutable_config(), *from);
+        to_wire(*to.mutable_config(), *from);
     }
 }
 
 template <typename Body>
-std::optional<packed_text> get_config(const Body& from) {
-    return from.has_config() ? std::optional(get(from.config())) : std::nullopt;
+std::optional<packed_text> config_from_wire(const Body& from) {
+    return from.has_config() ? std::optional(from_wire(from.config())) : std::nullopt;
 }
 
 // Adds every value of a range to a repeated field of messages.
 template <typename Range, typename Field>
-void put_all(Field& to, const Range& from) {
+void add_messages(Field& to, const Range& from) {
     for (const auto& value : from) {
-        put(*to.Add(), value);
+        to_wire(*to.Add(), value);
     }
 }
 
 // The same for a repeated field of numbers or strings.
 template <typename Range, typename Field>
-void add_all(Field& to, const Range& from) {
+void add_scalars(Field& to, const Range& from) {
     to.Add(from.begin(), from.end());
 }
 
 template <typename Value, typename Field>
-std::vector<Value> get_all(const Field& from) {
+std::vector<Value> messages_from_wire(const Field& from) {
     std::vector<Value> out;
     out.reserve(static_cast<std::size_t>(from.size()));
     for (const auto& value : from) {
-        out.push_back(get(value));
+        out.push_back(from_wire(value));
     }
     return out;
 }
 
-void put(wire::Request& to, const join_request& from) {
-    put(*to.mutable_join()->mutable_self(), from.m_self);
+void to_wire(wire::Request& to, const join_request& from) {
+    to_wire(*to.mutable_join()->mutable_self(), from.m_self);
 }
 
-void put(wire::Request& to, const fetch_config_request& from) {
+void to_wire(wire::Request& to, const fetch_config_request& from) {
     auto& body = *to.mutable_fetch_config();
     body.set_instance(from.m_instance);
     body.set_have_version(from.m_have_version);
@@ -219,27 +219,27 @@
 
 // Facts are the same fields in a packet, a join reply and an exchange.
 template <typename Body>
-void put_facts(Body& to, const std::vector<suspension>& suspensions,
-               const std::vector<move_record>& records) {
-    put_all(*to.mutable_suspensions(), suspensions);
-    put_all(*to.mutable_records(), records);
+void facts_to_wire(Body& to, const std::vector<suspension>& suspensions,
+                   const std::vector<move_record>& records) {
+    add_messages(*to.mutable_suspensions(), suspensions);
+    add_messages(*to.mutable_records(), records);
 }
 
-void put(wire::Request& to, const facts_message& from) {
-    put_facts(*to.mutable_fetch_facts()->mutable_own(), from.m_suspensions, from.m_records);
+void to_wire(wire::Request& to, const facts_message& from) {
+    facts_to_wire(*to.mutable_fetch_facts()->mutable_own(), from.m_suspensions, from.m_records);
 }
 
-void put(wire::Request& to, const members_digest_request& from) {
+void to_wire(wire::Request& to, const members_digest_request& from) {
     auto& body = *to.mutable_members_digest();
     body.set_instance(from.m_instance);
-    add_all(*body.mutable_bucket_hashes(), from.m_bucket_hashes);
+    add_scalars(*body.mutable_bucket_hashes(), from.m_bucket_hashes);
 }
 
-void put(wire::Request& to, const merge_members_request& from) {
-    put_all(*to.mutable_merge_members()->mutable_members(), from.m_members);
+void to_wire(wire::Request& to, const merge_members_request& from) {
+    add_messages(*to.mutable_merge_members()->mutable_members(), from.m_members);
 }
 
-void put(wire::EvidenceRequest& body, const evidence_report& from) {
+void to_wire(wire::EvidenceRequest& body, const evidence_report& from) {
     body.set_instance(from.m_instance);
     body.set_service(from.m_service);
     body.set_version(from.m_version);
@@ -249,63 +249,63 @@
         arm.set_calls(counts.m_calls);
         arm.set_failures(counts.m_failures);
         arm.set_cold_calls(counts.m_cold_calls);
-        add_all(*arm.mutable_latency(), counts.m_latency);
+        add_scalars(*arm.mutable_latency(), counts.m_latency);
     }
 }
 
-void put(wire::Request& to, const evidence_report& from) {
-    put(*to.mutable_evidence(), from);
+void to_wire(wire::Request& to, const evidence_report& from) {
+    to_wire(*to.mutable_evidence(), from);
 }
 
-void put(wire::Reply& to, const evidence_report& from) {
-    put(*to.mutable_evidence(), from);
+void to_wire(wire::Reply& to, const evidence_report& from) {
+    to_wire(*to.mutable_evidence(), from);
 }
 
-void put(wire::Request& to, const in_force_request& from) {
+void to_wire(wire::Request& to, const in_force_request& from) {
     auto& body = *to.mutable_in_force();
     body.set_data_centre(from.m_data_centre);
     body.set_shard(from.m_shard);
     body.set_version(from.m_version);
     body.set_in_force(from.m_in_force);
     body.set_members(from.m_members);
-    add_all(*body.mutable_missing(), from.m_missing);
+    add_scalars(*body.mutable_missing(), from.m_missing);
 }
 
-void put(wire::Reply& to, const done_reply& /*from*/) {
+void to_wire(wire::Reply& to, const ack_reply& /*from*/) {
     to.mutable_done();
 }
 
-void put(wire::Reply& to, const join_reply& from) {
+void to_wire(wire::Reply& to, const join_reply& from) {
     auto& body = *to.mutable_join();
     body.set_retry_after_ms(static_cast<std::uint32_t>(from.m_retry_after.count()));
-    put_all(*body.mutable_members(), from.m_members);
-    put_config(body, from.m_config);
-    put_facts(*body.mutable_facts(), from.m_suspensions, from.m_records);
+    add_messages(*body.mutable_members(), from.m_members);
+    config_to_wire(body, from.m_config);
+    facts_to_wire(*body.mutable_facts(), from.m_suspensions, from.m_records);
     body.set_predecessor_version(from.m_predecessor_version);
 }
 
-void put(wire::Reply& to, const fetch_config_reply& from) {
-    put_config(*to.mutable_fetch_config(), from.m_config);
+void to_wire(wire::Reply& to, const fetch_config_reply& from) {
+    config_to_wire(*to.mutable_fetch_config(), from.m_config);
 }
 
-void put(wire::Reply& to, const facts_message& from) {
-    put_facts(*to.mutable_fetch_facts()->mutable_facts(), from.m_suspensions, from.m_records);
+void to_wire(wire::Reply& to, const facts_message& from) {
+    facts_to_wire(*to.mutable_fetch_facts()->mutable_facts(), from.m_suspensions, from.m_records);
 }
 
-void put(wire::Reply& to, const members_digest_reply& from) {
+void to_wire(wire::Reply& to, const members_digest_reply& from) {
     auto& body = *to.mutable_members_digest();
-    add_all(*body.mutable_differing(), from.m_differing);
-    put_all(*body.mutable_members(), from.m_members);
+    add_scalars(*body.mutable_differing(), from.m_differing_buckets);
+    add_messages(*body.mutable_members(), from.m_members);
 }
 
-void put(wire::Reply& to, error_kind from) {
+void to_wire(wire::Reply& to, error_kind from) {
     to.set_error(static_cast<std::uint32_t>(from));
 }
 
 // Adds up the fields of the bodies of a bulk message, and within these the texts and messages with
 // the numbers 1 and 2: the repeated fields of Facts, but also the names of members and routes.
 // Stops at malformed bytes, which the parser refuses.
-std::size_t count_entries(std::string_view bytes, int depth = 0) {
+std::size_t count_repeated_entries(std::string_view bytes, int depth = 0) {
     using wire_format = google::protobuf::internal::WireFormatLite;
     google::protobuf::io::CodedInputStream in(reinterpret_cast<const std::uint8_t*>(bytes.data()),
                                               static_cast<int>(bytes.size()));
@@ -326,9 +326,9 @@
         if (!in.ReadVarint32(&size)) {
             break;
         }
-        const auto at = static_cast<std::size_t>(in.CurrentPosition());
-        entries += count_entries(bytes.substr(at, size), depth + 1);
-        if (size > bytes.size() - at || !in.Skip(static_cast<int>(size))) {
+        const auto offset = static_cast<std::size_t>(in.CurrentPosition());
+        entries += count_repeated_entries(bytes.substr(offset, size), depth + 1);
+        if (size > bytes.size() - offset || !in.Skip(static_cast<int>(size))) {
             break;
         }
     }
@@ -338,13 +338,13 @@
 // Parses a bulk message unless it holds more entries than any node sends.
 template <typename Message>
 bool parse_bulk(Message& in, std::string_view bytes) {
-    return count_entries(bytes) <= max_entries &&
+    return count_repeated_entries(bytes) <= max_repeated_entries &&
            in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
 }
 
 // The store's records are checked when they are read; those from peers must keep to the same
 // bounds, since a weight above 1000 would send every call to the new version.
-bool are_valid(const std::vector<move_record>& records) {
+bool are_records_in_bounds(const std::vector<move_record>& records) {
     return std::all_of(records.begin(), records.end(), [](const move_record& record) {
         return record.m_stage < stage_weights_permille.size() &&
                record.m_weight_permille <= stage_weights_permille.back() &&
@@ -353,20 +353,21 @@
 }
 
 template <typename Body>
-facts_message get_facts(const Body& from) {
-    return {get_all<suspension>(from.suspensions()), get_all<move_record>(from.records())};
+facts_message facts_from_wire(const Body& from) {
+    return {messages_from_wire<suspension>(from.suspensions()),
+            messages_from_wire<move_record>(from.records())};
 }
 
-evidence_report get_evidence(const wire::EvidenceRequest& from) {
+evidence_report evidence_from_wire(const wire::EvidenceRequest& from) {
     evidence_report out{from.instance(), from.service(), from.version(), {}};
     for (const auto& arm : from.routes()) {
         arm_counts counts;
         counts.m_calls = arm.calls();
         counts.m_failures = arm.failures();
         counts.m_cold_calls = arm.cold_calls();
-        const int classes =
+        const int buckets =
             std::min<int>(arm.latency_size(), static_cast<int>(counts.m_latency.size()));
-        for (int i = 0; i < classes; ++i) {
+        for (int i = 0; i < buckets; ++i) {
             counts.m_latency[static_cast<std::size_t>(i)] = arm.latency(i);
         }
         out.m_routes.emplace(arm.route(), counts);
@@ -374,12 +375,12 @@
     return out;
 }
 
-join_reply get_join(const wire::JoinReply& from) {
+join_reply join_reply_from_wire(const wire::JoinReply& from) {
     join_reply out;
     out.m_retry_after = milliseconds{from.retry_after_ms()};
-    out.m_members = get_all<member>(from.members());
-    out.m_config = get_config(from);
-    facts_message facts = get_facts(from.facts());
+    out.m_members = messages_from_wire<member>(from.members());
+    out.m_config = config_from_wire(from);
+    facts_message facts = facts_from_wire(from.facts());
     out.m_suspensions = std::move(facts.m_suspensions);
     out.m_records = std::move(facts.m_records);
     out.m_predecessor_version = from.predecessor_version();
@@ -389,14 +390,14 @@
 template <typename Message, typename Variant>
 std::string encode_body(const Variant& value) {
     Message out;
-    std::visit([&out](const auto& body) { put(out, body); }, value);
+    std::visit([&out](const auto& body) { to_wire(out, body); }, value);
     return out.SerializeAsString();
 }
 
 // Passes on a body with facts unless one of its records is impossible.
 template <typename Body>
-std::optional<Body> checked(Body body, error& reason) {
-    if (!are_valid(body.m_records)) {
+std::optional<Body> reject_invalid_records(Body body, error& reason) {
+    if (!are_records_in_bounds(body.m_records)) {
         return fail(reason, error_kind::peer_bad_message, "impossible move record");
     }
     return body;
@@ -414,8 +415,8 @@
     out.set_config_version(value.m_config_version);
     out.set_held_version(value.m_held_version);
     out.set_facts_digest(value.m_facts_digest);
-    put_all(*out.mutable_updates(), value.m_updates);
-    put_facts(out, value.m_suspensions, value.m_records);
+    add_messages(*out.mutable_updates(), value.m_updates);
+    facts_to_wire(out, value.m_suspensions, value.m_records);
     while (out.ByteSizeLong() > max_packet_bytes && out.updates_size() > 0) {
         out.mutable_updates()->RemoveLast();
     }
@@ -436,11 +437,11 @@
     out.m_config_version = in.config_version();
     out.m_held_version = in.held_version();
     out.m_facts_digest = in.facts_digest();
-    out.m_updates = get_all<member>(in.updates());
-    facts_message facts = get_facts(in);
+    out.m_updates = messages_from_wire<member>(in.updates());
+    facts_message facts = facts_from_wire(in);
     out.m_suspensions = std::move(facts.m_suspensions);
     out.m_records = std::move(facts.m_records);
-    if (!are_valid(out.m_records)) {
+    if (!are_records_in_bounds(out.m_records)) {
         return fail(reason, error_kind::peer_bad_message, "impossible move record");
     }
     return out;
@@ -457,21 +458,21 @@
     }
     switch (in.body_case()) {
     case wire::Request::kJoin:
-        return join_request{get(in.join().self())};
+        return join_request{from_wire(in.join().self())};
     case wire::Request::kFetchConfig:
         return fetch_config_request{in.fetch_config().instance(), in.fetch_config().have_version(),
                                     in.fetch_config().want_version()};
     case wire::Request::kFetchFacts:
-        return checked(get_facts(in.fetch_facts().own()), reason);
+        return reject_invalid_records(facts_from_wire(in.fetch_facts().own()), reason);
     case wire::Request::kMembersDigest: {
         const auto& hashes = in.members_digest().bucket_hashes();
         return members_digest_request{in.members_digest().instance(),
                                       {hashes.begin(), hashes.end()}};
     }
     case wire::Request::kMergeMembers:
-        return merge_members_request{get_all<member>(in.merge_members().members())};
+        return merge_members_request{messages_from_wire<member>(in.merge_members().members())};
     case wire::Request::kEvidence:
-        return get_evidence(in.evidence());
+        return evidence_from_wire(in.evidence());
     case wire::Request::kInForce: {
         const auto& body = in.in_force();
         if (static_cast<std::size_t>(body.missing_size()) > max_missing_names) {
@@ -497,22 +498,22 @@
     }
     switch (in.body_case()) {
     case wire::Reply::kJoin:
-        return checked(get_join(in.join()), reason);
+        return reject_invalid_records(join_reply_from_wire(in.join()), reason);
     case wire::Reply::kFetchConfig:
-        return fetch_config_reply{get_config(in.fetch_config())};
+        return fetch_config_reply{config_from_wire(in.fetch_config())};
     case wire::Reply::kFetchFacts:
-        return checked(get_facts(in.fetch_facts().facts()), reason);
+        return reject_invalid_records(facts_from_wire(in.fetch_facts().facts()), reason);
     case wire::Reply::kMembersDigest: {
         const auto& differing = in.members_digest().differing();
         return members_digest_reply{{differing.begin(), differing.end()},
-                                    get_all<member>(in.members_digest().members())};
+                                    messages_from_wire<member>(in.members_digest().members())};
     }
     case wire::Reply::kDone:
-        return done_reply{};
+        return ack_reply{};
     case wire::Reply::kEvidence:
-        return get_evidence(in.evidence());
+        return evidence_from_wire(in.evidence());
     case wire::Reply::kError:
-        return get_enum(in.error(), error_kind::internal);
+        return clamp_to_enum(in.error(), error_kind::internal);
     default:
         return fail(reason, error_kind::peer_bad_message, "unknown reply");
     }
@@ -529,7 +530,7 @@
         const auto window_log = std::bit_width(base.size() + text.size());
         ZSTD_CCtx_setParameter(
             context.get(), ZSTD_c_windowLog,
-            std::clamp<int>(static_cast<int>(window_log), least_window_log, delta_window_log));
+            std::clamp<int>(static_cast<int>(window_log), min_window_log, max_window_log));
         ZSTD_CCtx_refPrefix(context.get(), base.data(), base.size());
     }
     const std::size_t written = ZSTD_compress2(context.get(), out.m_compressed.data(),
@@ -546,7 +547,7 @@
     std::string text(packed.m_size, '\0');
     const std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)> context(ZSTD_createDCtx(),
                                                                        &ZSTD_freeDCtx);
-    ZSTD_DCtx_setParameter(context.get(), ZSTD_d_windowLogMax, delta_window_log);
+    ZSTD_DCtx_setParameter(context.get(), ZSTD_d_windowLogMax, max_window_log);
     if (packed.m_base_version != 0) {
         ZSTD_DCtx_refPrefix(context.get(), base.data(), base.size());
     }
@@ -572,18 +573,18 @@
     return std::move(fetched->m_config);
 }
 
-std::string store_whole_text(std::uint64_t version, std::uint64_t hash, std::string_view text) {
+std::string encode_whole_text(std::uint64_t version, std::uint64_t hash, std::string_view text) {
     std::string stored = encode_stored_text(pack_text(version, hash, text, 0, {}));
     error reason;
     // Restored once, since no other copy remains when every node restarts.
-    if (stored.size() >= text.size() || !load_whole_text(stored, hash, reason)) {
+    if (stored.size() >= text.size() || !decode_whole_text(stored, hash, reason)) {
         return std::string(text);
     }
     return stored;
 }
 
-std::optional<std::string> load_whole_text(std::string_view value, std::uint64_t hash,
-                                           error& reason) {
+std::optional<std::string> decode_whole_text(std::string_view value, std::uint64_t hash,
+                                             error& reason) {
     if (hash_bytes(value) == hash) {
         return std::string(value);
     }
--- a/src/peer/wire.hpp
+++ b/src/peer/wire.hpp
@@ -55,7 +55,7 @@
     std::vector<std::uint64_t> m_bucket_hashes;
 };
 struct members_digest_reply {
-    std::vector<std::uint32_t> m_differing;
+    std::vector<std::uint32_t> m_differing_buckets;
     std::vector<member> m_members;
 };
 struct merge_members_request {
@@ -70,13 +70,13 @@
     std::uint32_t m_members = 0;
     std::vector<std::string> m_missing; // at most max_missing_names
 };
-struct done_reply {};
+struct ack_reply {};
 
 using bulk_request =
     std::variant<join_request, fetch_config_request, facts_message, members_digest_request,
                  merge_members_request, evidence_report, in_force_request>;
 // The reply to an evidence report is the sum of the old version's reports of the last interval.
-using bulk_reply = std::variant<done_reply, join_reply, fetch_config_reply, facts_message,
+using bulk_reply = std::variant<ack_reply, join_reply, fetch_config_reply, facts_message,
                                 members_digest_reply, evidence_report, error_kind>;
 
 // Encodes a packet; drops trailing updates until it fits max_packet_bytes.
@@ -106,11 +106,11 @@
 
 // The stored form of a whole text. The text itself when packing doesn't make it smaller, since the
 // store takes values only up to the size that a text may have.
-std::string store_whole_text(std::uint64_t version, std::uint64_t hash, std::string_view text);
+std::string encode_whole_text(std::uint64_t version, std::uint64_t hash, std::string_view text);
 
 // Restores a whole text from the stored form or from the text itself. Fails with peer_bad_message
 // as unpack_text does, and when the text has another hash.
-std::optional<std::string> load_whole_text(std::string_view value, std::uint64_t hash,
-                                           error& reason);
+std::optional<std::string> decode_whole_text(std::string_view value, std::uint64_t hash,
+                                             error& reason);
 
 } // namespace caraway
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -24,7 +24,7 @@
 // Largest reply body: a list of 100 verdicts, or one value of a megabyte as escaped JSON.
 constexpr std::size_t max_reply_bytes = 8U << 20U;
 // A waiting watch may take this much longer than the wait that it asked for.
-constexpr milliseconds watch_grace{2'000};
+constexpr milliseconds watch_timeout_margin{2'000};
 
 // One store call: the command and how long it may take.
 struct store_call {
@@ -34,7 +34,7 @@
 };
 
 // What a finished exchange left behind.
-struct exchange {
+struct http_exchange {
     error_kind m_kind = error_kind::none;
     std::string m_text;
     http::response<http::string_body> m_response;
@@ -44,7 +44,7 @@
 
 // Turns an exchange into the reply of the operation.
 store_reply make_reply(const store_codec& codec, const store_command& command,
-                       const exchange& finished) {
+                       const http_exchange& finished) {
     if (finished.m_kind != error_kind::none) {
         store_reply reply;
         reply.m_kind = finished.m_kind;
@@ -70,7 +70,7 @@
         asio::spawn(
             m_context,
             [self = shared_from_this(), call = std::move(call)](asio::yield_context yield) {
-                exchange finished = self->run(call, yield);
+                http_exchange finished = self->run(call, yield);
                 if (self->m_stopped) {
                     return;
                 }
@@ -100,8 +100,8 @@
     // Sends the request and reads the response. An idle connection that the store has closed is
     // recognised before a byte is written; a failure after that leaves the outcome unknown for
     // writes.
-    exchange run(const store_call& call, const asio::yield_context& yield) {
-        exchange out;
+    http_exchange run(const store_call& call, const asio::yield_context& yield) {
+        http_exchange out;
         beast::error_code ec;
         std::unique_ptr<beast::tcp_stream> stream = take_idle();
         if (!stream) {
@@ -112,16 +112,16 @@
                 return out;
             }
         }
-        store_request wire = m_codec.m_encode(call.m_command);
+        store_http_request encoded = m_codec.m_encode(call.m_command);
         http::request<http::string_body> request;
         request.version(11);
-        request.method_string(wire.m_method);
-        request.target(wire.m_target);
+        request.method_string(encoded.m_method);
+        request.target(encoded.m_target);
         request.set(http::field::host, "store");
-        if (!wire.m_body.empty()) {
+        if (!encoded.m_body.empty()) {
             request.set(http::field::content_type, "application/json");
         }
-        request.body() = std::move(wire.m_body);
+        request.body() = std::move(encoded.m_body);
         request.prepare_payload();
         stream->expires_after(call.m_timeout);
         out.m_sent = http::async_write(*stream, request, yield[ec]);
@@ -171,9 +171,9 @@
             std::unique_ptr<beast::tcp_stream> stream = std::move(m_idle.back());
             m_idle.pop_back();
             beast::error_code ec;
-            char byte = 0;
+            char peeked_byte = 0;
             stream->socket().non_blocking(true, ec);
-            stream->socket().receive(asio::buffer(&byte, 1), tcp::socket::message_peek, ec);
+            stream->socket().receive(asio::buffer(&peeked_byte, 1), tcp::socket::message_peek, ec);
             if (ec == asio::error::would_block) {
                 return stream;
             }
@@ -195,25 +195,26 @@
 
 // Collects the pages of a list. Pages are not a snapshot: the revision kept is that of the first
 // one, so that a watch from there misses nothing.
-void list_pages(const std::function<void(store_call)>& start, store_command command,
-                milliseconds timeout, std::shared_ptr<store_reply> whole, store_callback done) {
+void collect_pages(const std::function<void(store_call)>& start, store_command command,
+                   milliseconds timeout, std::shared_ptr<store_reply> collected,
+                   store_callback done) {
     store_call call{command, timeout, nullptr};
-    call.m_done = [start, command = std::move(command), timeout, whole = std::move(whole),
+    call.m_done = [start, command = std::move(command), timeout, collected = std::move(collected),
                    done = std::move(done)](const store_reply& page) mutable {
-        const bool first = whole->m_revision == 0;
-        if (page.m_kind != error_kind::none || (first && !page.m_more)) {
+        const bool first = collected->m_revision == 0;
+        if (page.m_kind != error_kind::none || (first && !page.m_has_more)) {
             done(page);
             return;
         }
-        whole->m_revision = first ? page.m_revision : whole->m_revision;
-        whole->m_entries.insert(whole->m_entries.end(), page.m_entries.begin(),
-                                page.m_entries.end());
-        if (!page.m_more || page.m_entries.empty()) {
-            done(*whole);
+        collected->m_revision = first ? page.m_revision : collected->m_revision;
+        collected->m_entries.insert(collected->m_entries.end(), page.m_entries.begin(),
+                                    page.m_entries.end());
+        if (!page.m_has_more || page.m_entries.empty()) {
+            done(*collected);
             return;
         }
         command.m_after_key = page.m_entries.back().m_key;
-        list_pages(start, std::move(command), timeout, std::move(whole), std::move(done));
+        collect_pages(start, std::move(command), timeout, std::move(collected), std::move(done));
     };
     start(std::move(call));
 }
@@ -239,17 +240,17 @@
     m_impl->start({std::move(command), timeout, std::move(done)});
 }
 
-void store_client::run_list(store_operation operation, std::string_view prefix, bool may_be_stale,
+void store_client::run_list(store_operation operation, std::string_view prefix, bool allow_stale,
                             store_callback done) {
     store_command command;
     command.m_operation = operation;
-    command.m_may_be_stale = may_be_stale;
+    command.m_allow_stale = allow_stale;
     command.m_key = prefix;
     const auto start = [implementation = m_impl](store_call call) {
         implementation->start(std::move(call));
     };
-    list_pages(start, std::move(command), m_impl->timeout(), std::make_shared<store_reply>(),
-               std::move(done));
+    collect_pages(start, std::move(command), m_impl->timeout(), std::make_shared<store_reply>(),
+                  std::move(done));
 }
 
 void store_client::run_watch(store_operation operation, std::string_view prefix,
@@ -259,7 +260,7 @@
     command.m_key = prefix;
     command.m_revision = after;
     command.m_wait = wait;
-    run(std::move(command), wait + watch_grace, std::move(done));
+    run(std::move(command), wait + watch_timeout_margin, std::move(done));
 }
 
 void store_client::get(std::string_view key, store_callback done) {
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -66,7 +66,7 @@
     class impl;
     explicit store_client(std::shared_ptr<impl> implementation);
     void run(store_command command, milliseconds timeout, store_callback done);
-    void run_list(store_operation operation, std::string_view prefix, bool may_be_stale,
+    void run_list(store_operation operation, std::string_view prefix, bool allow_stale,
                   store_callback done);
     void run_watch(store_operation operation, std::string_view prefix, std::uint64_t after,
                    milliseconds wait, store_callback done);
--- a/src/store/store_codec.hpp
+++ b/src/store/store_codec.hpp
@@ -32,7 +32,7 @@
     std::uint64_t m_revision = 0;
     std::string m_value;                // get
     std::vector<store_entry> m_entries; // list, watch
-    bool m_more = false;                // list: further pages follow the last entry
+    bool m_has_more = false;            // list: further pages follow the last entry
     std::string m_lease;                // create_lease
     std::string m_text;                 // reason of a failure, for logs
 };
@@ -65,34 +65,34 @@
     std::optional<std::uint64_t> m_if_revision;
     std::string m_lease;          // put: attached to it; renew, end: which one
     std::string m_after_key;      // list: begins behind this key
-    bool m_may_be_stale = false;  // list: a replica's answer, some seconds old, will do
+    bool m_allow_stale = false;   // list: a replica's answer, some seconds old, will do
     std::uint64_t m_revision = 0; // watch: changes after this one
     milliseconds m_wait{0};       // watch
     milliseconds m_period{0};     // create_lease
 };
 
 // An HTTP request to the store.
-struct store_request {
+struct store_http_request {
     std::string m_method;
     std::string m_target;
     std::string m_body;
 };
 
 // An HTTP answer of the store.
-struct store_answer {
+struct store_http_response {
     unsigned m_status = 0;
     std::string_view m_revision_header; // x-revision
     std::string_view m_body;
 };
 
 struct store_codec {
-    std::function<store_request(const store_command&)> m_encode;
+    std::function<store_http_request(const store_command&)> m_encode;
     // Reads any answer; one that can't be read gives store_outcome_unknown.
-    std::function<store_reply(const store_command&, const store_answer&)> m_decode;
+    std::function<store_reply(const store_command&, const store_http_response&)> m_decode;
 };
 
 // The codec of the product's own store interface (docs/design.md, section 5).
-store_codec own_store_codec();
+store_codec native_store_codec();
 
 // Escapes a key or prefix for use in a URL path or query.
 std::string escape_url(std::string_view text);
--- a/src/store/store_json.cpp
+++ b/src/store/store_json.cpp
@@ -21,9 +21,9 @@
     store_entry entry;
     entry.m_key = std::string(key->get_string());
     if (const json::value* revision = object->if_contains("revision")) {
-        json::error_code failed;
-        entry.m_revision = revision->to_number<std::uint64_t>(failed);
-        if (failed) {
+        json::error_code ec;
+        entry.m_revision = revision->to_number<std::uint64_t>(ec);
+        if (ec) {
             return std::nullopt;
         }
     }
@@ -44,7 +44,7 @@
 }
 
 // Maps an HTTP status of the store to an error kind.
-error_kind kind_of_status(unsigned status) {
+error_kind error_kind_from_status(unsigned status) {
     switch (status) {
     case 200:
     case 204:
@@ -64,7 +64,7 @@
     }
 }
 
-store_request encode_own(const store_command& command) {
+store_http_request encode_native(const store_command& command) {
     const std::string key = escape_url(command.m_key);
     switch (command.m_operation) {
     case store_operation::get:
@@ -110,42 +110,42 @@
     return {};
 }
 
-store_reply malformed(store_reply reply) {
+store_reply malformed_reply(store_reply reply) {
     reply.m_kind = error_kind::store_outcome_unknown;
     reply.m_text = "malformed reply";
     return reply;
 }
 
-store_reply decode_own(const store_command& command, const store_answer& answer) {
+store_reply decode_native(const store_command& command, const store_http_response& response) {
     store_reply reply;
-    reply.m_kind = kind_of_status(answer.m_status);
-    reply.m_revision = parse_number(answer.m_revision_header);
+    reply.m_kind = error_kind_from_status(response.m_status);
+    reply.m_revision = parse_number(response.m_revision_header);
     if (reply.m_kind != error_kind::none) {
-        reply.m_text = fmt::format("status {}", answer.m_status);
+        reply.m_text = fmt::format("status {}", response.m_status);
         return reply;
     }
     switch (command.m_operation) {
     case store_operation::get:
-        reply.m_value = answer.m_body;
+        reply.m_value = response.m_body;
         return reply;
     case store_operation::list:
     case store_operation::list_keys:
     case store_operation::watch:
     case store_operation::watch_keys: {
-        if (answer.m_body.empty()) {
+        if (response.m_body.empty()) {
             return reply;
         }
-        auto entries = decode_entries(answer.m_body);
+        auto entries = decode_entries(response.m_body);
         if (!entries) {
-            return malformed(std::move(reply));
+            return malformed_reply(std::move(reply));
         }
         reply.m_entries = std::move(*entries);
         return reply;
     }
     case store_operation::create_lease: {
-        auto lease = decode_lease(answer.m_body);
+        auto lease = decode_lease(response.m_body);
         if (!lease) {
-            return malformed(std::move(reply));
+            return malformed_reply(std::move(reply));
         }
         reply.m_lease = std::move(*lease);
         return reply;
@@ -172,16 +172,17 @@
            value == store_operation::watch_keys;
 }
 
-store_codec own_store_codec() {
-    return {encode_own, decode_own};
+store_codec native_store_codec() {
+    return {encode_native, decode_native};
 }
 
 std::string escape_url(std::string_view text) {
     std::string out;
     for (const char c : text) {
-        const bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
-                           (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.' || c == '/';
-        if (plain) {
+        const bool unreserved = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
+                                (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.' ||
+                                c == '/';
+        if (unreserved) {
             out.push_back(c);
         } else {
             out += fmt::format("%{:02X}", static_cast<unsigned char>(c));
@@ -191,9 +192,9 @@
 }
 
 std::optional<std::vector<store_entry>> decode_entries(std::string_view body) {
-    json::error_code failed;
-    const json::value parsed = json::parse(json::string_view(body.data(), body.size()), failed);
-    if (failed || !parsed.is_array()) {
+    json::error_code ec;
+    const json::value parsed = json::parse(json::string_view(body.data(), body.size()), ec);
+    if (ec || !parsed.is_array()) {
         return std::nullopt;
     }
     std::vector<store_entry> entries;
@@ -208,9 +209,9 @@
 }
 
 std::optional<std::string> decode_lease(std::string_view body) {
-    json::error_code failed;
-    const json::value parsed = json::parse(json::string_view(body.data(), body.size()), failed);
-    const json::object* object = failed ? nullptr : parsed.if_object();
+    json::error_code ec;
+    const json::value parsed = json::parse(json::string_view(body.data(), body.size()), ec);
+    const json::object* object = ec ? nullptr : parsed.if_object();
     const json::value* lease = object != nullptr ? object->if_contains("lease") : nullptr;
     if (lease == nullptr || (!lease->is_string() && !lease->is_int64() && !lease->is_uint64())) {
         return std::nullopt;
--- a/src/traffic/backend_side.cpp
+++ b/src/traffic/backend_side.cpp
@@ -282,7 +282,7 @@
             set_header(reply.m_message, header::replayed, "1");
         }
         set_header(reply.m_message, header::outcome, outcome_name(outcome::answered));
-        set_header(reply.m_message, header::reason, answer_for(error_kind::none).m_name);
+        set_header(reply.m_message, header::reason, error_info_for(error_kind::none).m_name);
         set_header(reply.m_message, header::instance, context.m_settings.m_instance);
         set_number(reply.m_message, header::config_version,
                    context.m_snapshot.load()->m_config_version);
--- a/src/traffic/entry_side.cpp
+++ b/src/traffic/entry_side.cpp
@@ -176,7 +176,7 @@
 error_kind stated_reason(const http_response& answer) {
     const auto stated = outcome_from_name(header_of(answer, header::outcome));
     const auto kind = error_kind_from_name(header_of(answer, header::reason));
-    if (!stated || !kind || answer_for(*kind).m_outcome != *stated) {
+    if (!stated || !kind || error_info_for(*kind).m_outcome != *stated) {
         return error_kind::internal;
     }
     return *kind;
@@ -279,7 +279,7 @@
     reply.m_message = std::move(*answer);
     strip_hop_by_hop(reply.m_message);
     reply.m_message.erase(std::string(header::exchange));
-    const outcome stated = answer_for(reply.m_reason).m_outcome;
+    const outcome stated = error_info_for(reply.m_reason).m_outcome;
     reply.m_sent = stated == outcome::answered || stated == outcome::unknown;
     reply.m_peer = backend.m_instance;
     reply.m_version = backend.m_version;
@@ -324,7 +324,7 @@
 
 // True when a backend server got the request, be it that it didn't run it.
 bool reached_server(error_kind reason) {
-    const outcome stated = answer_for(reason).m_outcome;
+    const outcome stated = error_info_for(reason).m_outcome;
     return stated == outcome::answered || stated == outcome::unknown ||
            reason == error_kind::backend_shed;
 }
@@ -395,7 +395,7 @@
         // An earlier attempt that may have run is not undone by a later refusal.
         const bool may_have_run = last && reached_server(last->m_reason) &&
                                   last->m_reason != error_kind::backend_shed &&
-                                  answer_for(reply.m_reason).m_outcome != outcome::answered;
+                                  error_info_for(reply.m_reason).m_outcome != outcome::answered;
         if (failure == error_kind::none) {
             return reply;
         }
--- a/src/traffic/http_message.cpp
+++ b/src/traffic/http_message.cpp
@@ -143,7 +143,7 @@
 }
 
 http_response make_refusal(error_kind kind, std::string_view text) {
-    const error_answer& row = answer_for(kind);
+    const error_info& row = error_info_for(kind);
     http_response answer = make_json(row.m_status, boost::json::serialize(boost::json::object{
                                                        {"outcome", outcome_name(row.m_outcome)},
                                                        {"reason", row.m_name},
--- a/src/traffic/traffic.cpp
+++ b/src/traffic/traffic.cpp
@@ -228,7 +228,7 @@
         self->end_call();
         log_event(log_level::info, "health_probe",
                   {{"status", answer ? answer->result_int() : 0U},
-                   {"reason", answer_for(reason.m_kind).m_name},
+                   {"reason", error_info_for(reason.m_kind).m_name},
                    {"text", reason.m_text}});
         self->stop();
     });
--- a/src/traffic/traffic_context.cpp
+++ b/src/traffic/traffic_context.cpp
@@ -61,7 +61,7 @@
                      const trace_context& trace, const call_reply& reply, std::uint32_t attempt,
                      time_point start, wall_time wall_start) {
     const duration took = context.m_clock.now() - start;
-    const error_answer& row = answer_for(reply.m_reason);
+    const error_info& row = error_info_for(reply.m_reason);
     const std::string_view result = outcome_name(row.m_outcome);
     const std::string trace_id =
         fmt::format("{:016x}{:016x}", trace.m_trace_high, trace.m_trace_low);
--- a/standins/common.cpp
+++ b/standins/common.cpp
@@ -125,7 +125,7 @@
 }
 
 void exit_with(const error& reason) {
-    const error_answer& answer = answer_for(reason.m_kind);
+    const error_info& answer = error_info_for(reason.m_kind);
     log_line("error", "failed", {{"reason", answer.m_name}, {"text", reason.m_text}});
     std::exit(answer.m_exit_code);
 }
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -131,7 +131,7 @@
 // Guards against a cold server that receives more concurrent calls than it can handle, and against
 // a limit that stays low although the server is warm.
 BOOST_AUTO_TEST_CASE(cold_server_is_never_knowingly_overloaded) {
-    const std::uint64_t first = first_seed();
+    const std::uint64_t first = seed_or_default();
     for (std::uint64_t seed = first; seed < first + 40; ++seed) {
         const model_result result = run_model(seed);
         BOOST_TEST(result.m_overloads == 0U, "seed " << seed << ": " << result.m_overloads);
@@ -161,7 +161,7 @@
 // Guards against refusing an urgent call while less urgent ones wait, running calls in the wrong
 // order, exceeding the bounds, and calls that end with no outcome or with two.
 BOOST_AUTO_TEST_CASE(urgent_calls_run_first_and_every_call_has_one_outcome) {
-    const std::uint64_t first = first_seed();
+    const std::uint64_t first = seed_or_default();
     for (std::uint64_t seed = first; seed < first + 200; ++seed) {
         random_source random(seed);
         admission_limits limits;
@@ -208,7 +208,7 @@
                 waiting.erase(result.m_displaced);
             }
             if (result.m_verdict == admission_verdict::refuse) {
-                BOOST_TEST((answer_for(result.m_reason).m_outcome != outcome::unknown));
+                BOOST_TEST((error_info_for(result.m_reason).m_outcome != outcome::unknown));
                 for (const auto& [other, other_level] : waiting) {
                     BOOST_TEST((other_level <= level), "seed " << seed << ": less urgent wait");
                 }
--- a/tests/base_test.cpp
+++ b/tests/base_test.cpp
@@ -15,7 +15,7 @@
 BOOST_AUTO_TEST_CASE(error_table_is_total_and_unique) {
     std::set<std::string_view> names;
     std::size_t index = 0;
-    for (const error_answer& row : error_table()) {
+    for (const error_info& row : error_table()) {
         BOOST_TEST(static_cast<std::size_t>(row.m_kind) == index++);
         BOOST_TEST(names.insert(row.m_name).second);
         BOOST_TEST((error_kind_from_name(row.m_name) == row.m_kind));
@@ -24,7 +24,7 @@
 
 // Guards against retrying a call that may have run.
 BOOST_AUTO_TEST_CASE(only_not_run_kinds_are_retried_elsewhere) {
-    for (const error_answer& row : error_table()) {
+    for (const error_info& row : error_table()) {
         if (row.m_retry_elsewhere) {
             BOOST_TEST((row.m_outcome == outcome::not_run));
         }
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -566,7 +566,7 @@
 
 // Guards against a key that runs twice, and against "not run" for a key that ran.
 BOOST_AUTO_TEST_CASE(no_key_runs_twice_and_refusals_are_true) {
-    const std::uint64_t first = first_seed();
+    const std::uint64_t first = seed_or_default();
     std::uint64_t runs = 0;
     std::uint64_t refusals = 0;
     std::uint64_t held = 0;
@@ -594,7 +594,7 @@
         for (const registrar_selection rule :
              {registrar_selection::losses, registrar_selection::shared_first_start}) {
             std::array<std::uint64_t, 5> sums{};
-            const std::uint64_t first = first_seed();
+            const std::uint64_t first = seed_or_default();
             for (std::uint64_t seed = first; seed < first + 250; ++seed) {
                 claim_simulation world(seed, rule, profile);
                 world.run();
@@ -621,7 +621,7 @@
 // own first-seen times, some keys must run twice.
 BOOST_AUTO_TEST_CASE(own_first_seen_times_run_keys_twice) {
     std::uint64_t ran_twice = 0;
-    const std::uint64_t first = first_seed();
+    const std::uint64_t first = seed_or_default();
     for (std::uint64_t seed = first; seed < first + 50; ++seed) {
         claim_simulation world(seed, registrar_selection::own_first_seen);
         world.run();
@@ -637,7 +637,7 @@
         std::uint64_t unknown = 0;
         std::uint64_t decisions = 0;
         std::uint64_t ran_twice = 0;
-        const std::uint64_t first = first_seed();
+        const std::uint64_t first = seed_or_default();
         for (std::uint64_t seed = first; seed < first + 60; ++seed) {
             claim_simulation world(seed, rule, fault_profile::joins_only);
             world.run();
@@ -659,7 +659,7 @@
 BOOST_AUTO_TEST_CASE(replacements_leave_keys_answerable) {
     std::array<std::uint64_t, 2> unknown{};
     std::uint64_t decisions = 0;
-    const std::uint64_t first = first_seed();
+    const std::uint64_t first = seed_or_default();
     for (std::uint64_t seed = first; seed < first + 100; ++seed) {
         for (const bool losses : {false, true}) {
             const registrar_selection rule =
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -320,7 +320,7 @@
 // Guards against a text that crashes the program or is accepted in part, and against messages that
 // break a log line or a record. CARAWAY_SEED replays a failing run.
 BOOST_AUTO_TEST_CASE(mutated_texts_give_a_mesh_or_faults) {
-    const std::uint64_t seed = given_seed().value_or(std::random_device{}());
+    const std::uint64_t seed = seed_from_environment().value_or(std::random_device{}());
     BOOST_TEST_MESSAGE("CARAWAY_SEED=" << seed);
     random_source random(seed);
     const std::string texts[] = {file_text("examples/nilegrid.toml"),
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -348,7 +348,7 @@
         }
     }
     if (const auto kind = error_kind_from_name(header_of(message, header::reason))) {
-        if (answer_for(*kind).m_name != header_of(message, header::reason)) {
+        if (error_info_for(*kind).m_name != header_of(message, header::reason)) {
             return "a reason read as another";
         }
     }
--- a/tests/observe_test.cpp
+++ b/tests/observe_test.cpp
@@ -18,7 +18,7 @@
 // Guards against a caller's header that breaks the line or forges a second one.
 BOOST_AUTO_TEST_CASE(log_lines_stay_valid_json_with_hostile_values) {
     const std::string hostile = "a\"\n{\"event\":\"forged\"}\xff\x01";
-    const std::string line = captured_log([&hostile] {
+    const std::string line = capture_stdout([&hostile] {
         log_event(log_level::error, "probe",
                   {{"value", hostile}, {"count", 3}, {"sent", true}, {"share", 0.5}});
     });
@@ -33,7 +33,7 @@
 BOOST_AUTO_TEST_CASE(recorded_inputs_are_bounded_and_gaps_are_named) {
     BOOST_TEST(!is_recording());
     log_identity("test", "north", log_level::info); // the gap is a warning
-    const std::string text = captured_log([] {
+    const std::string text = capture_stdout([] {
         start_recording(2);
         for (int i = 0; i < 5; ++i) {
             record_input("lease", "tick", time_point(milliseconds(i)), {{"wanted", true}}, "none");
@@ -52,7 +52,7 @@
 // Guards against a line that exceeds what a pipe takes in one piece.
 BOOST_AUTO_TEST_CASE(long_values_are_cut) {
     const std::string longer(20'000, 'x');
-    const std::string line = captured_log([&longer] {
+    const std::string line = capture_stdout([&longer] {
         log_event(log_level::error, "probe", {{"value", longer}});
     });
     BOOST_TEST(line.size() < 4'096U);
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -35,14 +35,14 @@
 
 // A message with a body under the given number, in which an empty field with the number 2 is
 // repeated.
-std::string repeated_field(char body, std::size_t count) {
+std::string message_with_repeated_field(char body_field, std::size_t count) {
     std::string entries;
     for (std::size_t i = 0; i < count; ++i) {
         entries += std::string("\x12\0", 2);
     }
-    std::string message(1, static_cast<char>(body << 3 | 2));
-    for (std::size_t left = entries.size(); left > 0; left >>= 7U) {
-        message += static_cast<char>((left & 0x7fU) | (left > 0x7fU ? 0x80U : 0U));
+    std::string message(1, static_cast<char>(body_field << 3 | 2));
+    for (std::size_t remaining = entries.size(); remaining > 0; remaining >>= 7U) {
+        message += static_cast<char>((remaining & 0x7fU) | (remaining > 0x7fU ? 0x80U : 0U));
     }
     return message + entries;
 }
@@ -58,10 +58,10 @@
     return text;
 }
 
-ip_endpoint free_endpoint(std::uint16_t offset) {
-    static std::uint16_t next =
+ip_endpoint local_endpoint(std::uint16_t offset) {
+    static std::uint16_t first_port =
         static_cast<std::uint16_t>(31'000 + (hash_bytes(fmt::format("{}", getpid())) % 1'000));
-    return {"127.0.0.1", static_cast<std::uint16_t>(next + offset)};
+    return {"127.0.0.1", static_cast<std::uint16_t>(first_port + offset)};
 }
 
 } // namespace
@@ -71,14 +71,15 @@
 // Guards against a small message that takes gigabytes once decoded: 2 bytes are an empty member.
 BOOST_AUTO_TEST_CASE(messages_with_more_entries_than_a_node_sends_are_refused) {
     error reason;
-    BOOST_TEST(decode_reply(repeated_field(1, max_members), reason).has_value());
-    BOOST_TEST(!decode_reply(repeated_field(1, 4 * max_members), reason).has_value());
+    BOOST_TEST(decode_reply(message_with_repeated_field(1, max_members), reason).has_value());
+    BOOST_TEST(!decode_reply(message_with_repeated_field(1, 4 * max_members), reason).has_value());
     BOOST_TEST((reason.m_kind == error_kind::peer_bad_message));
-    BOOST_TEST(!decode_request(repeated_field(3, 4 * max_members), reason).has_value());
+    BOOST_TEST(
+        !decode_request(message_with_repeated_field(3, 4 * max_members), reason).has_value());
 }
 
 // Guards against a whole member table with all facts being taken for too many entries.
-BOOST_AUTO_TEST_CASE(a_join_reply_at_its_bounds_is_read) {
+BOOST_AUTO_TEST_CASE(join_reply_of_maximum_size_is_decoded) {
     join_reply sent;
     sent.m_members.assign(max_members, sample_member(1));
     sent.m_suspensions.assign(max_facts, {"m", "s", "2", "i", "r", 1});
@@ -120,7 +121,7 @@
 }
 
 // Guards against fragmented datagrams.
-BOOST_AUTO_TEST_CASE(packets_stay_within_the_bound) {
+BOOST_AUTO_TEST_CASE(packets_stay_within_the_size_limit) {
     packet sent;
     for (int i = 0; i < 100; ++i) {
         sent.m_updates.push_back(sample_member(i));
@@ -150,30 +151,30 @@
 // or that is taken for another version's.
 BOOST_AUTO_TEST_CASE(stored_whole_texts_restore_the_text) {
     random_source random(5);
-    std::string noise(1U << 20U, ' ');
-    for (char& each : noise) {
-        each = static_cast<char>(random());
+    std::string incompressible(1U << 20U, ' ');
+    for (char& byte : incompressible) {
+        byte = static_cast<char>(random());
     }
     error reason;
-    for (const std::string& text : {sample_text(-1), noise, std::string("x")}) {
-        const std::string stored = store_whole_text(3, hash_bytes(text), text);
+    for (const std::string& text : {sample_text(-1), incompressible, std::string("x")}) {
+        const std::string stored = encode_whole_text(3, hash_bytes(text), text);
         BOOST_TEST(stored.size() <= text.size());
-        BOOST_TEST((load_whole_text(stored, hash_bytes(text), reason) == text));
-        BOOST_TEST((load_whole_text(text, hash_bytes(text), reason) == text));
-        BOOST_TEST(!load_whole_text(stored, hash_bytes(text) + 1, reason));
+        BOOST_TEST((decode_whole_text(stored, hash_bytes(text), reason) == text));
+        BOOST_TEST((decode_whole_text(text, hash_bytes(text), reason) == text));
+        BOOST_TEST(!decode_whole_text(stored, hash_bytes(text) + 1, reason));
         const auto delta = pack_text(4, hash_bytes(text), text, 3, sample_text(1));
-        BOOST_TEST(!load_whole_text(encode_stored_text(delta), hash_bytes(text), reason));
+        BOOST_TEST(!decode_whole_text(encode_stored_text(delta), hash_bytes(text), reason));
     }
 }
 
 // Guards against a crash on foreign bytes; the seed is fixed so that a failure can be replayed.
-BOOST_AUTO_TEST_CASE(damaged_messages_are_refused_or_decoded) {
+BOOST_AUTO_TEST_CASE(damaged_messages_do_not_crash_the_decoder) {
     random_source random(11);
     join_reply reply;
     reply.m_members = {sample_member(1), sample_member(2)};
-    const std::string good = encode_reply(reply);
+    const std::string valid = encode_reply(reply);
     for (int round = 0; round < 2'000; ++round) {
-        std::string bytes = good;
+        std::string bytes = valid;
         for (int flips = 0; flips < 3; ++flips) {
             bytes[random.below(bytes.size())] = static_cast<char>(random());
         }
@@ -187,34 +188,34 @@
 
 // Guards against lost callbacks: each request gets exactly one, also when the peer is gone or
 // silent, and the transport can be closed with requests under way.
-BOOST_AUTO_TEST_CASE(bulk_requests_are_answered_once) {
+BOOST_AUTO_TEST_CASE(bulk_requests_complete_exactly_once) {
     boost::asio::io_context context;
     const auto work = boost::asio::make_work_guard(context);
     const auto count = [](std::uint64_t, std::uint64_t) {};
     error reason;
     auto server = bulk_transport::open(
-        context, free_endpoint(0),
+        context, local_endpoint(0),
         [](std::string_view request) { return std::string(request) + "!"; }, count, reason);
     BOOST_REQUIRE_MESSAGE(server, reason.m_text);
     auto client = bulk_transport::open(
-        context, free_endpoint(1), [](std::string_view) { return std::string(); }, count, reason);
+        context, local_endpoint(1), [](std::string_view) { return std::string(); }, count, reason);
     BOOST_REQUIRE_MESSAGE(client, reason.m_text);
     int answered = 0;
     int failed = 0;
     for (int i = 0; i < 20; ++i) {
-        client->request(free_endpoint(0), "hello", milliseconds{2'000},
+        client->request(local_endpoint(0), "hello", milliseconds{2'000},
                         [&answered](error_kind kind, std::string_view reply) {
                             answered += kind == error_kind::none && reply == "hello!" ? 1 : 0;
                         });
     }
-    client->request(free_endpoint(2), "nobody", milliseconds{300},
+    client->request(local_endpoint(2), "nobody", milliseconds{300},
                     [&failed](error_kind kind, std::string_view) {
                         failed += kind == error_kind::peer_unreachable ? 1 : 0;
                     });
     context.run_for(milliseconds{1'500});
     BOOST_TEST(answered == 20);
     BOOST_TEST(failed == 1);
-    client->request(free_endpoint(2), "nobody", milliseconds{300},
+    client->request(local_endpoint(2), "nobody", milliseconds{300},
                     [&failed](error_kind, std::string_view) { ++failed; });
     client.reset();
     context.restart();
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -185,7 +185,7 @@
     put.m_value = bytes;
     put.m_if_revision = 0;
     put.m_lease = "77";
-    const store_request request = platform::make_store_codec().m_encode(put);
+    const store_http_request request = platform::make_store_codec().m_encode(put);
     BOOST_TEST(request.m_target == "/api/kv-txn");
     BOOST_TEST(contains(request.m_body, R"("expect":[{"key":"a/b","revision":0}])"));
     BOOST_TEST(contains(request.m_body, R"("value":"YQD/IHo=")"));
@@ -197,7 +197,7 @@
     const auto page = decode(
         op::list, 200,
         R"({"items":[{"key":"a","value":"","revision":3}],"has_more":true,"current_rev":9})");
-    BOOST_TEST(page.m_more);
+    BOOST_TEST(page.m_has_more);
     BOOST_TEST(page.m_revision == 9U);
     const auto events = decode(
         op::watch, 200, R"({"events":[{"key":"a","revision":3,"deleted":true}],"current_rev":3})");
--- a/tests/pushback_test.cpp
+++ b/tests/pushback_test.cpp
@@ -31,7 +31,7 @@
         value.m_refusing = true;
     }
     BOOST_TEST(is_overloaded(candidates));
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     BOOST_TEST(!choose_candidate(candidates, random).has_value());
     candidates[1].m_refusing = false;
     BOOST_TEST(!is_overloaded(candidates));
@@ -86,7 +86,7 @@
 // Guards against refused callers that retry in lockstep, too late although there was time to be
 // answered, or after their deadline.
 BOOST_AUTO_TEST_CASE(refused_callers_return_at_a_useful_time) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     for (int i = 0; i < 1'000; ++i) {
         const duration soon = suggest_retry_delay(error_kind::queue_full, milliseconds(600),
                                                   milliseconds(4'000), random);
--- a/tests/retry_balance_test.cpp
+++ b/tests/retry_balance_test.cpp
@@ -67,7 +67,7 @@
 // Guards against retries that multiply across layers: if every call fails, seven layers that each
 // retry once would make 128 attempts for one call.
 BOOST_AUTO_TEST_CASE(attempts_stay_within_the_budget_seven_layers_deep) {
-    const std::uint64_t first = first_seed();
+    const std::uint64_t first = seed_or_default();
     for (const double bad_share : {0.01, 0.3, 1.0}) {
         call_chain chain{random_source(first), bad_share};
         constexpr std::uint64_t calls = 20'000;
@@ -89,7 +89,7 @@
 // Guards against resending a request that may have run, and against retries that cannot succeed.
 BOOST_AUTO_TEST_CASE(only_safe_and_useful_retries_are_made) {
     const time_point now{};
-    for (const error_answer& row : error_table()) {
+    for (const error_info& row : error_table()) {
         for (const bool idempotent : {false, true}) {
             retry_budget budget;
             attempt failed;
@@ -122,7 +122,7 @@
 // requests that keeps the new version off one route, and against calls that still go to the old
 // version at full weight.
 BOOST_AUTO_TEST_CASE(version_share_is_exact_and_has_no_period) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     for (const std::uint32_t weight : {10U, 40U, 250U, 500U, 900U}) {
         version_share share;
         std::array<int, 25> by_place{};
@@ -148,7 +148,7 @@
 // Guards against one server that receives far more than its share, as happens with a single random
 // choice.
 BOOST_AUTO_TEST_CASE(two_choices_even_out_the_load) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     std::vector<candidate> servers(20, server(true, 0));
     for (int call = 0; call < 2'000; ++call) {
         ++servers[choose_candidate(servers, random).value()].m_outstanding;
@@ -163,7 +163,7 @@
 // Guards against calls that leave the own data centre without need, or that stay while its queues
 // grow.
 BOOST_AUTO_TEST_CASE(own_data_centre_first_until_it_nears_its_queues) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     std::vector<candidate> servers{server(true, 700), server(true, 700), server(false, 0),
                                    server(false, 0)};
     const auto local_share = [&] {
@@ -188,7 +188,7 @@
 // Guards against choosing a server that has an open breaker or was already tried for this call
 // while another is left, and against choosing none while one is left.
 BOOST_AUTO_TEST_CASE(open_breakers_are_the_last_resort) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     std::vector<candidate> servers{server(true, 0), server(false, 900)};
     servers[0].m_breaker_open = true;
     for (int i = 0; i < 50; ++i) {
@@ -251,7 +251,7 @@
 // Guards against equal shares for servers of unequal speed, and against a server that fails part of
 // its calls and attracts more of them because its failures are fast.
 BOOST_AUTO_TEST_CASE(slow_and_failing_servers_get_less) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     std::vector<candidate> candidates(8);
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         candidates[i].m_own_data_centre = true;
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -20,19 +20,19 @@
 namespace caraway {
 
 // The seed in CARAWAY_SEED, which replays a failing run.
-inline std::optional<std::uint64_t> given_seed() {
+inline std::optional<std::uint64_t> seed_from_environment() {
     const char* text = std::getenv("CARAWAY_SEED");
     return text != nullptr ? std::optional(std::strtoull(text, nullptr, 10)) : std::nullopt;
 }
 
 // The given seed, or the same one in every run.
-inline std::uint64_t first_seed() {
-    return given_seed().value_or(1);
+inline std::uint64_t seed_or_default() {
+    return seed_from_environment().value_or(1);
 }
 
 // The seeds of a schedule test: 1 to count, or only the given one.
 inline std::vector<std::uint64_t> schedule_seeds(std::uint64_t count) {
-    if (const auto given = given_seed()) {
+    if (const auto given = seed_from_environment()) {
         return {*given};
     }
     std::vector<std::uint64_t> seeds;
@@ -42,8 +42,8 @@
     return seeds;
 }
 
-inline bool contains(std::string_view text, std::string_view part) {
-    return text.find(part) != std::string_view::npos;
+inline bool contains(std::string_view text, std::string_view substring) {
+    return text.find(substring) != std::string_view::npos;
 }
 
 // The present time of tests of texts and commands.
@@ -51,18 +51,18 @@
 
 // Runs an action with standard output replaced by a pipe and returns what it wrote.
 template <typename Action>
-std::string captured_log(Action action) {
-    std::array<int, 2> ends{};
-    BOOST_REQUIRE(::pipe(ends.data()) == 0);
-    const int saved = ::dup(STDOUT_FILENO);
-    ::dup2(ends[1], STDOUT_FILENO);
-    ::close(ends[1]);
+std::string capture_stdout(Action action) {
+    std::array<int, 2> pipe_ends{};
+    BOOST_REQUIRE(::pipe(pipe_ends.data()) == 0);
+    const int saved_stdout = ::dup(STDOUT_FILENO);
+    ::dup2(pipe_ends[1], STDOUT_FILENO);
+    ::close(pipe_ends[1]);
     action();
-    ::dup2(saved, STDOUT_FILENO);
-    ::close(saved);
+    ::dup2(saved_stdout, STDOUT_FILENO);
+    ::close(saved_stdout);
     std::array<char, 8192> bytes{};
-    const ssize_t size = ::read(ends[0], bytes.data(), bytes.size());
-    ::close(ends[0]);
+    const ssize_t size = ::read(pipe_ends[0], bytes.data(), bytes.size());
+    ::close(pipe_ends[0]);
     return {bytes.data(), static_cast<std::size_t>(size > 0 ? size : 0)};
 }
 
--- a/tests/traffic_test.cpp
+++ b/tests/traffic_test.cpp
@@ -495,7 +495,7 @@
     }
     // Probes are due 1 s after the start and end within another second.
     log_identity("test", "north", log_level::info);
-    const std::string log = captured_log([this] {
+    const std::string log = capture_stdout([this] {
         start();
         std::this_thread::sleep_for(milliseconds(2'500));
     });
--- a/tests/version_move_test.cpp
+++ b/tests/version_move_test.cpp
@@ -61,8 +61,9 @@
 kind_totals simulate(move_kind kind, int runs, const simulation_options& options) {
     kind_totals totals;
     for (int i = 0; i < runs; ++i) {
-        const auto result = simulate_move(kind, move_policy::sequential,
-                                          first_seed() + static_cast<std::uint64_t>(i), options);
+        const auto result =
+            simulate_move(kind, move_policy::sequential,
+                          seed_or_default() + static_cast<std::uint64_t>(i), options);
         totals.m_taken_back += result.m_state == move_state::taken_back ? 1 : 0;
         totals.m_in_time += result.m_in_time ? 1 : 0;
         totals.m_final_writes += static_cast<int>(result.m_final_writes);
@@ -112,7 +113,7 @@
 // Guards against a later defect that is diluted by earlier good intervals: 700 intervals without a
 // defect (a fifth of an hour at one per second) must not delay the verdict.
 BOOST_AUTO_TEST_CASE(later_badness_is_not_diluted) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     const arm_behaviour old_arm{190, 0.002, 20, false};
     move_evidence evidence;
     BOOST_TEST(add_intervals(evidence, 700, old_arm, {10, 0.002, 20, false}, random) == 700);
@@ -127,7 +128,7 @@
 // A server at 1.6 times the usual service time, beside servers of the old version at 0.7 times,
 // judged its version alone.
 BOOST_AUTO_TEST_CASE(a_slow_server_is_not_evidence_of_its_version) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     std::string reason;
     move_evidence own;
     own.m_instances = 6;
@@ -152,7 +153,7 @@
 // Guards against mistaking an overload of both versions, cold calls or one crashed server for a
 // defect of the version.
 BOOST_AUTO_TEST_CASE(overload_cold_start_and_crashes_are_not_evidence) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     move_evidence overload;
     add_intervals(overload, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
     BOOST_TEST(add_intervals(overload, 300, {100, 0.3, 200, false}, {100, 0.3, 200, false},
@@ -184,7 +185,7 @@
 
 // Guards against a route without traffic of the old version whose failures are never evaluated.
 BOOST_AUTO_TEST_CASE(new_routes_are_judged_by_their_failure_share) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     for (const double failure_share : {0.04, 0.4}) {
         move_evidence evidence;
         int intervals = 0;
@@ -205,7 +206,7 @@
 // Guards against a node that can't suspend a version by itself, or that suspends it although the
 // old version is no better or an overload of both can't be distinguished from a defect.
 BOOST_AUTO_TEST_CASE(local_test_suspends_on_own_evidence) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     std::string reason;
     const auto intervals_until_bad = [&](double failure_share, bool with_old, double old_share) {
         move_evidence own;
@@ -233,7 +234,7 @@
 // with too little evidence that is declared done.
 BOOST_AUTO_TEST_CASE(weight_waits_for_every_route_with_traffic) {
     for (const bool served : {false, true}) {
-        random_source random(first_seed());
+        random_source random(seed_or_default());
         move_record record = first_record();
         move_evidence evidence;
         std::uint32_t largest = 0;
@@ -269,7 +270,7 @@
 // Guards against a raise or a wrong verdict when the store becomes available again after the
 // deadline.
 BOOST_AUTO_TEST_CASE(deadline_during_a_store_outage_is_decided_by_the_record) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     for (std::uint32_t stage = 0; stage < stage_weights_permille.size(); ++stage) {
         move_record record = first_record();
         record.m_stage = stage;
@@ -298,7 +299,7 @@
 // and the weight must not fall before it. A write may take effect although the writer sees a
 // failure.
 BOOST_AUTO_TEST_CASE(racing_holders_write_the_final_state_once) {
-    const std::uint64_t first = first_seed();
+    const std::uint64_t first = seed_or_default();
     for (std::uint64_t seed = first; seed < first + 300; ++seed) {
         random_source random(seed);
         struct holder {
@@ -395,7 +396,7 @@
 // Guards against rolling back a good version whose move runs late because a route with a third of a
 // small service's calls had 3 calls at 40 permille.
 BOOST_AUTO_TEST_CASE(few_calls_at_a_small_weight_do_not_hold_up_a_move) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     move_evidence evidence;
     for (int i = 0; i < 10; ++i) {
         const double new_calls = i < 3 ? 1 : 0;
@@ -414,7 +415,7 @@
 // failed, with the old version too: 4 of 4 failed at one restarted node, which had no old calls to
 // compare with.
 BOOST_AUTO_TEST_CASE(routes_that_always_failed_are_not_evidence) {
-    random_source random(first_seed());
+    random_source random(seed_or_default());
     move_evidence holder;
     add_intervals(holder, 20, {10, 1, 20, false}, {1, 1, 20, false}, random);
     begin_stage(holder);
