--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -1,4 +1,4 @@
-// The clock interface. Programs pass the system clock; tests pass one that they advance.
+// Clock interface. Programs use the system clock; tests and replays use a manual clock.
 #pragma once
 
 #include <chrono>
@@ -11,8 +11,8 @@
 using duration = std::chrono::steady_clock::duration;
 using std::chrono::milliseconds;
 
-// Source of the current time. Decision functions take the time itself as a parameter; only the
-// adapters around them hold a clock.
+// Source of the current time. Decision functions get the time as a parameter; only the adapters
+// that call them hold a clock.
 class clock_source {
 public:
     clock_source() = default;
@@ -22,13 +22,14 @@
     clock_source& operator=(clock_source&&) = delete;
     virtual ~clock_source() = default;
 
-    // Monotonic time, for every interval and timeout.
+    // Returns monotonic time, used for all intervals and timeouts.
     virtual time_point now() const = 0;
-    // Wall-clock time, for move deadlines, log lines and the x-caraway-first-sent header only.
+    // Returns wall-clock time. Used only for move deadlines, log lines and the x-caraway-first-sent
+    // header.
     virtual wall_time wall_now() const = 0;
 };
 
-// The machine's clocks.
+// Reads the clocks of the operating system.
 class system_clock_source final : public clock_source {
 public:
     time_point now() const override { return std::chrono::steady_clock::now(); }
@@ -49,12 +50,12 @@
     wall_time m_wall_start{std::chrono::seconds{1'800'000'000}};
 };
 
-// Milliseconds since the Unix epoch.
+// Returns the milliseconds since the Unix epoch.
 inline std::int64_t unix_ms(wall_time at) {
     return std::chrono::duration_cast<milliseconds>(at.time_since_epoch()).count();
 }
 
-// Nanoseconds of a duration.
+// Converts a duration to nanoseconds.
 inline std::int64_t to_ns(duration value) {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(value).count();
 }
--- a/src/base/dead_peer.cpp
+++ b/src/base/dead_peer.cpp
@@ -7,13 +7,14 @@
 namespace caraway {
 namespace {
 
+// Together these end a connection about 3 s after the peer stops answering: by keepalive probes
+// while it is idle, by the user timeout while sent data is unacknowledged.
 constexpr int idle_before_probe_s = 1;
 constexpr int probe_interval_s = 1;
 constexpr int max_unanswered_probes = 2;
 constexpr unsigned user_timeout_ms = 3'000;
 
-// Without these options a dead connection is only noticed later, so a failure to set one is no
-// error of the connection.
+// Ignores errors: without these options a dead connection is only detected later.
 void set_socket_option(int socket, int level, int name, int value) {
     static_cast<void>(::setsockopt(socket, level, name, &value, sizeof(value)));
 }
--- a/src/base/dead_peer.hpp
+++ b/src/base/dead_peer.hpp
@@ -1,10 +1,12 @@
-// Detection of dead TCP connections: one whose other side lost power or was cut off resets nothing.
+// Detection of dead TCP connections. A peer that lost power or was cut off from the network sends
+// no reset.
 #pragma once
 
 namespace caraway {
 
-// Has the kernel probe the connection while it is silent, and end it about 3 s after the other side
-// stopped to answer, be it probes or sent bytes. The descriptor is that of a connected TCP socket.
+// Enables TCP keepalive and a user timeout, so that the kernel ends the connection about 3 s after
+// the peer stops acknowledging probes or data. socket is the descriptor of a connected TCP socket.
+// Errors are ignored.
 void detect_dead_peer(int socket);
 
 } // namespace caraway
--- a/src/base/error.hpp
+++ b/src/base/error.hpp
@@ -1,4 +1,4 @@
-// The closed list of error kinds and the one table that maps a kind to the answer it causes.
+// All error kinds, and the table of the properties of each kind.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,15 @@
 
 namespace caraway {
 
-// Every way in which an operation of the system can fail. New kinds need a row in the table of
-// error.cpp; a test checks that each kind has one.
+// Kind of an error. A new kind needs a row in the table of error.cpp; a test checks that each kind
+// has one.
 enum class error_kind : std::uint8_t {
     none,
-    // Operators' text, settings and command line.
+    // Configuration text, settings and command line.
     invalid_text,
     invalid_settings,
     usage,
-    // The store.
+    // Store.
     store_unreachable,
     store_conflict,
     store_throttled,
@@ -61,29 +61,29 @@
 
 // What a caller can conclude about its request.
 enum class outcome : std::uint8_t {
-    answered, // the backend server's whole answer
+    answered, // the backend server's complete answer was received
     not_run,  // no byte of the request reached a backend server
     unknown,  // the request may have run
     deadline, // the deadline passed before the request was sent; it did not run
 };
 
-// One row of the table from error kind to answer.
+// Properties of an error kind.
 struct error_info {
     error_kind m_kind{};
     std::string_view m_name;    // stable name in logs and in the x-caraway-reason header
-    outcome m_outcome{};        // what the caller is told
-    std::uint16_t m_status{};   // HTTP status towards the caller
+    outcome m_outcome{};        // value of the x-caraway-outcome header
+    std::uint16_t m_status{};   // HTTP status of the answer to the caller
     bool m_retry_elsewhere{};   // another backend server may succeed at once
     std::uint8_t m_exit_code{}; // exit code of command-line tools
 };
 
-// Returns the row for a kind; the table is total over error_kind.
+// Returns the properties of a kind. Every error_kind has a row.
 const error_info& error_info_for(error_kind kind);
 
 // Returns the whole table, in the order of the enumeration.
 std::span<const error_info> error_table();
 
-// Returns the kind whose stable name is given, or nothing if there is none.
+// Returns the kind with the given stable name, or nothing if there is none.
 std::optional<error_kind> error_kind_from_name(std::string_view name);
 
 // Returns the value of the x-caraway-outcome header for an outcome.
@@ -92,13 +92,14 @@
 // Returns the outcome with the given header value, or nothing if there is none.
 std::optional<outcome> outcome_from_name(std::string_view name);
 
-// The reason that accompanies an empty std::optional: kind for the program, text for a person.
+// Reason of a failure, set when a function returns an empty std::optional. m_kind is for the
+// program, m_text for a person.
 struct error {
     error_kind m_kind = error_kind::none;
     std::string m_text;
 };
 
-// Fills reason and returns std::nullopt, so that a failing function ends in one line.
+// Sets reason and returns std::nullopt, so that a function can fail in one statement.
 std::nullopt_t fail(error& reason, error_kind kind, std::string_view text);
 
 } // namespace caraway
--- a/src/base/hash.hpp
+++ b/src/base/hash.hpp
@@ -1,4 +1,4 @@
-// Content and rendezvous hashes by xxHash.
+// Content hashes and rendezvous hashing with xxHash.
 #pragma once
 
 #include <cstdint>
@@ -6,10 +6,11 @@
 
 namespace caraway {
 
-// 64-bit XXH3 hash of the bytes, with a seed.
+// Returns the seeded 64-bit XXH3 hash of the bytes.
 std::uint64_t hash_bytes(std::string_view bytes, std::uint64_t seed = 0);
 
-// Rendezvous weight of a node for a key: the nodes with the highest weights own the key.
+// Returns the rendezvous weight of a node for a key. The nodes with the highest weights own the
+// key.
 std::uint64_t rendezvous_weight(std::string_view key, std::string_view node);
 
 } // namespace caraway
--- a/src/base/random.hpp
+++ b/src/base/random.hpp
@@ -1,4 +1,4 @@
-// A small seeded generator, so that every decision can be replayed from its seed.
+// Seeded random number generator, so that every decision can be replayed from its seed.
 #pragma once
 
 #include <cstdint>
@@ -6,8 +6,8 @@
 
 namespace caraway {
 
-// SplitMix64 generator. Satisfies the standard's uniform random bit generator requirements; the
-// same seed gives the same sequence on every platform.
+// SplitMix64 generator. Meets the requirements of std::uniform_random_bit_generator; the same seed
+// produces the same sequence on every platform.
 class random_source {
 public:
     using result_type = std::uint64_t;
@@ -25,11 +25,11 @@
         return z ^ (z >> 31U);
     }
 
-    // Uniform integer below bound; 0 when bound is 0. The modulo bias is below 2^-40 for the
-    // table sizes used here.
+    // Returns a uniform integer below bound, or 0 if bound is 0. The modulo bias is below 2^-40 for
+    // the table sizes used here.
     std::uint64_t below(std::uint64_t bound) { return bound == 0 ? 0 : (*this)() % bound; }
 
-    // Uniform real number in [0, 1).
+    // Returns a uniform real number in [0, 1).
     double unit() { return static_cast<double>((*this)() >> 11U) * 0x1.0p-53; }
 
 private:
--- a/src/peer/transport.cpp
+++ b/src/peer/transport.cpp
@@ -19,14 +19,16 @@
 namespace asio = boost::asio;
 using asio::ip::udp;
 
-// Receive buffer of the UDP socket: a burst of rumours from the whole fanout must not be dropped.
+// Receive buffer of the UDP socket, large enough for a burst of rumours from all peers that gossip
+// to this node.
 constexpr int udp_receive_buffer_bytes = 1 << 20;
-// Requests that are served at the same time; the control thread computes replies one by one.
+// Maximum number of requests accepted at the same time. The control thread computes the replies one
+// after the other.
 constexpr std::size_t max_concurrent_requests_served = 16;
-// Largest bulk message: a join reply with 14,000 members is below 3 MiB.
+// Maximum size of a bulk message. A join reply with 14,000 members is below 3 MiB.
 constexpr std::size_t max_bulk_bytes = 8U << 20U;
 
-// A source address stands before the remote one, see nng_tcp(7).
+// Returns the nng URL of an endpoint. A source address precedes the remote address, see nng_tcp(7).
 std::string nng_url(const ip_endpoint& endpoint, std::string_view source_address = {}) {
     return fmt::format("tcp://{}{}{}", source_address, source_address.empty() ? "" : ";",
                        format_endpoint(endpoint));
@@ -124,7 +126,8 @@
     m_impl->send(to, bytes);
 }
 
-// nng runs its own threads. Their callbacks only move the message and post to the control thread.
+// nng calls back on its own threads. These callbacks only copy or move the message and post the
+// rest of the work to the control thread.
 class bulk_transport::impl : public std::enable_shared_from_this<bulk_transport::impl> {
 public:
     impl(asio::io_context& context, handler on_request, byte_counter count_bytes,
@@ -136,7 +139,7 @@
     impl(impl&&) = delete;
     impl& operator=(impl&&) = delete;
 
-    // Closing the socket ends every receive; freeing an aio waits for its callback.
+    // Closing the socket ends every receive. Freeing an aio waits for its callback.
     ~impl() {
         nng_close(m_server_socket);
         for (const auto& slot : m_slots) {
@@ -184,8 +187,8 @@
         int status = nng_req0_open(&pending->m_socket);
         if (status == 0) {
             nng_socket_set_size(pending->m_socket, NNG_OPT_RECVMAXSZ, max_bulk_bytes);
-            // The protocol would send the request again on a new connection by itself; retries
-            // are this system's own decision.
+            // By default nng sends the request again on a new connection. That is turned off, since
+            // the callers decide about retries.
             nng_socket_set_ms(pending->m_socket, NNG_OPT_REQ_RESENDTIME, NNG_DURATION_INFINITE);
             status = nng_aio_alloc(&pending->m_aio, &impl::on_client_event, pending.get());
         }
@@ -214,7 +217,7 @@
         pending->m_done = std::move(done);
         nng_aio_set_timeout(pending->m_aio, static_cast<nng_duration>(timeout.count()));
         nng_aio_set_msg(pending->m_aio, message);
-        pending_request* raw = pending.release(); // owned by its callbacks until it is finished
+        pending_request* raw = pending.release(); // owned by its callbacks until finish()
         nng_send_aio(raw->m_socket, raw->m_aio);
     }
 
@@ -238,7 +241,7 @@
         std::string m_reply;
     };
 
-    // Runs on an nng thread: a request arrived or a reply was sent.
+    // Runs on an nng thread after a request was received or a reply was sent.
     static void on_server_event(void* argument) {
         auto* slot = static_cast<serving_slot*>(argument);
         const int status = nng_aio_result(slot->m_aio);
@@ -258,7 +261,7 @@
                                               message] { serve(weak_owner, slot, message); });
     }
 
-    // Runs on the control thread.
+    // Computes and sends the reply to a request. Runs on the control thread.
     static void serve(const std::weak_ptr<impl>& weak_owner, serving_slot* slot, nng_msg* message) {
         const auto self = weak_owner.lock();
         if (!self) {
@@ -276,7 +279,7 @@
         nng_ctx_send(slot->m_context, slot->m_aio);
     }
 
-    // Runs on an nng thread: the request was sent, the reply came, or either failed.
+    // Runs on an nng thread after the request was sent, the reply was received, or either failed.
     static void on_client_event(void* argument) {
         auto* pending = static_cast<pending_request*>(argument);
         const int status = nng_aio_result(pending->m_aio);
@@ -302,7 +305,8 @@
         asio::post(*pending->m_context, [pending] { finish(pending); });
     }
 
-    // Runs on the control thread, after the last nng callback of the request.
+    // Reports the result of a request and frees it. Runs on the control thread after the last nng
+    // callback of the request.
     static void finish(pending_request* raw) {
         const std::unique_ptr<pending_request> pending(raw);
         nng_close(pending->m_socket);
--- a/src/peer/transport.hpp
+++ b/src/peer/transport.hpp
@@ -1,5 +1,5 @@
-// Transports between nodes on the control thread: UDP datagrams for probes and rumours, nng
-// request/reply for bulk messages.
+// Transports between nodes: UDP datagrams for probes and rumours, nng request/reply for bulk
+// messages. All functions and callbacks run on the control thread.
 #pragma once
 
 #include <cstdint>
@@ -19,15 +19,16 @@
 
 namespace caraway {
 
-// Told of control bytes: sent, received.
+// Receives the number of bytes sent and received, in this order, after each transfer.
 using byte_counter = std::function<void(std::uint64_t, std::uint64_t)>;
 
-// A UDP socket for packets.
+// UDP socket for encoded packets. Reports each received datagram to its receiver.
 class datagram_socket {
 public:
+    // Receives the bytes of each datagram and the address of its sender.
     using receiver = std::function<void(const ip_endpoint& from, std::string_view bytes)>;
 
-    // Binds the socket and starts receiving. Fails with invalid_settings when it can't be bound.
+    // Binds the socket and starts receiving. Fails with invalid_settings if binding fails.
     static std::unique_ptr<datagram_socket> open(boost::asio::io_context& context,
                                                  const ip_endpoint& listen, receiver on_packet,
                                                  byte_counter count_bytes, error& reason);
@@ -37,7 +38,8 @@
     datagram_socket& operator=(datagram_socket&&) = delete;
     ~datagram_socket();
 
-    // Sends without waiting; a datagram that the system can't take at once is lost.
+    // Sends a datagram without blocking. The datagram is lost if the kernel can't accept it at
+    // once.
     void send(const ip_endpoint& to, std::string_view bytes);
 
 private:
@@ -46,15 +48,17 @@
     std::shared_ptr<impl> m_impl;
 };
 
-// Serves bulk requests and sends them to peers.
+// Serves bulk requests of peers and sends bulk requests to them.
 class bulk_transport {
 public:
-    // Computes the reply to a request; runs on the control thread.
+    // Returns the encoded reply to an encoded request.
     using handler = std::function<std::string(std::string_view request)>;
-    // kind is none on success; peer_unreachable on timeout or connection failure.
+    // Receives the result of a request: kind is none on success, peer_unreachable on a timeout or
+    // connection failure, or peer_busy.
     using callback = std::function<void(error_kind kind, std::string_view reply)>;
 
-    // source is the local IP address of outgoing connections; empty: the system chooses.
+    // Listens for requests. source_address is the local IP address of outgoing connections; the
+    // kernel chooses one if it is empty. Fails with invalid_settings if listening fails.
     static std::unique_ptr<bulk_transport> open(boost::asio::io_context& context,
                                                 const ip_endpoint& listen, handler on_request,
                                                 byte_counter count_bytes, error& reason,
@@ -65,9 +69,9 @@
     bulk_transport& operator=(bulk_transport&&) = delete;
     ~bulk_transport();
 
-    // Sends one request over a connection of its own, closed after the reply: peers are many and
-    // exchanges rare, so kept connections would grow with the fleet. At most max_pending_requests
-    // are under way; above that the callback gets peer_busy.
+    // Sends one request over its own connection, which is closed after the reply: a node has many
+    // peers and few exchanges, so kept connections would grow with the number of nodes. Calls done
+    // with peer_busy at once if max_pending_requests are in progress.
     void request(const ip_endpoint& to, std::string_view bytes, milliseconds timeout,
                  callback done);
 
@@ -77,7 +81,7 @@
     std::shared_ptr<impl> m_impl;
 };
 
-// Requests of one node under way at a time.
+// Maximum number of outgoing requests of one node in progress at the same time.
 constexpr std::size_t max_pending_requests = 64;
 
 } // namespace caraway
--- a/src/peer/wire.cpp
+++ b/src/peer/wire.cpp
@@ -20,28 +20,29 @@
 
 namespace ip = boost::asio::ip;
 
-// zstd level of texts on the wire.
+// zstd level of configuration texts. Level 3 compresses a megabyte in well below 10 ms.
 constexpr int compression_level = 3;
-// Window large enough that the whole base text (up to 1 MiB) can be referred to.
+// Largest zstd window, which covers the whole base text (up to 1 MiB).
 constexpr int max_window_log = 21;
-constexpr int min_window_log = 10; // of zstd
+constexpr int min_window_log = 10; // smallest window log that zstd accepts
 
-// Most repeated entries of one bulk message: a whole member table with all facts. An empty member
-// takes 2 bytes on the wire and some 500 in memory, so the message's size limit alone would let one
-// message of 8 MiB take 2 GB. Members and facts count twice, see count_entries.
+// Upper bound of the repeated entries in one bulk message: a whole member table with all facts. An
+// empty member takes 2 bytes on the wire and about 500 in memory, so with only the size limit of 8
+// MiB one message could allocate 2 GB. Members and facts count twice, see count_repeated_entries.
 constexpr std::size_t max_repeated_entries = 2 * (max_members + max_facts) + 64;
 
-// Protobuf prints to standard error when a peer's message is damaged; the log there is JSON lines,
-// and the adapter reports the damage itself.
+// Protobuf logs damaged messages to standard error, where the log holds JSON lines only. The
+// handler is removed, since the caller reports the damage.
 [[maybe_unused]] const auto previous_log_handler = google::protobuf::SetLogHandler(nullptr);
 
-// The value of an enumeration; numbers of newer nodes above the last known value count as that one.
+// Converts a number to an enumeration. Numbers above the last known value, which newer nodes may
+// send, become that value.
 template <typename Enum>
 Enum clamp_to_enum(std::uint32_t from, Enum last) {
     return static_cast<Enum>(std::min(from, static_cast<std::uint32_t>(last)));
 }
 
-// Addresses travel as their 4 or 16 bytes; anything else is an empty address.
+// Writes an address as its 4 or 16 bytes. An address that can't be parsed is left empty.
 void endpoint_to_wire(wire::Endpoint& to, const ip_endpoint& from) {
     const auto set_bytes = [&to](const auto& bytes) { to.set_address(bytes.data(), bytes.size()); };
     boost::system::error_code ec;
@@ -54,7 +55,7 @@
     to.set_port(from.m_port);
 }
 
-// The text of an address of this kind, if the bytes are one.
+// Formats a binary address as text. Returns nothing if the size doesn't match the address type.
 template <typename Address>
 std::optional<std::string> format_address_bytes(std::string_view bytes_of_address) {
     typename Address::bytes_type bytes{};
@@ -73,6 +74,7 @@
     return {address.value_or(""), static_cast<std::uint16_t>(from.port())};
 }
 
+// The overloads of to_wire and from_wire convert between the types of this project and Protobuf.
 void to_wire(wire::Member& to, const member& from) {
     to.set_instance(from.m_instance);
     to.set_incarnation(from.m_incarnation);
@@ -169,7 +171,7 @@
     return {from.version(), from.hash(), from.base_version(), from.size(), from.compressed()};
 }
 
-// Sets the text of a reply, if there is one.
+// Writes the configuration text of a reply if there is one.
 template <typename Body>
 void config_to_wire(Body& to, const std::optional<packed_text>& from) {
     if (from) {
@@ -182,7 +184,7 @@
     return from.has_config() ? std::optional(from_wire(from.config())) : std::nullopt;
 }
 
-// Adds every value of a range to a repeated field of messages.
+// Appends every value of a range to a repeated field of messages.
 template <typename Range, typename Field>
 void add_messages(Field& to, const Range& from) {
     for (const auto& value : from) {
@@ -190,7 +192,7 @@
     }
 }
 
-// The same for a repeated field of numbers or strings.
+// Appends every value of a range to a repeated field of numbers or strings.
 template <typename Range, typename Field>
 void add_scalars(Field& to, const Range& from) {
     to.Add(from.begin(), from.end());
@@ -217,7 +219,7 @@
     body.set_want_version(from.m_want_version);
 }
 
-// Facts are the same fields in a packet, a join reply and an exchange.
+// Writes facts. Packets, join replies and fact exchanges have the same fields for them.
 template <typename Body>
 void facts_to_wire(Body& to, const std::vector<suspension>& suspensions,
                    const std::vector<move_record>& records) {
@@ -302,9 +304,9 @@
     to.set_error(static_cast<std::uint32_t>(from));
 }
 
-// Adds up the fields of the bodies of a bulk message, and within these the texts and messages with
-// the numbers 1 and 2: the repeated fields of Facts, but also the names of members and routes.
-// Stops at malformed bytes, which the parser refuses.
+// Counts the fields of the bodies of a bulk message and, one level below, the length-delimited
+// fields with the numbers 1 and 2. These are the repeated fields of Facts, but also the names of
+// members and routes. Stops at malformed bytes, which the parser rejects.
 std::size_t count_repeated_entries(std::string_view bytes, int depth = 0) {
     using wire_format = google::protobuf::internal::WireFormatLite;
     google::protobuf::io::CodedInputStream in(reinterpret_cast<const std::uint8_t*>(bytes.data()),
@@ -335,15 +337,15 @@
     return entries;
 }
 
-// Parses a bulk message unless it holds more entries than any node sends.
+// Parses a bulk message. Fails if it holds more entries than any node sends.
 template <typename Message>
 bool parse_bulk(Message& in, std::string_view bytes) {
     return count_repeated_entries(bytes) <= max_repeated_entries &&
            in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
 }
 
-// The store's records are checked when they are read; those from peers must keep to the same
-// bounds, since a weight above 1000 would send every call to the new version.
+// Checks the bounds of move records from peers. Records from the store are checked when they are
+// read; a weight above 1000 from a peer would send every call to the new version.
 bool are_records_in_bounds(const std::vector<move_record>& records) {
     return std::all_of(records.begin(), records.end(), [](const move_record& record) {
         return record.m_stage < stage_weights_permille.size() &&
@@ -394,11 +396,11 @@
     return out.SerializeAsString();
 }
 
-// Passes on a body with facts unless one of its records is impossible.
+// Returns the body, or fails if one of its move records is out of bounds.
 template <typename Body>
 std::optional<Body> reject_invalid_records(Body body, error& reason) {
     if (!are_records_in_bounds(body.m_records)) {
-        return fail(reason, error_kind::peer_bad_message, "impossible move record");
+        return fail(reason, error_kind::peer_bad_message, "move record out of bounds");
     }
     return body;
 }
@@ -442,7 +444,7 @@
     out.m_suspensions = std::move(facts.m_suspensions);
     out.m_records = std::move(facts.m_records);
     if (!are_records_in_bounds(out.m_records)) {
-        return fail(reason, error_kind::peer_bad_message, "impossible move record");
+        return fail(reason, error_kind::peer_bad_message, "move record out of bounds");
     }
     return out;
 }
@@ -476,14 +478,15 @@
     case wire::Request::kInForce: {
         const auto& body = in.in_force();
         if (static_cast<std::size_t>(body.missing_size()) > max_missing_names) {
-            return fail(reason, error_kind::peer_bad_message, "too many missing names");
+            return fail(reason, error_kind::peer_bad_message,
+                        "too many names of missing instances");
         }
         return in_force_request{body.data_centre(), body.shard(),
                                 body.version(),     body.in_force(),
                                 body.members(),     {body.missing().begin(), body.missing().end()}};
     }
     default:
-        return fail(reason, error_kind::peer_bad_message, "unknown request");
+        return fail(reason, error_kind::peer_bad_message, "unknown request type");
     }
 }
 
@@ -515,7 +518,7 @@
     case wire::Reply::kError:
         return clamp_to_enum(in.error(), error_kind::internal);
     default:
-        return fail(reason, error_kind::peer_bad_message, "unknown reply");
+        return fail(reason, error_kind::peer_bad_message, "unknown reply type");
     }
 }
 
@@ -555,7 +558,8 @@
         ZSTD_decompressDCtx(context.get(), text.data(), text.size(), packed.m_compressed.data(),
                             packed.m_compressed.size());
     if (ZSTD_isError(size) != 0U || size != text.size() || hash_bytes(text) != packed.m_hash) {
-        return fail(reason, error_kind::peer_bad_message, "damaged text");
+        return fail(reason, error_kind::peer_bad_message,
+                    "damaged frame or another hash than expected");
     }
     return text;
 }
@@ -568,7 +572,7 @@
     auto reply = decode_reply(value, reason);
     auto* fetched = reply ? std::get_if<fetch_config_reply>(&*reply) : nullptr;
     if (fetched == nullptr || !fetched->m_config) {
-        return fail(reason, error_kind::peer_bad_message, "not a stored text");
+        return fail(reason, error_kind::peer_bad_message, "malformed stored text");
     }
     return std::move(fetched->m_config);
 }
@@ -576,7 +580,8 @@
 std::string encode_whole_text(std::uint64_t version, std::uint64_t hash, std::string_view text) {
     std::string stored = encode_stored_text(pack_text(version, hash, text, 0, {}));
     error reason;
-    // Restored once, since no other copy remains when every node restarts.
+    // The result is decoded once as a check, since the store has the only copy when every node
+    // restarts.
     if (stored.size() >= text.size() || !decode_whole_text(stored, hash, reason)) {
         return std::string(text);
     }
@@ -593,7 +598,8 @@
         return std::nullopt;
     }
     if (packed->m_base_version != 0 || packed->m_hash != hash) {
-        return fail(reason, error_kind::peer_bad_message, "not the text asked for");
+        return fail(reason, error_kind::peer_bad_message,
+                    "stored text is a delta or has another hash");
     }
     return unpack_text(*packed, {}, reason);
 }
--- a/src/peer/wire.hpp
+++ b/src/peer/wire.hpp
@@ -1,5 +1,5 @@
-// Typed bulk messages between nodes and the codec for them and for UDP packets. Protobuf stays
-// behind wire.cpp; unknown fields of newer nodes are skipped.
+// Types of the bulk messages between nodes, and the encoding of these and of UDP packets. Only
+// wire.cpp uses Protobuf. Unknown fields, which newer nodes send, are skipped.
 #pragma once
 
 #include <cstdint>
@@ -16,100 +16,119 @@
 
 namespace caraway {
 
-// A configuration text on its way: a zstd frame of the whole text, or of its difference from
-// m_base_version.
+// A compressed configuration text: a zstd frame of the whole text, or of its difference from the
+// text of m_base_version.
 struct packed_text {
     std::uint64_t m_version = 0;
     std::uint64_t m_hash = 0;
-    std::uint64_t m_base_version = 0; // 0: the whole text
-    std::uint64_t m_size = 0;         // of the unpacked text in bytes
+    std::uint64_t m_base_version = 0; // 0 if m_compressed holds the whole text
+    std::uint64_t m_size = 0;         // size of the decompressed text in bytes
     std::string m_compressed;
 };
 
+// Asks a member for its view of the mesh on behalf of a starting node.
 struct join_request {
     member m_self;
 };
+// Answers a join: the members, the configuration and the facts that the peer knows, or the time
+// after which the node may ask again.
 struct join_reply {
-    milliseconds m_retry_after{0}; // not 0: refused
+    milliseconds m_retry_after{0}; // 0 if the join was accepted
     std::vector<member> m_members;
     std::optional<packed_text> m_config;
     std::vector<suspension> m_suspensions;
     std::vector<move_record> m_records;
     std::uint64_t m_predecessor_version = 0;
 };
+// Asks a peer for a configuration text of at least m_want_version. m_have_version is the version
+// that the requester holds.
 struct fetch_config_request {
     std::string m_instance;
     std::uint64_t m_have_version = 0;
-    std::uint64_t m_want_version = 0; // at least this one
+    std::uint64_t m_want_version = 0; // lowest version that answers the request
 };
+// Answers a fetch_config_request.
 struct fetch_config_reply {
-    std::optional<packed_text> m_config; // nothing when the peer holds no version that high
+    std::optional<packed_text> m_config; // empty if the peer holds no version that high
 };
-// Both sides send all their facts, so that one exchange makes them equal.
+// All facts about version moves that a node knows. Requester and responder both send theirs, so
+// that one exchange makes them equal.
 struct facts_message {
     std::vector<suspension> m_suspensions;
     std::vector<move_record> m_records;
 };
+// Compares member tables by a hash of each bucket.
 struct members_digest_request {
     std::string m_instance;
     std::vector<std::uint64_t> m_bucket_hashes;
 };
+// Indexes of the buckets with differing hashes, and the responder's members in these buckets.
 struct members_digest_reply {
     std::vector<std::uint32_t> m_differing_buckets;
     std::vector<member> m_members;
 };
+// Members for the receiver to merge into its table.
 struct merge_members_request {
     std::vector<member> m_members;
 };
-// Version count of one shard of a data centre's members, sent to the global collector.
+// Number of members of one shard of a data centre that have a version in force. Sent to the global
+// collector.
 struct in_force_request {
     std::string m_data_centre;
     std::uint32_t m_shard = 0;
     std::uint64_t m_version = 0;
     std::uint32_t m_in_force = 0;
     std::uint32_t m_members = 0;
-    std::vector<std::string> m_missing; // at most max_missing_names
+    std::vector<std::string> m_missing; // at most max_missing_names instances
 };
+// Acknowledges a request that has no other reply.
 struct ack_reply {};
 
 using bulk_request =
     std::variant<join_request, fetch_config_request, facts_message, members_digest_request,
                  merge_members_request, evidence_report, in_force_request>;
-// The reply to an evidence report is the sum of the old version's reports of the last interval.
+// Reply to a bulk request. The reply to an evidence report is the sum of the old version's reports
+// of the last interval.
 using bulk_reply = std::variant<ack_reply, join_reply, fetch_config_reply, facts_message,
                                 members_digest_reply, evidence_report, error_kind>;
 
-// Encodes a packet; drops trailing updates until it fits max_packet_bytes.
+// Encodes a packet. Removes trailing updates until it fits max_packet_bytes.
 std::string encode_packet(const packet& value);
+// Decodes a packet. Fails with peer_bad_message if it is malformed.
 std::optional<packet> decode_packet(std::string_view bytes, error& reason);
 
+// Encodes and decodes bulk requests. Decoding fails with peer_bad_message if the request is
+// malformed or holds more entries than any node sends.
 std::string encode_request(const bulk_request& value);
 std::optional<bulk_request> decode_request(std::string_view bytes, error& reason);
 
+// Encodes and decodes bulk replies. Decoding fails as for requests.
 std::string encode_reply(const bulk_reply& value);
 std::optional<bulk_reply> decode_reply(std::string_view bytes, error& reason);
 
-// Compresses a text, as the difference from base when base is not empty. Level 3 keeps a megabyte
-// well below 10 ms; a small change of it takes a few hundred bytes.
+// Compresses a text. If base is not empty, encodes only the difference from it. Compressing a
+// megabyte takes well below 10 ms at the zstd level used; a small change of it takes a few hundred
+// bytes.
 packed_text pack_text(std::uint64_t version, std::uint64_t hash, std::string_view text,
                       std::uint64_t base_version, std::string_view base);
 
-// Restores the text. Fails with peer_bad_message when the frame is damaged, the size is above
-// max_text_bytes, or the hash differs.
+// Decompresses a text; base must be the text of m_base_version. Fails with peer_bad_message if the
+// frame is damaged, the size is above max_text_bytes or the hash differs.
 std::optional<std::string> unpack_text(const packed_text& packed, std::string_view base,
                                        error& reason);
 
-// The form in which the store keeps a packed text: whole accepted texts, deltas of accepted texts,
-// and the difference of a submitted text.
+// Encodes a compressed text as the store holds it. Used for whole accepted texts, deltas of
+// accepted texts and the difference of a submitted text.
 std::string encode_stored_text(packed_text packed);
+// Decodes the result of encode_stored_text. Fails with peer_bad_message if it is malformed.
 std::optional<packed_text> decode_stored_text(std::string_view value, error& reason);
 
-// The stored form of a whole text. The text itself when packing doesn't make it smaller, since the
-// store takes values only up to the size that a text may have.
+// Encodes a whole text as the store holds it. Returns the text itself if compression doesn't make
+// it smaller, since the store accepts values only up to the maximum size of a text.
 std::string encode_whole_text(std::uint64_t version, std::uint64_t hash, std::string_view text);
 
-// Restores a whole text from the stored form or from the text itself. Fails with peer_bad_message
-// as unpack_text does, and when the text has another hash.
+// Decodes a whole text from its stored form or from the plain text. Fails with peer_bad_message if
+// unpack_text does or if the hash of the text differs from hash.
 std::optional<std::string> decode_whole_text(std::string_view value, std::uint64_t hash,
                                              error& reason);
 
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -18,22 +18,23 @@
 namespace http = beast::http;
 using tcp = asio::ip::tcp;
 
-// Idle connections kept for the next call. A node has a few calls under way at most: watches,
-// lease renewals and one write.
+// Maximum number of idle connections kept for later calls. A node has only a few calls in progress:
+// watches, lease renewals and one write.
 constexpr std::size_t max_idle_connections = 4;
-// Largest reply body: a list of 100 verdicts, or one value of a megabyte as escaped JSON.
+// Maximum size of a reply body: a list of 100 verdicts, or one value of a megabyte as escaped JSON.
 constexpr std::size_t max_reply_bytes = 8U << 20U;
-// A waiting watch may take this much longer than the wait that it asked for.
+// Time that a watch may take in addition to the wait in its request.
 constexpr milliseconds watch_timeout_margin{2'000};
 
-// One store call: the command and how long it may take.
+// One store call with its timeout and callback.
 struct store_call {
     store_command m_command;
     milliseconds m_timeout{};
     store_callback m_done;
 };
 
-// What a finished exchange left behind.
+// Result of one HTTP request: the response, or the error if there is none, and the bytes
+// transferred.
 struct http_exchange {
     error_kind m_kind = error_kind::none;
     std::string m_text;
@@ -42,7 +43,7 @@
     std::uint64_t m_received = 0;
 };
 
-// Turns an exchange into the reply of the operation.
+// Decodes the response of the store, or reports the error of the HTTP request.
 store_reply make_reply(const store_codec& codec, const store_command& command,
                        const http_exchange& finished) {
     if (finished.m_kind != error_kind::none) {
@@ -88,7 +89,7 @@
             });
     }
 
-    // Drops the callbacks of all calls under way.
+    // Discards the callbacks of all calls in progress.
     void stop() {
         m_stopped = true;
         m_idle.clear();
@@ -98,8 +99,8 @@
 
 private:
     // Sends the request and reads the response. An idle connection that the store has closed is
-    // recognised before a byte is written; a failure after that leaves the outcome unknown for
-    // writes.
+    // detected before anything is written. After a failed exchange the outcome of a write is
+    // unknown if any byte was sent.
     http_exchange run(const store_call& call, const asio::yield_context& yield) {
         http_exchange out;
         beast::error_code ec;
@@ -165,7 +166,7 @@
         return stream;
     }
 
-    // Returns an idle connection that the store has not closed, or null.
+    // Returns an idle connection that the store has not closed, or null if there is none.
     std::unique_ptr<beast::tcp_stream> take_idle() {
         while (!m_idle.empty()) {
             std::unique_ptr<beast::tcp_stream> stream = std::move(m_idle.back());
@@ -193,8 +194,8 @@
 
 namespace {
 
-// Collects the pages of a list. Pages are not a snapshot: the revision kept is that of the first
-// one, so that a watch from there misses nothing.
+// Requests all pages of a list and reports them as one reply. The pages are not a snapshot, so the
+// reply has the revision of the first page: a watch from there misses no change.
 void collect_pages(const std::function<void(store_call)>& start, store_command command,
                    milliseconds timeout, std::shared_ptr<store_reply> collected,
                    store_callback done) {
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -1,5 +1,6 @@
-// Asynchronous client of the platform's key-value service over HTTP. Runs on the caller's
-// io_context (the control thread); each call has a timeout and reports exactly one reply.
+// Asynchronous HTTP client of the platform's key-value service. Runs on the io_context of the code
+// that creates it (the control thread). Each call has a timeout and reports exactly one reply
+// unless the client is destroyed first.
 #pragma once
 
 #include <cstdint>
@@ -21,15 +22,19 @@
 
 namespace caraway {
 
+// Receives the reply to a call.
 using store_callback = std::function<void(const store_reply&)>;
-// Told of every finished call: the command, its result, bytes sent, bytes received.
+// Called after every finished call with the command, its result, the bytes sent and the bytes
+// received.
 using store_observer =
     std::function<void(const store_command&, error_kind, std::uint64_t, std::uint64_t)>;
 
-// A client that spreads calls over a few persistent connections, opened when needed. After a
-// connection failure the next call tries the next of the service's addresses.
+// Runs calls over a few persistent connections, which are opened on demand. After a failed
+// connection attempt the next attempt uses the next of the service's addresses.
 class store_client {
 public:
+    // Creates a client of the store at these addresses. timeout bounds a connection attempt and
+    // each call except watches. observer may be empty.
     static std::unique_ptr<store_client> create(boost::asio::io_context& context,
                                                 std::vector<ip_endpoint> addresses,
                                                 store_codec codec, milliseconds timeout,
@@ -40,24 +45,30 @@
     store_client& operator=(store_client&&) = delete;
     ~store_client();
 
+    // Reads the value and revision of a key. Fails with store_not_found if it is absent.
     void get(std::string_view key, store_callback done);
-    // Writes if the key's revision is if_revision (0: absent; nothing: unconditionally), attached
-    // to the lease unless it is empty.
+    // Writes the value if the key's revision is if_revision: 0 requires that the key is absent, and
+    // an empty optional writes unconditionally. The key is attached to the lease unless lease is
+    // empty.
     void put(std::string_view key, std::string_view value, std::optional<std::uint64_t> if_revision,
              std::string_view lease, store_callback done);
+    // Deletes a key if its revision is if_revision; unconditionally if that is empty.
     void remove(std::string_view key, std::optional<std::uint64_t> if_revision,
                 store_callback done);
+    // Lists the keys with the prefix and their values, in as many requests as there are pages.
     void list(std::string_view prefix, store_callback done);
-    // The same where an answer that is some seconds old will do, which costs the service less.
+    // Lists like list(), but may return data that is some seconds old, which costs the service
+    // less.
     void list_stale(std::string_view prefix, store_callback done);
-    // Waits up to wait for a change below the prefix after a store revision. An empty reply with
-    // the same revision means that nothing changed.
+    // Waits up to wait for a change of a key with the prefix after store revision after. An empty
+    // reply with the same revision means that nothing changed.
     void watch(std::string_view prefix, std::uint64_t after, milliseconds wait,
                store_callback done);
-    // The same without values, for keys that hold much.
+    // Like list() and watch(), but without the values, for keys with large values.
     void list_keys(std::string_view prefix, store_callback done);
     void watch_keys(std::string_view prefix, std::uint64_t after, milliseconds wait,
                     store_callback done);
+    // Creates a lease that expires when it isn't renewed within the period.
     void create_lease(milliseconds period, store_callback done);
     void renew_lease(std::string_view lease, store_callback done);
     void end_lease(std::string_view lease, store_callback done);
@@ -70,7 +81,7 @@
                   store_callback done);
     void run_watch(store_operation operation, std::string_view prefix, std::uint64_t after,
                    milliseconds wait, store_callback done);
-    std::shared_ptr<impl> m_impl; // calls under way keep it alive until they end
+    std::shared_ptr<impl> m_impl; // shared with the calls in progress
 };
 
 } // namespace caraway
--- a/src/store/store_json.cpp
+++ b/src/store/store_json.cpp
@@ -11,7 +11,8 @@
 
 namespace json = boost::json;
 
-// Reads one object of the array; nothing when it has no key or a revision that is no number.
+// Decodes one object of the array. Returns nothing if it has no key or its revision is not a
+// number.
 std::optional<store_entry> decode_entry(const json::value& item) {
     const json::object* object = item.if_object();
     const json::value* key = object != nullptr ? object->if_contains("key") : nullptr;
@@ -155,7 +156,7 @@
     }
 }
 
-// Words of the operations, in the order of the enumeration.
+// Names of the operations, in the order of the enumeration.
 constexpr std::array<std::string_view, 10> operation_names{
     "get",   "put",   "remove",       "list",        "list",
     "watch", "watch", "create_lease", "renew_lease", "end_lease"};
--- a/src/store/store_json.hpp
+++ b/src/store/store_json.hpp
@@ -1,4 +1,4 @@
-// Decodes the JSON bodies of the store's answers.
+// Decoding of the JSON bodies of the store's responses.
 #pragma once
 
 #include <optional>
@@ -10,11 +10,11 @@
 
 namespace caraway {
 
-// Reads the array of a list or watch answer; nothing when it is malformed.
+// Decodes the array of a list or watch response. Returns nothing if it is malformed.
 std::optional<std::vector<store_entry>> decode_entries(std::string_view body);
 
-// Reads the lease's identifier, a string or a number, from the answer to its creation; nothing when
-// it is malformed.
+// Decodes the lease identifier, a string or a number, from the response to create_lease. Returns
+// nothing if it is malformed.
 std::optional<std::string> decode_lease(std::string_view body);
 
 } // namespace caraway
--- a/tests/base_test.cpp
+++ b/tests/base_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the error table and the hashes.
+// Tests of the error table and the random number generator.
 #include <set>
 #include <string_view>
 
@@ -11,7 +11,7 @@
 
 BOOST_AUTO_TEST_SUITE(base)
 
-// Guards against a row in the wrong place, which would give a caller another kind's answer.
+// Guards against a row in the wrong place, which would report the properties of another error kind.
 BOOST_AUTO_TEST_CASE(error_table_is_total_and_unique) {
     std::set<std::string_view> names;
     std::size_t index = 0;
@@ -38,7 +38,7 @@
     }
 }
 
-// Guards against seeds that don't replay.
+// Guards against a generator whose sequence can't be replayed from its seed.
 BOOST_AUTO_TEST_CASE(random_source_replays_from_its_seed) {
     random_source first(7);
     random_source second(7);
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the codec and transports between nodes.
+// Tests of the message codec and the transports between nodes.
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
 
@@ -33,8 +33,8 @@
     return out;
 }
 
-// A message with a body under the given number, in which an empty field with the number 2 is
-// repeated.
+// Returns a message whose body has the given field number and holds count empty fields with the
+// number 2.
 std::string message_with_repeated_field(char body_field, std::size_t count) {
     std::string entries;
     for (std::size_t i = 0; i < count; ++i) {
@@ -47,7 +47,8 @@
     return message + entries;
 }
 
-// A text of some 400 KB in the form of many services.
+// Returns a configuration text of about 400 KB with many services. changed_service gets another
+// version.
 std::string sample_text(int changed_service) {
     std::string text = "format = 1\n";
     for (int i = 0; i < 4'000; ++i) {
@@ -68,7 +69,8 @@
 
 BOOST_AUTO_TEST_SUITE(peer)
 
-// Guards against a small message that takes gigabytes once decoded: 2 bytes are an empty member.
+// Guards against a small message that takes gigabytes when decoded: an empty member takes only 2
+// bytes on the wire.
 BOOST_AUTO_TEST_CASE(messages_with_more_entries_than_a_node_sends_are_refused) {
     error reason;
     BOOST_TEST(decode_reply(message_with_repeated_field(1, max_members), reason).has_value());
@@ -78,7 +80,7 @@
         !decode_request(message_with_repeated_field(3, 4 * max_members), reason).has_value());
 }
 
-// Guards against a whole member table with all facts being taken for too many entries.
+// Guards against rejecting a whole member table with all facts for its number of entries.
 BOOST_AUTO_TEST_CASE(join_reply_of_maximum_size_is_decoded) {
     join_reply sent;
     sent.m_members.assign(max_members, sample_member(1));
@@ -88,7 +90,7 @@
     BOOST_TEST(decode_reply(encode_reply(sent), reason).has_value());
 }
 
-// Guards against a field that is lost between nodes.
+// Guards against a field that is not encoded or not decoded.
 BOOST_AUTO_TEST_CASE(packets_and_members_round_trip) {
     packet sent;
     sent.m_kind = packet_kind::ping_request;
@@ -120,7 +122,7 @@
     BOOST_TEST((received->m_records == sent.m_records));
 }
 
-// Guards against fragmented datagrams.
+// Guards against packets so large that IP fragments them.
 BOOST_AUTO_TEST_CASE(packets_stay_within_the_size_limit) {
     packet sent;
     for (int i = 0; i < 100; ++i) {
@@ -129,7 +131,8 @@
     BOOST_TEST(encode_packet(sent).size() <= max_packet_bytes);
 }
 
-// Guards against sending whole texts for small changes, which would break the control byte bound.
+// Guards against sending whole texts for small changes, which would exceed the bound of control
+// bytes.
 BOOST_AUTO_TEST_CASE(deltas_are_small_and_exact) {
     const std::string before = sample_text(-1);
     const std::string after = sample_text(1'234);
@@ -139,7 +142,7 @@
     const auto restored = unpack_text(delta, before, reason);
     BOOST_REQUIRE(restored);
     BOOST_TEST((*restored == after));
-    // A wrong base must never give another text; the hash decides.
+    // A wrong base must never restore another text; the hash detects it.
     const std::string reversed(before.rbegin(), before.rend());
     BOOST_TEST(!unpack_text(delta, reversed, reason));
     packed_text damaged = delta;
@@ -147,8 +150,8 @@
     BOOST_TEST(!unpack_text(damaged, before, reason));
 }
 
-// Guards against a stored whole text that the store refuses for its size, that can't be restored,
-// or that is taken for another version's.
+// Guards against a stored whole text that is too large for the store, can't be restored, or is
+// accepted as the text of another version.
 BOOST_AUTO_TEST_CASE(stored_whole_texts_restore_the_text) {
     random_source random(5);
     std::string incompressible(1U << 20U, ' ');
@@ -167,7 +170,7 @@
     }
 }
 
-// Guards against a crash on foreign bytes; the seed is fixed so that a failure can be replayed.
+// Guards against a crash on damaged messages. The seed is fixed so that a failure can be replayed.
 BOOST_AUTO_TEST_CASE(damaged_messages_do_not_crash_the_decoder) {
     random_source random(11);
     join_reply reply;
@@ -186,8 +189,8 @@
     }
 }
 
-// Guards against lost callbacks: each request gets exactly one, also when the peer is gone or
-// silent, and the transport can be closed with requests under way.
+// Guards against lost callbacks. Each request gets exactly one callback, also if the peer is gone
+// or silent, and the transport can be closed with requests in progress.
 BOOST_AUTO_TEST_CASE(bulk_requests_complete_exactly_once) {
     boost::asio::io_context context;
     const auto work = boost::asio::make_work_guard(context);
--- a/tests/support.hpp
+++ b/tests/support.hpp
@@ -1,4 +1,4 @@
-// Preamble of every test file: Boost.Test, the seed from the environment, and small helpers.
+// Common header of the unit tests: Boost.Test, the seed from the environment and helper functions.
 #pragma once
 
 #include <array>
@@ -19,18 +19,18 @@
 
 namespace caraway {
 
-// The seed in CARAWAY_SEED, which replays a failing run.
+// Returns the seed in CARAWAY_SEED, which replays a failing run, or nothing if it is not set.
 inline std::optional<std::uint64_t> seed_from_environment() {
     const char* text = std::getenv("CARAWAY_SEED");
     return text != nullptr ? std::optional(std::strtoull(text, nullptr, 10)) : std::nullopt;
 }
 
-// The given seed, or the same one in every run.
+// Returns the seed in CARAWAY_SEED, or 1 if it is not set.
 inline std::uint64_t seed_or_default() {
     return seed_from_environment().value_or(1);
 }
 
-// The seeds of a schedule test: 1 to count, or only the given one.
+// Returns the seeds of a schedule test: 1 to count, or only the seed in CARAWAY_SEED if it is set.
 inline std::vector<std::uint64_t> schedule_seeds(std::uint64_t count) {
     if (const auto given = seed_from_environment()) {
         return {*given};
@@ -46,10 +46,11 @@
     return text.find(substring) != std::string_view::npos;
 }
 
-// The present time of tests of texts and commands.
+// Fixed current time for tests of texts and commands.
 inline const wall_time s_now = std::chrono::sys_days(std::chrono::year(2027) / 1 / 15);
 
-// Runs an action with standard output replaced by a pipe and returns what it wrote.
+// Runs an action with standard output redirected to a pipe, and returns what it wrote (at most 8192
+// bytes).
 template <typename Action>
 std::string capture_stdout(Action action) {
     std::array<int, 2> pipe_ends{};
