--- a/src/config/adapter.hpp
+++ b/src/config/adapter.hpp
@@ -34,7 +34,7 @@
 
 // The formats, paths and store keys of one deployment.
 struct adapter {
-    store_codec m_store_codec = own_store_codec();
+    store_codec m_store_codec = native_store_codec();
     std::string m_readiness_path = "/readyz";
     // Prefix of the store keys of the operators' configuration and move orders. If empty, operators
     // submit one text, which an accepter validates. Otherwise the store rejects invalid items
