--- a/src/ctl/store_session.cpp
+++ b/src/ctl/store_session.cpp
@@ -123,7 +123,7 @@
 store_interface open_store(std::vector<ip_endpoint> addresses, milliseconds timeout) {
     auto opened = std::make_shared<session>();
     opened->m_client = store_client::create(opened->m_context, std::move(addresses),
-                                          native_store_codec(), timeout, {});
+                                            native_store_codec(), timeout, {});
     store_interface calls;
     calls.m_get = [opened](std::string_view key) {
         return opened->retry(true, [&](store_callback done) { opened->m_client->get(key, done); });
