--- a/src/decide/acceptance.cpp
+++ b/src/decide/acceptance.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Reads an unsigned JSON number. The parser yields int64 for small values and uint64 for large
-// ones; a negative number is refused.
+// ones. A negative number is rejected.
 std::optional<std::uint64_t> unsigned_field(const boost::json::object& object,
                                             std::string_view name) {
     const boost::json::value* value = object.if_contains(name);
@@ -28,13 +28,13 @@
     return std::nullopt;
 }
 
-// Reads a string field, or returns null.
+// Returns a string field, or null if it is missing or not a string.
 const boost::json::string* string_field(const boost::json::object& object, std::string_view name) {
     const boost::json::value* value = object.if_contains(name);
     return value == nullptr ? nullptr : value->if_string();
 }
 
-// Reads the whole text as one hexadecimal number of at most 64 bits.
+// Parses the whole text as one hexadecimal number of at most 64 bits.
 std::optional<std::uint64_t> parse_hex(std::string_view text) {
     std::uint64_t value = 0;
     const char* end = text.data() + text.size();
@@ -45,23 +45,25 @@
     return value;
 }
 
-// A whole text is written at least every so many versions, so that nodes, which keep as many texts,
-// mostly hold the base of a new delta.
-constexpr std::uint64_t whole_interval = 8;
+// A full text is written at least once in this many versions. Nodes keep the same number of texts,
+// so they mostly hold the base of a new delta.
+constexpr std::uint64_t full_text_interval = 8;
 
-// Versions before the latest whole text whose values are kept for readers that are late.
-constexpr std::uint64_t kept_before_whole = 8;
+// Versions before the latest full text whose values are kept for slow readers.
+constexpr std::uint64_t versions_kept_before_full = 8;
 
-// A delta of up to this many bytes, or this share of the text, is small. The differences since the
-// last whole text are contained in each following delta; beyond this size seven of them cost more
-// than a compressed whole text, which takes a twelfth of the text with names that hardly compress.
+// A delta is small up to this many bytes, or up to the text size divided by the divisor. Each delta
+// contains the changes of all earlier ones since the last full text. Beyond this size, seven deltas
+// cost more than a compressed full text, which takes a twelfth of the text's size with names that
+// hardly compress.
 constexpr std::size_t small_delta_bytes = 4'096;
-constexpr std::size_t small_delta_share = 64;
+constexpr std::size_t small_delta_divisor = 64;
 
-// Names the base in the record; absent for texts stored whole.
-std::optional<text_name> base_field(const boost::json::object& object) {
+// Reads the id of the base from a record. Returns an id of version 0 if the text is stored in full,
+// and nothing if the base is invalid.
+std::optional<text_id> parse_base(const boost::json::object& object) {
     if (!object.contains("base_version")) {
-        return text_name{};
+        return text_id{};
     }
     const auto version = unsigned_field(object, "base_version");
     const boost::json::string* hash_text = string_field(object, "base_hash");
@@ -71,7 +73,7 @@
     if (!version || *version == 0 || !hash) {
         return std::nullopt;
     }
-    return text_name{*version, *hash};
+    return text_id{*version, *hash};
 }
 
 } // namespace
@@ -80,7 +82,7 @@
     boost::json::object object;
     object["version"] = record.m_version;
     object["source_revision"] = record.m_source_revision;
-    // A string, since JSON readers elsewhere lose the low bits of 64-bit numbers.
+    // Written as a string because other JSON readers lose the low bits of 64-bit numbers.
     object["hash"] = fmt::format("{:016x}", record.m_hash);
     object["accepter"] = record.m_accepter;
     object["accepted_ms"] = record.m_accepted_ms;
@@ -124,9 +126,10 @@
         return fail(reason, error_kind::invalid_text,
                     "accepted record: accepted_ms missing or too large");
     }
-    const auto base = base_field(object);
+    const auto base = parse_base(object);
     if (!base || base->m_version >= *version) {
-        return fail(reason, error_kind::invalid_text, "accepted record: base wrong");
+        return fail(reason, error_kind::invalid_text,
+                    "accepted record: base_version or base_hash invalid");
     }
     accepted_record record;
     record.m_base = *base;
@@ -146,46 +149,48 @@
     return fmt::format("caraway/accepted-delta/{}-{:016x}", version, hash);
 }
 
-text_name whole_text_of(const accepted_record& record) {
-    return record.m_base.m_version == 0 ? text_name{record.m_version, record.m_hash}
-                                        : record.m_base;
+text_id full_text_of(const accepted_record& record) {
+    return record.m_base.m_version == 0 ? text_id{record.m_version, record.m_hash} : record.m_base;
 }
 
 bool is_small_delta(std::size_t delta_bytes, std::size_t text_bytes) {
-    return delta_bytes <= std::max(small_delta_bytes, text_bytes / small_delta_share);
+    return delta_bytes <= std::max(small_delta_bytes, text_bytes / small_delta_divisor);
 }
 
-bool stores_whole(std::uint64_t version, std::uint64_t base_version, std::size_t delta_bytes,
-                  std::size_t text_bytes) {
-    return base_version == 0 || version >= base_version + whole_interval ||
+bool should_store_full(std::uint64_t version, std::uint64_t base_version, std::size_t delta_bytes,
+                       std::size_t text_bytes) {
+    return base_version == 0 || version >= base_version + full_text_interval ||
            !is_small_delta(delta_bytes, text_bytes);
 }
 
-// The base of the committed record never falls, so a value that is not needed now is never needed
-// again. An accepter that was paused past its lease knows an older record and removes less.
-bool is_removable(std::string_view key, const accepted_record& committed) {
+// The base version of committed records never decreases, so a value that is not needed now is never
+// needed again. An accepter that was paused past its lease knows an older record and removes less.
+bool is_obsolete_key(std::string_view key, const accepted_record& committed) {
     const std::size_t begin = key.rfind('/') + 1;
     std::uint64_t version = 0;
     const auto [stop, fault] =
         std::from_chars(key.data() + begin, key.data() + key.size(), version);
     return key.starts_with(accepted_prefix) && fault == std::errc{} &&
            stop != key.data() + key.size() && *stop == '-' &&
-           version + kept_before_whole < whole_text_of(committed).m_version;
+           version + versions_kept_before_full < full_text_of(committed).m_version;
 }
 
-text_source choose_source(const submitted_revisions& seen, std::uint64_t judged,
-                          std::uint64_t decided, std::uint64_t unusable_delta, duration waited) {
-    if (seen.m_text == 0 || seen.m_text == judged || seen.m_text <= decided) {
+text_source choose_text_source(const submitted_revisions& revisions, std::uint64_t last_evaluated,
+                               std::uint64_t highest_decided, std::uint64_t unusable_delta,
+                               duration wait_elapsed) {
+    if (revisions.m_text == 0 || revisions.m_text == last_evaluated ||
+        revisions.m_text <= highest_decided) {
         return text_source::nothing;
     }
-    if (seen.m_delta > seen.m_text && seen.m_delta != unusable_delta) {
+    if (revisions.m_delta > revisions.m_text && revisions.m_delta != unusable_delta) {
         return text_source::delta;
     }
-    return waited < submitted_delta_wait ? text_source::wait : text_source::whole;
+    return wait_elapsed < submitted_delta_wait ? text_source::wait : text_source::whole;
 }
 
-// A revision is judged once: it is skipped when it was refused, or when it is not newer than the
-// source of the accepted version. Everything else is accepted whole or refused with every fault.
+// Each revision is evaluated once: it is skipped if it was refused, or if it is not newer than the
+// source of the accepted version. Any other text is accepted as a whole or refused with all its
+// faults.
 acceptance_decision decide_acceptance(std::string_view text, std::uint64_t text_revision,
                                       const std::optional<accepted_record>& accepted,
                                       const mesh* accepted_mesh, std::uint64_t refused_revision,
--- a/src/decide/facts.cpp
+++ b/src/decide/facts.cpp
@@ -9,45 +9,46 @@
 namespace caraway {
 namespace {
 
-// Order of suspensions of the same move. Every field takes part, so that two different reports
-// never compare equal and the smaller one wins in every order of arrival.
+// Order of suspensions of the same move. All fields are compared, so that two different reports
+// never compare equal and the smaller one is kept in every order of arrival.
 auto suspension_order(const suspension& value) {
     return std::tie(value.m_at_ms, value.m_instance, value.m_service, value.m_version,
                     value.m_reason);
 }
 
-// Order of records of the same service: the revision decides. The other fields only break ties
-// between records that claim the same revision, which a correct store never produces.
+// Order of records of the same service, by revision. The other fields only break ties between
+// records with the same revision, which a correct store never produces.
 auto record_order(const move_record& value) {
     return std::tie(value.m_revision, value.m_state, value.m_move_id, value.m_stage,
                     value.m_weight_permille, value.m_from, value.m_to, value.m_started_ms,
                     value.m_raised_ms, value.m_deadline_ms, value.m_holder, value.m_reason);
 }
 
-// Appends a field to the bytes of a digest; the separator keeps adjacent fields apart.
-void append(std::string& bytes, std::string_view text) {
+// Appends a field to the input of a digest. The separator keeps adjacent fields apart.
+void append_field(std::string& bytes, std::string_view text) {
     bytes += text;
     bytes += '\0';
 }
 
-void append(std::string& bytes, std::uint64_t number) {
-    append(bytes, std::to_string(number));
+void append_field(std::string& bytes, std::uint64_t number) {
+    append_field(bytes, std::to_string(number));
 }
 
-// Only the move counts: which of several reports of the same move a node keeps makes no difference
-// to calls, and must not make all nodes fetch facts from each other.
+// Hashes only the move id. Which of several reports of the same move a node keeps has no effect on
+// calls, and must not make all nodes fetch facts from each other.
 std::uint64_t suspension_hash(const suspension& value) {
     return hash_bytes(value.m_move_id, 1);
 }
 
-// The service, move and revision identify a record; the store fixes the rest.
+// Hashes the service, move and revision, which identify a record, and its state and weight. The
+// store determines the other fields.
 std::uint64_t record_hash(const move_record& value) {
     std::string bytes;
-    append(bytes, value.m_service);
-    append(bytes, value.m_move_id);
-    append(bytes, value.m_revision);
-    append(bytes, static_cast<std::uint64_t>(value.m_state));
-    append(bytes, value.m_weight_permille);
+    append_field(bytes, value.m_service);
+    append_field(bytes, value.m_move_id);
+    append_field(bytes, value.m_revision);
+    append_field(bytes, static_cast<std::uint64_t>(value.m_state));
+    append_field(bytes, value.m_weight_permille);
     return hash_bytes(bytes, 2);
 }
 
@@ -58,7 +59,7 @@
     return names[static_cast<std::size_t>(value)];
 }
 
-bool join_suspension(fact_table& facts, const suspension& value) {
+bool merge_suspension(fact_table& facts, const suspension& value) {
     const auto found = facts.m_suspensions.find(value.m_move_id);
     if (found == facts.m_suspensions.end()) {
         if (facts.m_suspensions.size() >= max_facts) {
@@ -74,7 +75,7 @@
     return false;
 }
 
-bool join_record(fact_table& facts, const move_record& value) {
+bool merge_record(fact_table& facts, const move_record& value) {
     const auto found = facts.m_records.find(value.m_service);
     if (found == facts.m_records.end()) {
         if (facts.m_records.size() >= max_facts) {
@@ -93,7 +94,7 @@
     return false;
 }
 
-// A sum of hashes, so that the digest doesn't depend on order and an empty table gives zero.
+// The digest is a sum of hashes, so that it doesn't depend on order and is zero for an empty table.
 std::uint64_t facts_digest(const fact_table& facts) {
     std::uint64_t digest = 0;
     for (const auto& [move_id, value] : facts.m_suspensions) {
--- a/src/node/admin_pages.cpp
+++ b/src/node/admin_pages.cpp
@@ -10,6 +10,7 @@
 
 namespace json = boost::json;
 
+// Returns the keys of this node's leases and whether each is held.
 json::object lease_list(const control& state) {
     json::object leases;
     const auto add = [&](const lease_role& role) {
@@ -25,6 +26,7 @@
     return leases;
 }
 
+// Returns the known members by instance.
 json::object member_list(const control& state) {
     json::object members;
     for (const auto& [name, tracked] : state.m_members.m_members) {
@@ -39,6 +41,7 @@
     return members;
 }
 
+// Returns the known version moves by service.
 json::object move_list(const control& state) {
     json::object moves;
     for (const auto& [service, record] : state.m_facts.m_records) {
@@ -55,7 +58,7 @@
     return json::serialize(json::object{
         {"instance", state.m_settings.m_instance},
         {"config_version", state.m_distribution.m_applied},
-        {"config_highest_heard", state.m_distribution.m_highest},
+        {"config_highest_heard", state.m_distribution.m_highest_known},
         {"ready", state.m_distribution.m_ready},
         {"draining", state.m_draining},
         {"load_permille", state.m_traffic->load_permille()},
@@ -67,7 +70,7 @@
 
 } // namespace
 
-admin_answer answer_admin(const control& state, std::string_view path) {
+admin_answer answer_admin_request(const control& state, std::string_view path) {
     if (path == "/metrics") {
         return {200, "text/plain; version=0.0.4", state.m_metrics->render()};
     }
--- a/src/node/move_control.cpp
+++ b/src/node/move_control.cpp
@@ -12,22 +12,22 @@
 namespace caraway {
 namespace {
 
-// Backend sides report, and the evidence is weighed, once in this interval. The test needs at least
-// two; with intervals of 1 s a version that failed under load was suspended a second later.
+// Interval at which backend sides report and the evidence is evaluated. The test needs at least two
+// intervals; with intervals of 1 s, a version that failed under load was suspended a second later.
 constexpr milliseconds evidence_interval{500};
-// The holder looks at the record this often. With whole seconds, each of the last four stages lost
-// up to a second of the time that an outage of the store leaves.
+// Interval at which the holder checks the record. With an interval of 1 s, each of the last four
+// stages lost up to a second of the time that remains after a store outage.
 constexpr milliseconds step_interval{200};
 constexpr milliseconds store_retry_pause{500};
-// Reports kept between two steps: several per instance of a large service.
+// Maximum number of reports kept between two evaluations: several per instance of a large service.
 constexpr std::size_t max_reports = 4'096;
 
 std::string record_key(const control& state, std::string_view service) {
     return state.m_adapter.m_move_prefix + std::string(service);
 }
 
-// The own service with its move, or null when no move of it is in the text.
-const service_spec* own_move(const control& state) {
+// Returns the own service if the text has a move of it, otherwise null.
+const service_spec* find_own_moving_service(const control& state) {
     if (!state.m_mesh) {
         return nullptr;
     }
@@ -36,15 +36,15 @@
     return moving ? &found->second : nullptr;
 }
 
-// True once this node knows that the move has ended.
-bool is_final(const control& state, const std::string& id) {
+// Returns true once this node knows that the move has ended.
+bool is_move_finished(const control& state, const std::string& id) {
     const auto found = state.m_facts.m_records.find(state.m_own_view.m_service);
     return found != state.m_facts.m_records.end() && found->second.m_move_id == id &&
            found->second.m_state != move_state::running;
 }
 
-// Starts afresh when the text names another move.
-void follow_text(control& state, const service_spec* service) {
+// Resets the state of the move when the text has another move, or none any more.
+void reset_on_new_move(control& state, const service_spec* service) {
     move_role& role = state.m_move;
     const std::string id =
         service != nullptr ? move_id(service->m_name, *service->m_move) : std::string{};
@@ -52,40 +52,44 @@
         return;
     }
     role.m_move_id = id;
-    role.m_ordered_at = state.now();
-    role.m_own = false;
-    role.m_fresh = false;
+    role.m_first_seen_at = state.now();
+    role.m_holds_record = false;
+    role.m_record_current = false;
     role.m_record.reset();
     role.m_evidence = {};
-    role.m_local = {};
+    role.m_local_evidence = {};
     role.m_reports.clear();
-    role.m_old_sum = {};
-    role.m_told_old_sum = {};
+    role.m_old_version_sum = {};
+    role.m_received_old_version_sum = {};
     role.m_local_stage = 0;
     role.m_evidence_stage = 0;
     record_move_change(state);
     if (service != nullptr && !role.m_lease) {
         role.m_lease.emplace();
-        role.m_lease->m_keeper = begin_lease("caraway/lease/move/" + service->m_name,
-                                             state.m_settings, state.m_random(), state.now());
+        role.m_lease->m_keeper =
+            create_lease_keeper("caraway/lease/move/" + service->m_name, state.m_settings,
+                                state.m_random(), state.now());
     }
 }
 
-void suspend(control& state, const service_spec& service, const std::string& reason) {
+// Suspends the move's new version on this node and spreads the suspension.
+void suspend_version(control& state, const service_spec& service, const std::string& reason) {
     const suspension value{
         state.m_move.m_move_id,      service.m_name, service.m_move->m_to,
         state.m_settings.m_instance, reason,         unix_ms(state.m_clock.wall_now())};
-    learn_facts(state, std::span(&value, 1), {}, true);
+    merge_facts(state, std::span(&value, 1), {}, true);
     refresh_snapshot(state);
 }
 
+// Writes the verdict of a finished move to the store once, and again if the write failed. Nothing
+// is written where operators read the move record itself.
 void write_verdict(control& state, const move_record& record) {
     if (record.m_state == move_state::running ||
         !state.m_move.m_verdicts_written.insert(record.m_move_id).second) {
         return;
     }
     if (state.reads_operator_items()) {
-        return; // the record itself is what operators read
+        return; // operators read the record itself
     }
     const std::string key =
         fmt::format("caraway/verdict/move/{}/{}", record.m_service, record.m_move_id);
@@ -99,25 +103,26 @@
                        });
 }
 
-// Takes over a record as the store holds it.
+// Adopts a record as stored and spreads it to the members.
 void adopt_record(control& state, const move_record& record) {
     move_role& role = state.m_move;
     role.m_record = record;
-    role.m_fresh = true;
-    role.m_own = record.m_holder == state.m_settings.m_instance;
-    learn_facts(state, {}, std::span(&record, 1), true);
+    role.m_record_current = true;
+    role.m_holds_record = record.m_holder == state.m_settings.m_instance;
+    merge_facts(state, {}, std::span(&record, 1), true);
     refresh_snapshot(state);
 }
 
+// Reads the move record from the store. A malformed record is logged and read again later.
 void read_record(control& state, const std::string& service) {
-    state.m_move.m_busy = true;
+    state.m_move.m_call_pending = true;
     state.m_store->get(record_key(state, service), [&state](const store_reply& reply) {
         move_role& role = state.m_move;
-        role.m_busy = false;
+        role.m_call_pending = false;
         role.m_retry_at = state.now() + store_retry_pause;
         if (reply.m_kind == error_kind::store_not_found) {
-            role.m_fresh = true;
-            role.m_own = false;
+            role.m_record_current = true;
+            role.m_holds_record = false;
             role.m_record.reset();
             return;
         }
@@ -134,22 +139,22 @@
     });
 }
 
-// Writes a record by compare-and-swap on the revision read before. Whatever the reply was unless
-// it is success, the record is read again before the next decision.
+// Writes a record by compare-and-swap on the revision that was read last. Unless the write
+// succeeds, the record is read again before the next decision.
 void write_record(control& state, move_record record, std::uint64_t if_revision) {
     move_role& role = state.m_move;
-    role.m_busy = true;
+    role.m_call_pending = true;
     state.m_store->put(record_key(state, record.m_service), state.m_adapter.m_encode_move(record),
                        if_revision, {}, [&state, record](const store_reply& reply) {
-                           move_role& writer = state.m_move;
-                           writer.m_busy = false;
-                           if (record.m_move_id != writer.m_move_id) {
-                               return; // the text names another move by now
+                           move_role& current_role = state.m_move;
+                           current_role.m_call_pending = false;
+                           if (record.m_move_id != current_role.m_move_id) {
+                               return; // the text has another move by now
                            }
                            if (reply.m_kind != error_kind::none) {
-                               writer.m_fresh = false;
-                               writer.m_own = false;
-                               writer.m_retry_at = state.now() + store_retry_pause;
+                               current_role.m_record_current = false;
+                               current_role.m_holds_record = false;
+                               current_role.m_retry_at = state.now() + store_retry_pause;
                                return;
                            }
                            move_record written = record;
@@ -162,15 +167,15 @@
                                       {"stage", written.m_stage},
                                       {"revision", written.m_revision},
                                       {"reason", written.m_reason}});
-                           if (writer.m_evidence_stage != written.m_stage) {
-                               writer.m_evidence_stage = written.m_stage;
+                           if (current_role.m_evidence_stage != written.m_stage) {
+                               current_role.m_evidence_stage = written.m_stage;
                                begin_evidence_stage(state);
                            }
                            adopt_record(state, written);
                        });
 }
 
-// Adds up the reports of one version.
+// Returns the sum of the reports of one version.
 evidence_report sum_reports(std::span<const evidence_report> reports, const std::string& version) {
     evidence_report sum;
     sum.m_version = version;
@@ -183,7 +188,7 @@
             total.m_calls += counts.m_calls;
             total.m_failures += counts.m_failures;
             total.m_cold_calls += counts.m_cold_calls;
-            for (std::size_t i = 0; i < latency_classes; ++i) {
+            for (std::size_t i = 0; i < latency_buckets; ++i) {
                 total.m_latency[i] += counts.m_latency[i];
             }
         }
@@ -191,97 +196,99 @@
     return sum;
 }
 
-// The reports of the last interval, the own one included, go into the evidence.
-evidence_result weigh_reports(control& state, const service_spec& service) {
+// Adds the reports of the last interval, including the own one, to the evidence and evaluates it.
+evidence_result evaluate_reports(control& state, const service_spec& service) {
     move_role& role = state.m_move;
-    role.m_old_sum = sum_reports(role.m_reports, service.m_version);
+    role.m_old_version_sum = sum_reports(role.m_reports, service.m_version);
     const std::vector<evidence_report> reports = std::exchange(role.m_reports, {});
     return decide_evidence(state, reports, service);
 }
 
-// One step of the holder: create or take over the record, then advance it.
+// Performs one step of the lease holder: reads, creates, takes over or advances the record, or
+// writes the verdict of a finished move.
 void step_holder(control& state, const service_spec& service) {
     move_role& role = state.m_move;
-    if (!role.m_fresh) {
+    if (!role.m_record_current) {
         read_record(state, service.m_name);
         return;
     }
     if (!role.m_record || role.m_record->m_move_id != role.m_move_id) {
         const std::uint64_t revision = role.m_record ? role.m_record->m_revision : 0;
-        write_record(state, decide_start(state, service), revision);
+        write_record(state, decide_move_start(state, service), revision);
         return;
     }
     if (role.m_record->m_state != move_state::running) {
         write_verdict(state, *role.m_record);
         return;
     }
-    if (!role.m_own) {
-        write_record(state, decide_takeover(state, *role.m_record), role.m_record->m_revision);
+    if (!role.m_holds_record) {
+        write_record(state, decide_move_takeover(state, *role.m_record), role.m_record->m_revision);
         return;
     }
-    const move_step step = decide_step(state, *role.m_record);
+    const move_step step = decide_move_step(state, *role.m_record);
     if (step.m_kind == move_step::kind::write) {
         write_record(state, step.m_record, role.m_record->m_revision);
     }
 }
 
-// The members that may hold the move's lease, this node included. All of them get the reports, so
-// that evidence is weighed and the version suspended also while the holder is dead or paused, and
-// the next holder knows what the last one knew.
+// Returns the members that may hold the move's lease, which can include this node. All of them
+// receive the reports, so that the evidence is evaluated and the version suspended even while the
+// holder is dead or paused, and the next holder has the evidence of the last one.
 std::vector<const member*> evidence_targets(const control& state, const service_spec& service) {
     const std::string role = "caraway/lease/move/" + service.m_name;
     std::vector<const member*> targets{&state.m_members.m_self};
-    for (const member* each : live_members(state.m_members)) {
-        if (each->m_service == service.m_name) {
-            targets.push_back(each);
+    for (const member* live_member : live_members(state.m_members)) {
+        if (live_member->m_service == service.m_name) {
+            targets.push_back(live_member);
         }
     }
-    const std::size_t kept = std::min(targets.size(), lease_candidates);
-    std::partial_sort(targets.begin(), targets.begin() + static_cast<std::ptrdiff_t>(kept),
+    const std::size_t target_count = std::min(targets.size(), lease_candidates);
+    std::partial_sort(targets.begin(), targets.begin() + static_cast<std::ptrdiff_t>(target_count),
                       targets.end(), [&role](const member* a, const member* b) {
                           return rendezvous_weight(role, a->m_instance) >
                                  rendezvous_weight(role, b->m_instance);
                       });
-    targets.resize(kept);
+    targets.resize(target_count);
     return targets;
 }
 
-// Sends the report; the reply is the old version's sum of the last interval.
+// Sends the report to a candidate, which replies with the old version's sum of the last interval.
 void send_report(control& state, const ip_endpoint& to, const evidence_report& own) {
     send_bulk(state, to, own, [&state](const std::optional<bulk_reply>& reply) {
         const auto* sum = reply ? std::get_if<evidence_report>(&*reply) : nullptr;
         if (sum != nullptr && !sum->m_routes.empty()) {
-            state.m_move.m_told_old_sum = *sum;
+            state.m_move.m_received_old_version_sum = *sum;
         }
     });
 }
 
-// Tests the own server's calls of the interval against the old version's, as the holder told them.
-void test_locally(control& state, const service_spec& service, const evidence_report& own,
-                  std::uint32_t stage) {
+// Compares the own server's calls of the interval with the old version's calls as received from the
+// lease candidates, and suspends the version if they show that it is bad.
+void evaluate_local_evidence(control& state, const service_spec& service,
+                             const evidence_report& own, std::uint32_t stage) {
     move_role& role = state.m_move;
     if (stage != role.m_local_stage) {
         role.m_local_stage = stage;
-        begin_local_stage(state);
+        begin_local_evidence_stage(state);
     }
     std::uint32_t instances = 1;
-    for (const member* each : live_members(state.m_members)) {
-        const bool counts =
-            each->m_service == service.m_name && each->m_version == state.m_own_view.m_version;
-        instances += counts ? 1 : 0;
+    for (const member* live_member : live_members(state.m_members)) {
+        const bool same_version = live_member->m_service == service.m_name &&
+                                  live_member->m_version == state.m_own_view.m_version;
+        instances += same_version ? 1 : 0;
     }
-    role.m_local.m_instances = instances;
-    const std::array reports{own, role.m_told_old_sum};
-    role.m_told_old_sum = {};
+    role.m_local_evidence.m_instances = instances;
+    const std::array reports{own, role.m_received_old_version_sum};
+    role.m_received_old_version_sum = {};
     std::string reason;
-    const bool bad = decide_locally(state, reports, service, reason);
-    if (bad && !is_suspended(state.m_facts, role.m_move_id)) {
-        suspend(state, service, reason);
+    const bool is_bad = decide_local_evidence(state, reports, service, reason);
+    if (is_bad && !is_suspended(state.m_facts, role.m_move_id)) {
+        suspend_version(state, service, reason);
     }
 }
 
-// Reports the own server's counts to the candidates for the lease, and suspends the version at once
-// when they show by themselves that it is bad.
+// Reports the own server's counts to the candidates for the lease. Suspends the version at once if
+// these counts alone show that it is bad.
 void report_evidence(control& state, const service_spec& service) {
     evidence_report own = state.m_traffic->take_evidence();
     own.m_instance = state.m_settings.m_instance;
@@ -289,7 +296,7 @@
     own.m_version = is_old_version(service, state.m_own_view.m_version)
                         ? service.m_version
                         : state.m_own_view.m_version;
-    if (is_final(state, state.m_move.m_move_id)) {
+    if (is_move_finished(state, state.m_move.m_move_id)) {
         return;
     }
     const auto record = state.m_facts.m_records.find(service.m_name);
@@ -300,10 +307,10 @@
         begin_evidence_stage(state);
     }
     if (own.m_version == service.m_move->m_to) {
-        if (state.m_move.m_told_old_sum.m_routes.empty()) {
-            state.m_move.m_told_old_sum = state.m_move.m_old_sum;
+        if (state.m_move.m_received_old_version_sum.m_routes.empty()) {
+            state.m_move.m_received_old_version_sum = state.m_move.m_old_version_sum;
         }
-        test_locally(state, service, own, stage);
+        evaluate_local_evidence(state, service, own, stage);
     }
     if (own.m_routes.empty()) {
         return;
@@ -317,17 +324,19 @@
     }
 }
 
+// Returns whether this node should hold or acquire the lease of the move.
 bool wants_lease(control& state, const service_spec* service, time_point now) {
     lease_role& lease = *state.m_move.m_lease;
-    // The lease of an ended move is still taken once, so that the verdict is written even if the
-    // holder died right after it had ended the move.
+    // The lease of a finished move is still acquired once, so that the verdict is written even if
+    // the holder died right after ending the move.
     if (service == nullptr || state.m_leaving ||
         state.m_move.m_verdicts_written.contains(state.m_move.m_move_id)) {
         return false;
     }
-    const bool candidate = refresh_candidate(state, lease, now, [service](const member& m) {
-        return m.m_service == service->m_name && !m.m_store_lost;
-    });
+    const bool candidate =
+        refresh_candidate(state, lease, now, [service](const member& candidate_member) {
+            return candidate_member.m_service == service->m_name && !candidate_member.m_store_lost;
+        });
     return lease.m_keeper.m_held || candidate;
 }
 
@@ -341,8 +350,8 @@
 }
 
 void tick_move(control& state, time_point now) {
-    const service_spec* service = own_move(state);
-    follow_text(state, service);
+    const service_spec* service = find_own_moving_service(state);
+    reset_on_new_move(state, service);
     move_role& role = state.m_move;
     if (role.m_lease) {
         run_lease(state, *role.m_lease, wants_lease(state, service, now));
@@ -350,37 +359,38 @@
     if (service == nullptr) {
         if (now >= state.m_next_evidence && state.m_traffic) {
             state.m_next_evidence = now + evidence_interval;
-            state.m_traffic->take_evidence(); // old counts are no evidence for a later move
+            state.m_traffic
+                ->take_evidence(); // discards counts that are no evidence for a later move
         }
         return;
     }
     if (now >= state.m_next_evidence && state.m_traffic) {
         state.m_next_evidence = now + evidence_interval;
         report_evidence(state, *service);
-        // Stopping needs no lease: bad evidence suspends the version also while the store is down.
-        const evidence_result result = weigh_reports(state, *service);
+        // Suspending needs no lease: bad evidence stops the version even while the store is down.
+        const evidence_result result = evaluate_reports(state, *service);
         if (result.m_verdict == evidence_verdict::bad &&
-            !is_suspended(state.m_facts, role.m_move_id) && !is_final(state, role.m_move_id)) {
-            suspend(state, *service, result.m_reason);
+            !is_suspended(state.m_facts, role.m_move_id) &&
+            !is_move_finished(state, role.m_move_id)) {
+            suspend_version(state, *service, result.m_reason);
         }
     }
     const bool held = role.m_lease && lease_held(role.m_lease->m_keeper, now);
     if (!held) {
-        role.m_fresh = false; // the record is read again after the lease is won
-        role.m_own = false;
+        role.m_record_current = false; // the record is read again once the lease is acquired
+        role.m_holds_record = false;
         return;
     }
-    const bool stop_now = role.m_own && role.m_record &&
-                          role.m_record->m_state == move_state::running &&
-                          is_suspended(state.m_facts, role.m_move_id);
-    if (role.m_busy || now < role.m_retry_at || (now < role.m_next_step && !stop_now)) {
+    const bool must_stop = role.m_holds_record && role.m_record &&
+                           role.m_record->m_state == move_state::running &&
+                           is_suspended(state.m_facts, role.m_move_id);
+    if (role.m_call_pending || now < role.m_retry_at || (now < role.m_next_step && !must_stop)) {
         return;
     }
-    // The next step follows a finished store call at once: with a pause after the read and after
-    // the takeover, a move with a near deadline would lose two seconds after an outage of the
-    // store.
+    // The next step follows a finished store call immediately. With a pause after the read and
+    // after the takeover, a move close to its deadline would lose two seconds after a store outage.
     step_holder(state, *service);
-    if (!role.m_busy) {
+    if (!role.m_call_pending) {
         role.m_next_step = now + step_interval;
     }
 }
