--- a/bench/call_cost.cpp
+++ b/bench/call_cost.cpp
@@ -338,7 +338,7 @@
     const std::chrono::seconds time(argc > 1 ? std::atoi(argv[1]) : 20);
     const auto threads =
         argc > 2 ? static_cast<std::uint32_t>(std::atoi(argv[2])) : node_settings{}.m_threads;
-    log_identity("bench", "north", log_level::info);
+    set_log_identity("bench", "north", log_level::info);
     drain_log();
     static const system_clock_source clock;
     static echo_server server; // its thread runs until the process ends
--- a/src/ctl/replay.cpp
+++ b/src/ctl/replay.cpp
@@ -81,7 +81,7 @@
         processes[input.m_instance] = std::move(process);
     }
     const auto found = processes.find(input.m_instance);
-    if (input.m_component == dropped_event || found == processes.end()) {
+    if (input.m_component == dropped_decisions_event || found == processes.end()) {
         ++report.m_breaches;
         add_fault(report, fmt::format("line {}: decisions of {} are missing before this line", line,
                                       input.m_instance));
--- a/src/ctl/replay_player.cpp
+++ b/src/ctl/replay_player.cpp
@@ -248,13 +248,13 @@
     }
     const auto event = input.m_texts.find("event");
     if (event == input.m_texts.end() ||
-        (event->second != decision_event && event->second != dropped_event)) {
+        (event->second != decision_event && event->second != dropped_decisions_event)) {
         return std::nullopt;
     }
     input.m_instance = input.text("instance");
     input.m_logged_ms = input.number("time");
-    if (event->second == dropped_event) {
-        input.m_component = dropped_event;
+    if (event->second == dropped_decisions_event) {
+        input.m_component = dropped_decisions_event;
         return input;
     }
     input.m_component = input.text("part");
--- a/src/ctl/replay_player.hpp
+++ b/src/ctl/replay_player.hpp
@@ -21,7 +21,7 @@
 class replay_input {
 public:
     // Returns nothing if the line is neither a decision line nor a note of dropped lines. Such a
-    // note has the component dropped_event.
+    // note has the component dropped_decisions_event.
     static std::optional<replay_input> parse(std::string_view line);
 
     std::string m_instance;
--- a/src/node/config_sync.cpp
+++ b/src/node/config_sync.cpp
@@ -100,7 +100,7 @@
     state.m_parsed_configs.erase(state.m_parsed_configs.begin(), std::next(parsed));
     std::uint64_t previous_version = state.m_members.m_self.m_config_version;
     state.m_members.m_self.m_config_version = version;
-    log_config_version(version);
+    set_log_config_version(version);
     log_event(log_level::info, "config_applied",
               {{"version", version}, {"previous", previous_version}});
     log_data_centre_changes(before.get(), *state.m_mesh, version);
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -80,8 +80,8 @@
 void send_packet(control& state, const membership_action& action) {
     const std::string bytes = encode_packet(action.m_packet);
     const bool rumour = action.m_packet.m_kind == packet_kind::rumour;
-    state.m_metrics->bytes().add(rumour ? byte_purpose::rumour : byte_purpose::probe,
-                                 scope_of(state, action.m_to), bytes.size());
+    state.m_metrics->moved_bytes().add(rumour ? byte_purpose::rumour : byte_purpose::probe,
+                                       scope_of(state, action.m_to), bytes.size());
     state.m_udp->send(action.m_to, bytes);
 }
 
@@ -178,8 +178,8 @@
         return encode_reply(reason.m_kind);
     }
     std::string reply = encode_reply(std::visit(bulk_request_handler{state}, *decoded));
-    state.m_metrics->bytes().add(std::visit(purpose_of{}, *decoded), byte_scope::served,
-                                 request.size() + reply.size());
+    state.m_metrics->moved_bytes().add(std::visit(purpose_of{}, *decoded), byte_scope::served,
+                                       request.size() + reply.size());
     return reply;
 }
 
@@ -188,11 +188,11 @@
     const byte_purpose purpose = std::visit(purpose_of{}, request);
     const byte_scope scope = scope_of(state, to);
     const std::string encoded = encode_request(request);
-    state.m_metrics->bytes().add(purpose, scope, encoded.size());
+    state.m_metrics->moved_bytes().add(purpose, scope, encoded.size());
     state.m_bulk->request(
         to, encoded, state.m_settings.m_fetch_timeout,
         [&state, purpose, scope, done = std::move(done)](error_kind kind, std::string_view bytes) {
-            state.m_metrics->bytes().add(purpose, scope, bytes.size());
+            state.m_metrics->moved_bytes().add(purpose, scope, bytes.size());
             error reason;
             done(kind == error_kind::none ? decode_reply(bytes, reason) : std::nullopt);
         });
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -300,7 +300,7 @@
         m_state.m_next_gauges = now + gauge_interval;
         if (now >= m_state.m_next_byte_log) {
             m_state.m_next_byte_log = now + byte_log_interval;
-            log_bytes(m_state.m_metrics->bytes());
+            log_byte_counters(m_state.m_metrics->moved_bytes());
             log_store_calls();
         }
         std::map<member_state, std::uint64_t> counts;
@@ -335,12 +335,12 @@
             release_leases(m_state);
             return false;
         }
-        log_bytes(m_state.m_metrics->bytes());
+        log_byte_counters(m_state.m_metrics->moved_bytes());
         log_store_calls();
         log_event(log_level::info, "drained",
                   {{"calls_cut", static_cast<std::uint64_t>(calls_left)}});
         flush_recording();
-        batch_log(false);
+        set_log_batching(false);
         flush_log();
         m_context.stop();
         return true;
@@ -362,8 +362,8 @@
 std::unique_ptr<node> node::start(boost::asio::io_context& context, const node_settings& settings,
                                   adapter platform_adapter, const clock_source& clock,
                                   error& reason) {
-    log_identity(settings.m_instance, settings.m_data_centre, log_level::info);
-    batch_log(settings.m_flush_interval.count() > 0);
+    set_log_identity(settings.m_instance, settings.m_data_centre, log_level::info);
+    set_log_batching(settings.m_flush_interval.count() > 0);
     begin_recording(settings, clock.now());
     auto implementation =
         std::make_unique<impl>(context, settings, std::move(platform_adapter), clock);
--- a/src/node/recorded.cpp
+++ b/src/node/recorded.cpp
@@ -64,7 +64,7 @@
                           {"version", report.m_version},
                           {"first", first},
                           {"route", route},
-                          {"counts", counts_text(counts)}},
+                          {"counts", format_counts(counts)}},
                          {});
             first = false;
         }
--- a/src/observe/action_text.cpp
+++ b/src/observe/action_text.cpp
@@ -15,7 +15,7 @@
 // Longer texts are replaced by their hash, since values of log lines are cut at 1,000 bytes.
 constexpr std::size_t max_action_bytes = 900;
 
-std::string bounded(std::string text) {
+std::string hash_if_too_long(std::string text) {
     if (text.size() <= max_action_bytes) {
         return text;
     }
@@ -23,16 +23,16 @@
 }
 
 // The limit in thousandths, so that the text doesn't depend on how a number is printed.
-std::string admission_text(const admission_state& state) {
+std::string admission_state_text(const admission_state& state) {
     return fmt::format("running {} waiting {} limit {}", state.m_running, state.m_queue.size(),
                        std::llround(state.m_cold_limit * 1'000));
 }
 
-void append_calls(std::string& text, std::string_view word, std::span<const std::uint64_t> calls) {
+void append_calls(std::string& text, std::string_view label, std::span<const std::uint64_t> calls) {
     if (calls.empty()) {
         return;
     }
-    text += word;
+    text += label;
     for (const std::uint64_t call : calls) {
         fmt::format_to(std::back_inserter(text), " {}", call);
     }
@@ -40,13 +40,14 @@
 }
 
 // Reads a number up to the separator or the end, and removes both from the text.
-bool take_number(std::string_view& text, char separator, std::uint32_t& value) {
+bool consume_number(std::string_view& text, char separator, std::uint32_t& value) {
     const char* const end = text.data() + text.size();
-    const auto [rest, failed] = std::from_chars(text.data(), end, value);
-    if (failed != std::errc{} || (rest != end && *rest != separator)) {
+    const auto [number_end, parse_error] = std::from_chars(text.data(), end, value);
+    if (parse_error != std::errc{} || (number_end != end && *number_end != separator)) {
         return false;
     }
-    text.remove_prefix(static_cast<std::size_t>(rest - text.data()) + (rest == end ? 0 : 1));
+    text.remove_prefix(static_cast<std::size_t>(number_end - text.data()) +
+                       (number_end == end ? 0 : 1));
     return true;
 }
 
@@ -79,14 +80,14 @@
     if (result.m_displaced != 0) {
         text += fmt::format("displaced {}; ", result.m_displaced);
     }
-    return text + admission_text(state);
+    return text + admission_state_text(state);
 }
 
 std::string action_text(const admission_state& state, const admission_release& release) {
     std::string text;
     append_calls(text, "run", release.m_run);
     append_calls(text, "expired", release.m_expired);
-    return bounded(text + admission_text(state));
+    return hash_if_too_long(text + admission_state_text(state));
 }
 
 std::string action_text(std::span<const distribution_action> actions) {
@@ -99,21 +100,23 @@
         text += action.m_instance.empty() ? "" : " " + action.m_instance;
         text += fmt::format(" {}", action.m_version);
     }
-    return bounded(std::move(text));
+    return hash_if_too_long(std::move(text));
 }
 
 std::string action_text(const evidence_result& result) {
     static constexpr std::array<std::string_view, 3> verdicts{"undecided", "good", "bad"};
-    return bounded(fmt::format("{} {} {}", verdicts[static_cast<std::size_t>(result.m_verdict)],
-                               result.m_route, result.m_reason));
+    return hash_if_too_long(fmt::format("{} {} {}",
+                                        verdicts[static_cast<std::size_t>(result.m_verdict)],
+                                        result.m_route, result.m_reason));
 }
 
 std::string action_text(const move_step& step) {
-    return step.m_kind == move_step::kind::wait ? "wait"
-                                                : bounded("write " + encode_move(step.m_record));
+    return step.m_kind == move_step::kind::wait
+               ? "wait"
+               : hash_if_too_long("write " + encode_move(step.m_record));
 }
 
-std::string counts_text(const arm_counts& counts) {
+std::string format_counts(const arm_counts& counts) {
     std::string text =
         fmt::format("{} {} {}", counts.m_calls, counts.m_failures, counts.m_cold_calls);
     for (std::size_t i = 0; i < latency_buckets; ++i) {
@@ -126,15 +129,16 @@
 
 std::optional<arm_counts> parse_counts(std::string_view text) {
     arm_counts counts;
-    if (!take_number(text, ' ', counts.m_calls) || !take_number(text, ' ', counts.m_failures) ||
-        !take_number(text, ' ', counts.m_cold_calls)) {
+    if (!consume_number(text, ' ', counts.m_calls) ||
+        !consume_number(text, ' ', counts.m_failures) ||
+        !consume_number(text, ' ', counts.m_cold_calls)) {
         return std::nullopt;
     }
     while (!text.empty()) {
         std::uint32_t index = 0;
         std::uint32_t count = 0;
-        if (!take_number(text, ':', index) || index >= latency_buckets ||
-            !take_number(text, ' ', count)) {
+        if (!consume_number(text, ':', index) || index >= latency_buckets ||
+            !consume_number(text, ' ', count)) {
             return std::nullopt;
         }
         counts.m_latency[index] = count;
--- a/src/observe/action_text.hpp
+++ b/src/observe/action_text.hpp
@@ -31,7 +31,7 @@
 std::string action_text(const move_step& step);
 
 // Counts as "CALLS FAILURES COLD CLASS:COUNT ...", latency classes without calls left out.
-std::string counts_text(const arm_counts& counts);
+std::string format_counts(const arm_counts& counts);
 // Reads counts back; nothing if the text is none.
 std::optional<arm_counts> parse_counts(std::string_view text);
 
--- a/src/observe/byte_account.cpp
+++ b/src/observe/byte_account.cpp
@@ -8,10 +8,10 @@
 namespace caraway {
 namespace {
 
-constexpr std::array<std::string_view, byte_purposes> purpose_names{
+constexpr std::array<std::string_view, byte_purpose_count> purpose_names{
     "probe", "rumour", "join", "table", "text", "facts", "other", "call"};
-constexpr std::array<std::string_view, byte_scopes> scope_names{"own_data_centre",
-                                                                "other_data_centre", "served"};
+constexpr std::array<std::string_view, byte_scope_count> scope_names{"own_data_centre",
+                                                                     "other_data_centre", "served"};
 
 } // namespace
 
@@ -23,12 +23,12 @@
     return scope_names[static_cast<std::size_t>(value)];
 }
 
-void log_bytes(const byte_account& account) {
+void log_byte_counters(const byte_account& account) {
     std::vector<std::string> keys;
     std::vector<std::uint64_t> values;
-    for (std::size_t i = 0; i < byte_purposes * byte_scopes; ++i) {
-        const auto purpose = static_cast<byte_purpose>(i / byte_scopes);
-        const auto scope = static_cast<byte_scope>(i % byte_scopes);
+    for (std::size_t i = 0; i < byte_purpose_count * byte_scope_count; ++i) {
+        const auto purpose = static_cast<byte_purpose>(i / byte_scope_count);
+        const auto scope = static_cast<byte_scope>(i % byte_scope_count);
         const std::uint64_t bytes = account.bytes(purpose, scope);
         if (bytes != 0) {
             keys.push_back(
--- a/src/observe/byte_account.hpp
+++ b/src/observe/byte_account.hpp
@@ -21,7 +21,7 @@
     other,  // evidence and version counts
     call,   // calls to backend servers beside other nodes
 };
-constexpr std::size_t byte_purposes = 8;
+constexpr std::size_t byte_purpose_count = 8;
 
 // Returns the word for a purpose in logs and metrics.
 std::string_view byte_purpose_name(byte_purpose value);
@@ -31,7 +31,7 @@
     other_data_centre,
     served, // to and from a node that began the exchange
 };
-constexpr std::size_t byte_scopes = 3;
+constexpr std::size_t byte_scope_count = 3;
 
 // Returns the word for a scope in logs and metrics.
 std::string_view byte_scope_name(byte_scope value);
@@ -43,21 +43,22 @@
         counter(purpose, scope).fetch_add(bytes, std::memory_order_relaxed);
     }
     std::uint64_t bytes(byte_purpose purpose, byte_scope scope) const {
-        return m_bytes[place(purpose, scope)].load(std::memory_order_relaxed);
+        return m_bytes[index(purpose, scope)].load(std::memory_order_relaxed);
     }
 
 private:
-    static std::size_t place(byte_purpose purpose, byte_scope scope) {
-        return static_cast<std::size_t>(purpose) * byte_scopes + static_cast<std::size_t>(scope);
+    static std::size_t index(byte_purpose purpose, byte_scope scope) {
+        return static_cast<std::size_t>(purpose) * byte_scope_count +
+               static_cast<std::size_t>(scope);
     }
     std::atomic<std::uint64_t>& counter(byte_purpose purpose, byte_scope scope) {
-        return m_bytes[place(purpose, scope)];
+        return m_bytes[index(purpose, scope)];
     }
 
-    std::array<std::atomic<std::uint64_t>, byte_purposes * byte_scopes> m_bytes{};
+    std::array<std::atomic<std::uint64_t>, byte_purpose_count * byte_scope_count> m_bytes{};
 };
 
 // Writes one log line with all counters that are not 0.
-void log_bytes(const byte_account& account);
+void log_byte_counters(const byte_account& account);
 
 } // namespace caraway
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -20,14 +20,14 @@
 // Room for a usual line without a heap allocation.
 using line_buffer = fmt::basic_memory_buffer<char, 1'024>;
 
-struct identity {
+struct process_identity {
     std::string m_instance;
     std::string m_data_centre;
-    log_level m_least = log_level::info;
+    log_level m_min_level = log_level::info;
 };
 
-identity& current_identity() {
-    static identity value;
+process_identity& current_identity() {
+    static process_identity value;
     return value;
 }
 
@@ -51,7 +51,7 @@
 }
 
 // True for text that JSON takes between quotes as it is.
-bool is_plain(std::string_view text) {
+bool needs_no_escaping(std::string_view text) {
     for (const char c : text) {
         if (c < ' ' || c > '~' || c == '"' || c == '\\') {
             return false;
@@ -62,26 +62,26 @@
 
 // Escapes a value. Bytes that are no UTF-8 (a caller's header may hold any) are replaced, since one
 // of them would make the whole line unreadable to a JSON parser.
-std::string escape(std::string_view text) {
+std::string quote_and_escape(std::string_view text) {
     std::string escaped = boost::json::serialize(boost::json::string(text));
-    boost::json::error_code broken;
-    boost::json::parse(escaped, broken);
-    if (!broken) {
+    boost::json::error_code parse_error;
+    boost::json::parse(escaped, parse_error);
+    if (!parse_error) {
         return escaped;
     }
-    std::string ascii(text);
-    for (char& c : ascii) {
+    std::string ascii_text(text);
+    for (char& c : ascii_text) {
         if (static_cast<unsigned char>(c) >= 0x80U) {
             c = '?';
         }
     }
-    return boost::json::serialize(boost::json::string(ascii));
+    return boost::json::serialize(boost::json::string(ascii_text));
 }
 
 void append_text(line_buffer& line, std::string_view text) {
     text = text.substr(0, max_value_bytes);
-    if (!is_plain(text)) {
-        line.append(escape(text));
+    if (!needs_no_escaping(text)) {
+        line.append(quote_and_escape(text));
         return;
     }
     line.push_back('"');
@@ -110,11 +110,12 @@
 
 } // namespace
 
-void log_identity(std::string_view instance, std::string_view data_centre, log_level least) {
-    current_identity() = {std::string(instance), std::string(data_centre), least};
+void set_log_identity(std::string_view instance, std::string_view data_centre,
+                      log_level min_level) {
+    current_identity() = {std::string(instance), std::string(data_centre), min_level};
 }
 
-void log_config_version(std::uint64_t version) {
+void set_log_config_version(std::uint64_t version) {
     current_config_version().store(version, std::memory_order_relaxed);
 }
 
@@ -125,7 +126,7 @@
 // A batch of this size is written without waiting for flush_log.
 constexpr std::size_t batch_bytes = 32U << 10U;
 // Bytes that a pipe takes in one piece, and takes without blocking when it is ready.
-constexpr std::size_t pipe_bytes = 4'096;
+constexpr std::size_t atomic_pipe_write_bytes = 4'096;
 
 struct log_output {
     std::mutex m_mutex;
@@ -133,20 +134,20 @@
     bool m_batched = false;
 };
 
-log_output& output() {
+log_output& standard_output() {
     static log_output value;
     return value;
 }
 
-bool takes_bytes(int file) {
-    pollfd state{file, POLLOUT, 0};
+bool is_writable(int descriptor) {
+    pollfd state{descriptor, POLLOUT, 0};
     return ::poll(&state, 1, 0) == 1 && (state.revents & POLLOUT) != 0;
 }
 
 // Needs the mutex. The log has no other place to report its own failures.
 void write_pending(log_buffer& buffer) {
-    while (!buffer.m_pending.empty() && takes_bytes(STDOUT_FILENO)) {
-        const std::string_view chunk = next_chunk(buffer);
+    while (!buffer.m_pending.empty() && is_writable(STDOUT_FILENO)) {
+        const std::string_view chunk = next_log_chunk(buffer);
         const ssize_t written = ::write(STDOUT_FILENO, chunk.data(), chunk.size());
         if (written <= 0) {
             return;
@@ -157,45 +158,45 @@
 
 } // namespace
 
-void buffer_line(log_buffer& buffer, std::string_view line) {
+void append_to_log_buffer(log_buffer& buffer, std::string_view line) {
     if (buffer.m_pending.size() + line.size() > max_pending_bytes) {
-        ++buffer.m_dropped;
+        ++buffer.m_dropped_lines;
         return;
     }
-    if (buffer.m_dropped != 0) {
-        const std::array fields{log_field("lines", buffer.m_dropped)};
-        buffer.m_dropped = 0;
+    if (buffer.m_dropped_lines != 0) {
+        const std::array fields{log_field("lines", buffer.m_dropped_lines)};
+        buffer.m_dropped_lines = 0;
         buffer.m_pending += format_event(log_level::warning, "log_lines_dropped", fields);
     }
     buffer.m_pending += line;
 }
 
-std::string_view next_chunk(const log_buffer& buffer) {
+std::string_view next_log_chunk(const log_buffer& buffer) {
     const std::string_view pending = buffer.m_pending;
-    if (pending.size() <= pipe_bytes) {
+    if (pending.size() <= atomic_pipe_write_bytes) {
         return pending;
     }
-    const std::size_t end = pending.rfind('\n', pipe_bytes - 1);
-    return pending.substr(0, end == std::string_view::npos ? pipe_bytes : end + 1);
+    const std::size_t end = pending.rfind('\n', atomic_pipe_write_bytes - 1);
+    return pending.substr(0, end == std::string_view::npos ? atomic_pipe_write_bytes : end + 1);
 }
 
 void write_log_line(std::string_view line) {
-    log_output& out = output();
+    log_output& out = standard_output();
     const std::lock_guard lock(out.m_mutex);
-    buffer_line(out.m_buffer, line);
+    append_to_log_buffer(out.m_buffer, line);
     if (!out.m_batched || out.m_buffer.m_pending.size() >= batch_bytes) {
         write_pending(out.m_buffer);
     }
 }
 
-void batch_log(bool batched) {
-    log_output& out = output();
+void set_log_batching(bool batched) {
+    log_output& out = standard_output();
     const std::lock_guard lock(out.m_mutex);
     out.m_batched = batched;
 }
 
 void flush_log() {
-    log_output& out = output();
+    log_output& out = standard_output();
     const std::lock_guard lock(out.m_mutex);
     write_pending(out.m_buffer);
 }
@@ -204,14 +205,14 @@
 
 void append_event(line_buffer& line, log_level level, std::string_view event,
                   std::span<const log_field> fields) {
-    const identity& own = current_identity();
+    const process_identity& process = current_identity();
     fmt::format_to(fmt::appender(line), R"({{"time":{},"level":"{}","event":)",
                    unix_ms(std::chrono::system_clock::now()), level_name(level));
     append_text(line, event);
     line.append(std::string_view(R"(,"instance":)"));
-    append_text(line, own.m_instance);
+    append_text(line, process.m_instance);
     line.append(std::string_view(R"(,"data_centre":)"));
-    append_text(line, own.m_data_centre);
+    append_text(line, process.m_data_centre);
     fmt::format_to(fmt::appender(line), R"(,"config_version":{})",
                    current_config_version().load(std::memory_order_relaxed));
     for (const log_field& field : fields) {
@@ -226,7 +227,7 @@
 } // namespace
 
 void log_event(log_level level, std::string_view event, std::initializer_list<log_field> fields) {
-    if (level < current_identity().m_least) {
+    if (level < current_identity().m_min_level) {
         return;
     }
     line_buffer line;
--- a/src/observe/log.hpp
+++ b/src/observe/log.hpp
@@ -35,10 +35,10 @@
 };
 
 // Sets the fields that every line of this process carries. Call once, before other threads start.
-void log_identity(std::string_view instance, std::string_view data_centre, log_level least);
+void set_log_identity(std::string_view instance, std::string_view data_centre, log_level min_level);
 
 // Sets the configuration version that lines carry from now on.
-void log_config_version(std::uint64_t version);
+void set_log_config_version(std::uint64_t version);
 
 // Writes one line: time (Unix milliseconds), level, event, instance, data_centre, config_version,
 // then the fields. Safe from any thread; one write call per line, so lines don't mix.
@@ -54,7 +54,7 @@
 
 // True: lines wait for flush_log or for a full batch, which spares system calls. False, as at
 // first: each line is written at once, so that a killed process has said what it did.
-void batch_log(bool batched);
+void set_log_batching(bool batched);
 
 // Writes what waits, as far as standard output takes it.
 void flush_log();
@@ -62,13 +62,13 @@
 // The bounded buffer of lines that are not written yet.
 struct log_buffer {
     std::string m_pending;
-    std::uint64_t m_dropped = 0; // lines since the last one that was kept
+    std::uint64_t m_dropped_lines = 0; // lines since the last one that was kept
 };
 // Adds a line, or counts it as dropped when the buffer is full. The first line kept after a loss
 // is preceded by one that tells the number.
-void buffer_line(log_buffer& buffer, std::string_view line);
+void append_to_log_buffer(log_buffer& buffer, std::string_view line);
 // The longest run of whole lines from the front that one write to a pipe takes without mixing with
 // those of other processes.
-std::string_view next_chunk(const log_buffer& buffer);
+std::string_view next_log_chunk(const log_buffer& buffer);
 
 } // namespace caraway
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 // Edges in seconds, dense around the 0.52 ms that a node may add and the usual timeouts.
-const prometheus::Histogram::BucketBoundaries latency_edges{
+const prometheus::Histogram::BucketBoundaries latency_bucket_bounds_s{
     0.0001, 0.0002, 0.0003, 0.0005, 0.00075, 0.001, 0.002, 0.003, 0.005, 0.0075, 0.01,
     0.02,   0.03,   0.05,   0.075,  0.1,     0.2,   0.3,   0.5,   1.0,   2.0,    5.0};
 
@@ -26,28 +26,36 @@
 public:
     impl(std::string_view instance, std::string_view data_centre)
         : m_labels{{"instance", std::string(instance)}, {"data_centre", std::string(data_centre)}},
-          m_calls(counters("caraway_calls_total", "Calls that ended, by side and outcome")),
-          m_retries(counters("caraway_retries_total", "Second attempts of the entry side")),
-          m_control_bytes(counters("caraway_control_bytes_total", "Bytes of control traffic")),
-          m_moved_bytes(counters("caraway_moved_bytes_total",
+          m_calls(
+              add_counter_family("caraway_calls_total", "Calls that ended, by side and outcome")),
+          m_retries(
+              add_counter_family("caraway_retries_total", "Second attempts of the entry side")),
+          m_control_bytes(
+              add_counter_family("caraway_control_bytes_total", "Bytes of control traffic")),
+          m_moved_bytes(
+              add_counter_family("caraway_moved_bytes_total",
                                  "Bytes of exchanges with other nodes, by purpose and scope")),
-          m_store_calls(counters("caraway_store_calls_total", "Calls to the store by result")),
+          m_store_calls(
+              add_counter_family("caraway_store_calls_total", "Calls to the store by result")),
           m_latency(prometheus::BuildHistogram()
                         .Name("caraway_call_seconds")
                         .Help("Time from the request to its answer, by side")
                         .Labels(m_labels)
                         .Register(m_registry)),
-          m_entry_latency(m_latency.Add({{"side", "entry"}}, latency_edges)),
-          m_backend_latency(m_latency.Add({{"side", "backend"}}, latency_edges)),
-          m_config_version(gauges("caraway_config_version", "Configuration version in force")),
-          m_members(gauges("caraway_members", "Members known, by state")),
-          m_load(gauges("caraway_admission_calls", "Calls at the own backend server, by state")) {}
-
-    prometheus::Family<prometheus::Counter>& counters(const char* name, const char* help) {
+          m_entry_latency(m_latency.Add({{"side", "entry"}}, latency_bucket_bounds_s)),
+          m_backend_latency(m_latency.Add({{"side", "backend"}}, latency_bucket_bounds_s)),
+          m_config_version(
+              add_gauge_family("caraway_config_version", "Configuration version in force")),
+          m_members(add_gauge_family("caraway_members", "Members known, by state")),
+          m_load(add_gauge_family("caraway_admission_calls",
+                                  "Calls at the own backend server, by state")) {}
+
+    prometheus::Family<prometheus::Counter>& add_counter_family(const char* name,
+                                                                const char* help) {
         return prometheus::BuildCounter().Name(name).Help(help).Labels(m_labels).Register(
             m_registry);
     }
-    prometheus::Family<prometheus::Gauge>& gauges(const char* name, const char* help) {
+    prometheus::Family<prometheus::Gauge>& add_gauge_family(const char* name, const char* help) {
         return prometheus::BuildGauge().Name(name).Help(help).Labels(m_labels).Register(m_registry);
     }
 
@@ -55,29 +63,29 @@
     // every call; the cache needs one hash and a shared lock.
     prometheus::Counter& call_counter(std::string_view side, std::string_view service,
                                       outcome result, error_kind reason) {
-        const std::uint64_t seed = static_cast<std::uint64_t>(reason) * 2 + (side == "entry");
-        const std::uint64_t id = hash_bytes(service, seed);
+        const std::uint64_t hash_seed = static_cast<std::uint64_t>(reason) * 2 + (side == "entry");
+        const std::uint64_t cache_key = hash_bytes(service, hash_seed);
         {
             const std::shared_lock lock(m_cache_mutex);
-            const auto found = m_call_cache.find(id);
+            const auto found = m_call_cache.find(cache_key);
             if (found != m_call_cache.end()) {
                 return *found->second;
             }
         }
-        prometheus::Counter& added =
+        prometheus::Counter& new_counter =
             m_calls.Add({{"side", std::string(side)},
                          {"service", std::string(service)},
                          {"outcome", std::string(outcome_name(result))},
                          {"reason", std::string(answer_for(reason).m_name)}});
         const std::unique_lock lock(m_cache_mutex);
-        return *m_call_cache.emplace(id, &added).first->second;
+        return *m_call_cache.emplace(cache_key, &new_counter).first->second;
     }
 
     // Brings the exported counters up to the account, which is cheaper to add to.
-    void export_bytes() {
-        for (std::size_t i = 0; i < byte_purposes * byte_scopes; ++i) {
-            const auto purpose = static_cast<byte_purpose>(i / byte_scopes);
-            const auto scope = static_cast<byte_scope>(i % byte_scopes);
+    void export_moved_bytes() {
+        for (std::size_t i = 0; i < byte_purpose_count * byte_scope_count; ++i) {
+            const auto purpose = static_cast<byte_purpose>(i / byte_scope_count);
+            const auto scope = static_cast<byte_scope>(i % byte_scope_count);
             const auto bytes = static_cast<double>(m_bytes.bytes(purpose, scope));
             if (bytes > 0) {
                 auto& counter =
@@ -160,12 +168,12 @@
     m_impl->m_load.Add({{"state", "limit"}}).Set(limit);
 }
 
-byte_account& node_metrics::bytes() {
+byte_account& node_metrics::moved_bytes() {
     return m_impl->m_bytes;
 }
 
 std::string node_metrics::render() const {
-    m_impl->export_bytes();
+    m_impl->export_moved_bytes();
     return prometheus::TextSerializer().Serialize(m_impl->m_registry.Collect());
 }
 
--- a/src/observe/metrics.hpp
+++ b/src/observe/metrics.hpp
@@ -35,7 +35,7 @@
     void set_members(std::string_view state, std::uint64_t count);
     void set_load(std::uint32_t running, std::uint32_t waiting, std::uint32_t limit);
     // The bytes moved, to be added to.
-    byte_account& bytes();
+    byte_account& moved_bytes();
     // The text exposition format of all metrics.
     std::string render() const;
 
--- a/src/observe/span.cpp
+++ b/src/observe/span.cpp
@@ -12,10 +12,10 @@
 
 // Layout of a version 00 traceparent: "00-" 32 hex digits "-" 16 hex digits "-" 2 hex digits.
 constexpr std::size_t traceparent_length = 55;
-constexpr std::size_t trace_high_at = 3;
-constexpr std::size_t trace_low_at = 19;
-constexpr std::size_t span_at = 36;
-constexpr std::size_t flags_at = 53;
+constexpr std::size_t trace_high_offset = 3;
+constexpr std::size_t trace_low_offset = 19;
+constexpr std::size_t span_offset = 36;
+constexpr std::size_t flags_offset = 53;
 
 // Parses lower-case hexadecimal digits; the standard allows no others.
 std::optional<std::uint64_t> parse_hex(std::string_view digits) {
@@ -30,15 +30,15 @@
 }
 
 // A random identifier; zero means "none" in the standard.
-std::uint64_t next_identifier(random_source& random) {
+std::uint64_t random_identifier(random_source& random) {
     const std::uint64_t value = random();
     return value == 0 ? 1 : value;
 }
 
 std::optional<trace_context> parse_traceparent(std::string_view text) {
     // Later versions may add fields behind another dash; the first four keep their place.
-    if (text.size() < traceparent_length || text[2] != '-' || text[span_at - 1] != '-' ||
-        text[flags_at - 1] != '-' || text.substr(0, 2) == "ff") {
+    if (text.size() < traceparent_length || text[2] != '-' || text[span_offset - 1] != '-' ||
+        text[flags_offset - 1] != '-' || text.substr(0, 2) == "ff") {
         return std::nullopt;
     }
     if (text.size() > traceparent_length &&
@@ -46,10 +46,10 @@
         return std::nullopt;
     }
     const auto version = parse_hex(text.substr(0, 2));
-    const auto high = parse_hex(text.substr(trace_high_at, 16));
-    const auto low = parse_hex(text.substr(trace_low_at, 16));
-    const auto parent = parse_hex(text.substr(span_at, 16));
-    const auto flags = parse_hex(text.substr(flags_at, 2));
+    const auto high = parse_hex(text.substr(trace_high_offset, 16));
+    const auto low = parse_hex(text.substr(trace_low_offset, 16));
+    const auto parent = parse_hex(text.substr(span_offset, 16));
+    const auto flags = parse_hex(text.substr(flags_offset, 2));
     if (!version || !high || !low || !parent || !flags || (*high == 0 && *low == 0) ||
         *parent == 0) {
         return std::nullopt;
@@ -64,10 +64,10 @@
     if (const auto parsed = parse_traceparent(traceparent)) {
         context = *parsed;
     } else {
-        context.m_trace_high = next_identifier(random);
-        context.m_trace_low = next_identifier(random);
+        context.m_trace_high = random_identifier(random);
+        context.m_trace_low = random_identifier(random);
     }
-    context.m_span = next_identifier(random);
+    context.m_span = random_identifier(random);
     return context;
 }
 
@@ -88,7 +88,8 @@
     fmt::format_to(parent.data(), "{:016x}", context.m_parent);
     const auto start_us =
         std::chrono::duration_cast<std::chrono::microseconds>(record.m_start.time_since_epoch());
-    const auto took_us = std::chrono::duration_cast<std::chrono::microseconds>(record.m_took);
+    const auto duration_us =
+        std::chrono::duration_cast<std::chrono::microseconds>(record.m_span_duration);
     log_event(log_level::info, "span",
               {{"trace", std::string_view(trace.data(), trace.size())},
                {"span", std::string_view(span.data(), span.size())},
@@ -101,7 +102,7 @@
                {"outcome", record.m_outcome},
                {"reason", record.m_reason},
                {"start_us", static_cast<std::int64_t>(start_us.count())},
-               {"took_us", static_cast<std::int64_t>(took_us.count())}});
+               {"took_us", static_cast<std::int64_t>(duration_us.count())}});
 }
 
 } // namespace caraway
--- a/src/observe/span.hpp
+++ b/src/observe/span.hpp
@@ -35,7 +35,7 @@
     std::string_view m_outcome;
     std::string_view m_reason;
     wall_time m_start;
-    duration m_took{};
+    duration m_span_duration{};
 };
 
 // Writes the span as one log line with the event name "span".
--- a/src/traffic/entry_side.cpp
+++ b/src/traffic/entry_side.cpp
@@ -274,7 +274,7 @@
     }
     const byte_scope scope =
         backend.m_own_data_centre ? byte_scope::own_data_centre : byte_scope::other_data_centre;
-    byte_account& byte_counts = context.m_metrics.bytes();
+    byte_account& byte_counts = context.m_metrics.moved_bytes();
     byte_counts.add(byte_purpose::call, scope, message_bytes(request));
     const bool first_request = peer_connection->m_first_request;
     const auto matches = [number, first_request](const http_response& candidate) {
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -174,7 +174,7 @@
 // Guards against a node that reports ready before its configuration is in force or while it leaves,
 // that reports unhealthy while it drains, and against missing fields in the status page.
 BOOST_AUTO_TEST_CASE(admin_pages_follow_the_state_of_the_node) {
-    log_identity("test", "north", log_level::error);
+    set_log_identity("test", "north", log_level::error);
     asio::io_context io;
     const system_clock_source clock;
     node_settings settings;
--- a/tests/observe_test.cpp
+++ b/tests/observe_test.cpp
@@ -30,9 +30,9 @@
 }
 
 // Guards against a recorder that grows without bound when nobody writes, or that hides a gap.
-BOOST_AUTO_TEST_CASE(recorded_inputs_are_bounded_and_gaps_are_named) {
+BOOST_AUTO_TEST_CASE(recorded_inputs_are_bounded_and_gaps_are_logged) {
     BOOST_TEST(!is_recording());
-    log_identity("test", "north", log_level::info); // the gap is a warning
+    set_log_identity("test", "north", log_level::info); // the gap is a warning
     const std::string text = captured_log([] {
         start_recording(2);
         for (int i = 0; i < 5; ++i) {
@@ -50,10 +50,10 @@
 }
 
 // Guards against a line that exceeds what a pipe takes in one piece.
-BOOST_AUTO_TEST_CASE(long_values_are_cut) {
-    const std::string longer(20'000, 'x');
-    const std::string line = captured_log([&longer] {
-        log_event(log_level::error, "probe", {{"value", longer}});
+BOOST_AUTO_TEST_CASE(long_values_are_truncated) {
+    const std::string long_value(20'000, 'x');
+    const std::string line = captured_log([&long_value] {
+        log_event(log_level::error, "probe", {{"value", long_value}});
     });
     BOOST_TEST(line.size() < 4'096U);
     BOOST_TEST(boost::json::parse(line).at("value").as_string().size() == 1'000U);
@@ -62,12 +62,12 @@
 // Guards against a trace that is cut at a hop.
 BOOST_AUTO_TEST_CASE(trace_context_round_trips) {
     random_source random(1);
-    const trace_context first = continue_trace("", random);
-    const trace_context second = continue_trace(format_traceparent(first), random);
-    BOOST_TEST(second.m_trace_high == first.m_trace_high);
-    BOOST_TEST(second.m_trace_low == first.m_trace_low);
-    BOOST_TEST(second.m_parent == first.m_span);
-    BOOST_TEST(second.m_span != first.m_span);
+    const trace_context first_hop = continue_trace("", random);
+    const trace_context second_hop = continue_trace(format_traceparent(first_hop), random);
+    BOOST_TEST(second_hop.m_trace_high == first_hop.m_trace_high);
+    BOOST_TEST(second_hop.m_trace_low == first_hop.m_trace_low);
+    BOOST_TEST(second_hop.m_parent == first_hop.m_span);
+    BOOST_TEST(second_hop.m_span != first_hop.m_span);
 }
 
 // Guards against identifiers that the standard forbids.
@@ -99,20 +99,20 @@
 
 // Guards against a log that grows without bound, or hides that it lost lines, while nobody reads
 // it.
-BOOST_AUTO_TEST_CASE(a_full_log_drops_lines_and_says_how_many) {
+BOOST_AUTO_TEST_CASE(full_log_buffer_drops_lines_and_logs_their_number) {
     log_buffer buffer;
     const std::string line(1'000, 'x');
     for (int i = 0; i < 2'000; ++i) {
-        buffer_line(buffer, line + "\n");
+        append_to_log_buffer(buffer, line + "\n");
     }
     BOOST_TEST(buffer.m_pending.size() <= std::size_t{1} << 20U);
-    BOOST_TEST(buffer.m_dropped > 900U);
-    BOOST_TEST(next_chunk(buffer).size() == 4 * (line.size() + 1));
+    BOOST_TEST(buffer.m_dropped_lines > 900U);
+    BOOST_TEST(next_log_chunk(buffer).size() == 4 * (line.size() + 1));
     buffer.m_pending.clear();
-    const std::string dropped = std::to_string(buffer.m_dropped);
-    buffer_line(buffer, "next\n");
+    const std::string dropped_lines = std::to_string(buffer.m_dropped_lines);
+    append_to_log_buffer(buffer, "next\n");
     BOOST_TEST(contains(buffer.m_pending, "log_lines_dropped"));
-    BOOST_TEST(contains(buffer.m_pending, "\"lines\":" + dropped));
+    BOOST_TEST(contains(buffer.m_pending, "\"lines\":" + dropped_lines));
     BOOST_TEST(buffer.m_pending.ends_with("next\n"));
 }
 
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -20,11 +20,11 @@
     R"("services":[{"name":"s1","max_connections":110,"warmup_per_s":14.0},)"
     R"({"name":"s2","max_connections":60}]})";
 
-store_entry item(std::string key, std::string value, std::uint64_t revision = 5) {
+store_entry make_entry(std::string key, std::string value, std::uint64_t revision = 5) {
     return {std::move(key), revision, std::move(value), false};
 }
 
-std::string changed(std::string_view text, std::string_view from, std::string_view to) {
+std::string with_replacement(std::string_view text, std::string_view from, std::string_view to) {
     std::string out(text);
     const std::size_t at = out.find(from);
     BOOST_REQUIRE_MESSAGE(at != std::string::npos, from);
@@ -51,23 +51,23 @@
 BOOST_AUTO_TEST_CASE(operator_items_become_one_mesh) {
     error reason;
     const std::vector<store_entry> items{
-        item("op/config", std::string(config_text)), item("op/evacuate/z2", "{}"),
-        item("op/rollout/s1", R"({"service":"s1","target_version":"v2","duration_s":12})", 9),
-        item("op/unknown", "what")};
+        make_entry("op/config", std::string(config_text)), make_entry("op/evacuate/z2", "{}"),
+        make_entry("op/rollout/s1", R"({"service":"s1","target_version":"v2","duration_s":12})", 9),
+        make_entry("op/unknown", "what")};
     const auto read = platform::parse_operator_items(items, reason);
     BOOST_REQUIRE_MESSAGE(read, reason.m_text);
-    const route_spec* plain = match_route(*read, "h.example", "/a/x");
-    BOOST_REQUIRE(plain);
-    BOOST_TEST(plain->m_service == "s1");
-    BOOST_TEST(!plain->m_idempotent);
-    BOOST_TEST((plain->m_urgency == urgency::normal));
-    BOOST_TEST((plain->m_target_latency == milliseconds(800)));
-    const route_spec* split = match_route(*read, "h.example", "/a/b/c?q=1");
-    BOOST_REQUIRE(split);
-    BOOST_TEST(split->m_split.size() == 2U);
-    BOOST_TEST(split->m_split[0].m_weight == 90U);
-    BOOST_TEST(split->m_attempts == 3U);
-    BOOST_TEST((split->m_urgency == urgency::background));
+    const route_spec* plain_route = match_route(*read, "h.example", "/a/x");
+    BOOST_REQUIRE(plain_route);
+    BOOST_TEST(plain_route->m_service == "s1");
+    BOOST_TEST(!plain_route->m_idempotent);
+    BOOST_TEST((plain_route->m_urgency == urgency::normal));
+    BOOST_TEST((plain_route->m_target_latency == milliseconds(800)));
+    const route_spec* split_route = match_route(*read, "h.example", "/a/b/c?q=1");
+    BOOST_REQUIRE(split_route);
+    BOOST_TEST(split_route->m_split.size() == 2U);
+    BOOST_TEST(split_route->m_split[0].m_weight == 90U);
+    BOOST_TEST(split_route->m_attempts == 3U);
+    BOOST_TEST((split_route->m_urgency == urgency::background));
     BOOST_TEST(!match_route(*read, "other.example", "/a/x"));
     BOOST_TEST(!match_route(*read, "h.example", "/ab/x"));
     BOOST_TEST(read->m_services.at("s1").m_warmup_calls_per_second == 14.0);
@@ -81,7 +81,7 @@
 }
 
 // Guards against a configuration or an order that is applied in part.
-BOOST_AUTO_TEST_CASE(unreadable_items_are_refused_whole) {
+BOOST_AUTO_TEST_CASE(unreadable_items_are_rejected_as_a_whole) {
     const std::vector<std::pair<std::string_view, std::string_view>> faults{
         {R"("timeout_ms":2500)", R"("timeout_ms":"2500")"},
         {R"("kind":"idempotent")", R"("kind":"sometimes")"},
@@ -91,15 +91,16 @@
         {R"("services":[)", R"("services":[1,)"}};
     for (const auto& [from, to] : faults) {
         error reason;
-        const std::vector<store_entry> items{item("op/config", changed(config_text, from, to))};
+        const std::vector<store_entry> items{
+            make_entry("op/config", with_replacement(config_text, from, to))};
         BOOST_TEST(!platform::parse_operator_items(items, reason), to);
         BOOST_TEST((reason.m_kind == error_kind::invalid_text), to);
     }
     error reason;
     BOOST_TEST(!platform::parse_operator_items({}, reason));
     const std::vector<store_entry> bad_order{
-        item("op/config", std::string(config_text)),
-        item("op/rollout/s9", R"({"service":"s9","target_version":"v2","duration_s":12})")};
+        make_entry("op/config", std::string(config_text)),
+        make_entry("op/rollout/s9", R"({"service":"s9","target_version":"v2","duration_s":12})")};
     BOOST_TEST(!platform::parse_operator_items(bad_order, reason));
 }
 
@@ -126,7 +127,7 @@
 }
 
 // Guards against reports of other writers that would name a server to use.
-BOOST_AUTO_TEST_CASE(reports_are_read_whole_or_refused) {
+BOOST_AUTO_TEST_CASE(reports_are_read_completely_or_rejected) {
     error reason;
     const auto read = platform::decode_report("i-1", report_text, reason);
     BOOST_REQUIRE_MESSAGE(read, reason.m_text);
@@ -146,7 +147,8 @@
         {R"("address":"10.1.0.2:80")", R"("address":"somewhere")"},
         {"}}", "}"}};
     for (const auto& [from, to] : faults) {
-        BOOST_TEST(!platform::decode_report("i-1", changed(report_text, from, to), reason), to);
+        BOOST_TEST(!platform::decode_report("i-1", with_replacement(report_text, from, to), reason),
+                   to);
         BOOST_TEST((reason.m_kind == error_kind::bad_request), to);
     }
     BOOST_TEST(!platform::decode_report("", report_text, reason));
@@ -168,15 +170,16 @@
     BOOST_TEST((decode(op::put, 503, "").m_kind == error_kind::store_unreachable));
     BOOST_TEST((decode(op::put, 500, "").m_kind == error_kind::store_outcome_unknown));
     BOOST_TEST((decode(op::put, 200, "{}").m_kind == error_kind::store_outcome_unknown));
-    const auto lost = decode(op::put, 412, R"({"items":[{"key":"a/b","value":"","revision":8}]})");
-    BOOST_TEST((lost.m_kind == error_kind::store_conflict));
-    BOOST_TEST(lost.m_revision == 8U);
+    const auto conflict =
+        decode(op::put, 412, R"({"items":[{"key":"a/b","value":"","revision":8}]})");
+    BOOST_TEST((conflict.m_kind == error_kind::store_conflict));
+    BOOST_TEST(conflict.m_revision == 8U);
     BOOST_TEST(decode(op::put, 200, R"({"revision":412})").m_revision == 412U);
     BOOST_TEST(decode(op::create_lease, 200, R"({"lease":77,"ttl_ms":3000})").m_lease == "77");
 }
 
 // Guards against values that change on the way, and pages that are taken for the whole list.
-BOOST_AUTO_TEST_CASE(store_values_and_pages_are_read_exactly) {
+BOOST_AUTO_TEST_CASE(store_values_and_pages_are_decoded_exactly) {
     using op = store_operation;
     const std::string bytes("a\0\xff z", 5);
     store_command put;
@@ -203,11 +206,12 @@
         op::watch, 200, R"({"events":[{"key":"a","revision":3,"deleted":true}],"current_rev":3})");
     BOOST_REQUIRE(events.m_entries.size() == 1U);
     BOOST_TEST(events.m_entries[0].m_deleted);
-    for (const std::string_view broken :
+    for (const std::string_view malformed_body :
          {R"({"items":[{"key":"a","value":"?","revision":3}],"current_rev":9})",
           R"({"items":[{"value":"","revision":3}],"current_rev":9})", R"({"items":[]})", "[", ""}) {
-        BOOST_TEST((decode(op::list, 200, broken).m_kind == error_kind::store_outcome_unknown),
-                   broken);
+        BOOST_TEST(
+            (decode(op::list, 200, malformed_body).m_kind == error_kind::store_outcome_unknown),
+            malformed_body);
     }
 }
 
--- a/tests/traffic_fixture.hpp
+++ b/tests/traffic_fixture.hpp
@@ -351,7 +351,7 @@
 class mesh_fixture {
 public:
     mesh_fixture() {
-        log_identity("test", "north", log_level::error);
+        set_log_identity("test", "north", log_level::error);
         add_node("entry", "front", 1);
     }
 
--- a/tests/traffic_test.cpp
+++ b/tests/traffic_test.cpp
@@ -525,12 +525,12 @@
         reasons.insert(reason);
     }
     // Probes start 1 s after the start of the node and end within another second.
-    log_identity("test", "north", log_level::info);
+    set_log_identity("test", "north", log_level::info);
     const std::string log = captured_log([this] {
         start();
         std::this_thread::sleep_for(milliseconds(2'500));
     });
-    log_identity("test", "north", log_level::error);
+    set_log_identity("test", "north", log_level::error);
     std::multiset<std::string> logged;
     std::multiset<std::int64_t> statuses;
     std::istringstream lines(log);
