--- a/src/observe/action_text.cpp
+++ b/src/observe/action_text.cpp
@@ -12,9 +12,11 @@
 namespace caraway {
 namespace {
 
-// Longer texts are replaced by their hash, since values of log lines are cut at 1,000 bytes.
+// Longer texts are replaced by their size and hash, because values of log lines are truncated to
+// 1,000 bytes.
 constexpr std::size_t max_action_bytes = 900;
 
+// Returns the text, or its size and hash if it is too long for a log line.
 std::string hash_if_too_long(std::string text) {
     if (text.size() <= max_action_bytes) {
         return text;
@@ -22,7 +24,7 @@
     return fmt::format("{} bytes with hash {:016x}", text.size(), hash_bytes(text));
 }
 
-// The limit in thousandths, so that the text doesn't depend on how a number is printed.
+// Formats the limit in thousandths, so that the text doesn't depend on floating-point formatting.
 std::string admission_state_text(const admission_state& state) {
     return fmt::format("running {} waiting {} limit {}", state.m_running, state.m_queue.size(),
                        std::llround(state.m_cold_limit * 1'000));
@@ -39,7 +41,8 @@
     text += "; ";
 }
 
-// Reads a number up to the separator or the end, and removes both from the text.
+// Parses a number that ends at the separator or at the end of the text, and removes both from the
+// text. Returns false if there is no such number.
 bool consume_number(std::string_view& text, char separator, std::uint32_t& value) {
     const char* const end = text.data() + text.size();
     const auto [number_end, parse_error] = std::from_chars(text.data(), end, value);
--- a/src/observe/action_text.hpp
+++ b/src/observe/action_text.hpp
@@ -1,5 +1,5 @@
-// Text forms of what the decision code returns, for recorded inputs and their replay. Both sides
-// use these functions, so equal actions give equal texts.
+// Formats the results of the decision code as text, for recordings and their replay. The recorder
+// and the replay both call these functions, so equal results produce equal texts.
 #pragma once
 
 #include <optional>
@@ -14,25 +14,28 @@
 
 namespace caraway {
 
-// The request chosen, with the state that the keeper is in after it.
+// Returns the chosen lease request and the keeper's state after it.
 std::string action_text(const lease_keeper& keeper, lease_request request);
 
-// The verdict on an offered call, with the running calls and the limit after it.
+// Returns the verdict on an offered call, and the running calls, waiting calls and limit after it.
 std::string action_text(const admission_state& state, const admission_result& result);
-// The waiting calls that may run or expired, with the running calls and the limit after it.
+// Returns the waiting calls that may now run or have expired, and the running calls, waiting calls
+// and limit after that.
 std::string action_text(const admission_state& state, const admission_release& release);
 
-// The actions in order, as "fetch east-1 3;announce 4;parse 4"; empty if there are none.
+// Returns the actions in order, such as "fetch east-1 3;announce 4;parse 4". Empty if there are
+// none.
 std::string action_text(std::span<const distribution_action> actions);
 
-// The verdict with route and reason.
+// Returns the verdict with its route and reason.
 std::string action_text(const evidence_result& result);
-// "wait", or "write" with the record as the store gets it.
+// Returns "wait", or "write" followed by the record as it is written to the store.
 std::string action_text(const move_step& step);
 
-// Counts as "CALLS FAILURES COLD CLASS:COUNT ...", latency classes without calls left out.
+// Formats counts as "CALLS FAILURES COLD CLASS:COUNT ...". Latency classes without calls are
+// omitted.
 std::string format_counts(const arm_counts& counts);
-// Reads counts back; nothing if the text is none.
+// Parses the output of format_counts. Returns nothing if the text is malformed.
 std::optional<arm_counts> parse_counts(std::string_view text);
 
 } // namespace caraway
--- a/src/observe/byte_account.hpp
+++ b/src/observe/byte_account.hpp
@@ -1,6 +1,6 @@
-// The bytes that a node's exchanges with others move, by purpose and by whether they leave its data
-// centre. Each exchange is counted at the node that began it, so that a sum over nodes counts
-// nothing twice; what a node serves for others is counted apart.
+// Counts the bytes that a node exchanges with other nodes, by purpose and by whether they leave its
+// data centre. The node that starts an exchange counts it in a data centre scope, so a sum over all
+// nodes counts nothing twice. The node that serves the exchange counts it in a separate scope.
 #pragma once
 
 #include <array>
@@ -12,31 +12,31 @@
 namespace caraway {
 
 enum class byte_purpose : std::uint8_t {
-    probe,  // pings and their answers
-    rumour, // news between the probes
-    join,   // member tables of joining nodes
+    probe,  // pings and their replies
+    rumour, // gossip sent between the probes
+    join,   // member tables sent to joining nodes
     table,  // comparisons of member tables
-    text,   // configuration texts and differences
+    text,   // configuration texts and deltas
     facts,  // suspensions and move records
     other,  // evidence and version counts
     call,   // calls to backend servers beside other nodes
 };
 constexpr std::size_t byte_purpose_count = 8;
 
-// Returns the word for a purpose in logs and metrics.
+// Returns the name of a purpose as it appears in logs and metrics.
 std::string_view byte_purpose_name(byte_purpose value);
 
 enum class byte_scope : std::uint8_t {
     own_data_centre,
     other_data_centre,
-    served, // to and from a node that began the exchange
+    served, // exchange that another node started
 };
 constexpr std::size_t byte_scope_count = 3;
 
-// Returns the word for a scope in logs and metrics.
+// Returns the name of a scope as it appears in logs and metrics.
 std::string_view byte_scope_name(byte_scope value);
 
-// Counters since the start of the process; safe from any thread.
+// Counts bytes since the start of the process. Safe to use from any thread.
 class byte_account {
 public:
     void add(byte_purpose purpose, byte_scope scope, std::uint64_t bytes) {
@@ -58,7 +58,7 @@
     std::array<std::atomic<std::uint64_t>, byte_purpose_count * byte_scope_count> m_bytes{};
 };
 
-// Writes one log line with all counters that are not 0.
+// Writes one log line with all non-zero counters, each named "PURPOSE.SCOPE".
 void log_byte_counters(const byte_account& account);
 
 } // namespace caraway
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -13,13 +13,14 @@
 namespace caraway {
 namespace {
 
-// Longer values are cut. Together with few fields this keeps a line below the 4 KiB up to which a
-// write to a pipe is atomic, so lines of several threads and processes don't mix.
+// Longer values are truncated. With a small number of fields, this keeps a line below 4 KiB, the
+// limit of an atomic write to a pipe, so lines of several threads and processes don't interleave.
 constexpr std::size_t max_value_bytes = 1'000;
 
-// Room for a usual line without a heap allocation.
+// Holds a line of usual length without a heap allocation.
 using line_buffer = fmt::basic_memory_buffer<char, 1'024>;
 
+// Identity in every line, and the lowest level that log_event writes.
 struct process_identity {
     std::string m_instance;
     std::string m_data_centre;
@@ -50,7 +51,7 @@
     return "error";
 }
 
-// True for text that JSON takes between quotes as it is.
+// Returns whether the text is valid between the quotes of a JSON string without escaping.
 bool needs_no_escaping(std::string_view text) {
     for (const char c : text) {
         if (c < ' ' || c > '~' || c == '"' || c == '\\') {
@@ -60,8 +61,9 @@
     return true;
 }
 
-// Escapes a value. Bytes that are no UTF-8 (a caller's header may hold any) are replaced, since one
-// of them would make the whole line unreadable to a JSON parser.
+// Returns the text as a quoted JSON string. If the text isn't valid UTF-8, as a caller's header may
+// be, replaces all non-ASCII bytes with '?', because an invalid one makes a JSON parser reject the
+// whole line.
 std::string quote_and_escape(std::string_view text) {
     std::string escaped = boost::json::serialize(boost::json::string(text));
     boost::json::error_code parse_error;
@@ -96,7 +98,7 @@
     line.append(value ? std::string_view("true") : std::string_view("false"));
 }
 void append_value(line_buffer& line, double value) {
-    // JSON has no infinity and no not-a-number.
+    // JSON can't represent infinity or NaN.
     if (!std::isfinite(value)) {
         line.append(std::string_view("null"));
         return;
@@ -121,11 +123,12 @@
 
 namespace {
 
-// Lines that may wait for a reader of standard output.
+// Capacity of the buffer for lines that standard output doesn't accept yet.
 constexpr std::size_t max_pending_bytes = 1U << 20U;
 // A batch of this size is written without waiting for flush_log.
 constexpr std::size_t batch_bytes = 32U << 10U;
-// Bytes that a pipe takes in one piece, and takes without blocking when it is ready.
+// Largest write to a pipe that is atomic. A pipe that poll reports as writable accepts it without
+// blocking.
 constexpr std::size_t atomic_pipe_write_bytes = 4'096;
 
 struct log_output {
@@ -139,12 +142,14 @@
     return value;
 }
 
+// Returns whether a write to the descriptor wouldn't block now.
 bool is_writable(int descriptor) {
     pollfd state{descriptor, POLLOUT, 0};
     return ::poll(&state, 1, 0) == 1 && (state.revents & POLLOUT) != 0;
 }
 
-// Needs the mutex. The log has no other place to report its own failures.
+// Writes buffered lines until standard output would block. The caller holds the mutex. Write errors
+// are ignored, because the log has no other place to report them; the lines stay buffered.
 void write_pending(log_buffer& buffer) {
     while (!buffer.m_pending.empty() && is_writable(STDOUT_FILENO)) {
         const std::string_view chunk = next_log_chunk(buffer);
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -15,7 +15,8 @@
 namespace caraway {
 namespace {
 
-// Edges in seconds, dense around the 0.52 ms that a node may add and the usual timeouts.
+// Upper bounds in seconds, dense around the usual timeouts and around 0.52 ms, the latency that a
+// node may add.
 const prometheus::Histogram::BucketBoundaries latency_bucket_bounds_s{
     0.0001, 0.0002, 0.0003, 0.0005, 0.00075, 0.001, 0.002, 0.003, 0.005, 0.0075, 0.01,
     0.02,   0.03,   0.05,   0.075,  0.1,     0.2,   0.3,   0.5,   1.0,   2.0,    5.0};
@@ -59,8 +60,8 @@
         return prometheus::BuildGauge().Name(name).Help(help).Labels(m_labels).Register(m_registry);
     }
 
-    // The counter of one combination of labels. The family would build and compare label maps for
-    // every call; the cache needs one hash and a shared lock.
+    // Returns the counter of one combination of labels, from a cache. Family::Add would build and
+    // compare label maps for every call, but the cache needs only one hash and a shared lock.
     prometheus::Counter& call_counter(std::string_view side, std::string_view service,
                                       outcome result, error_kind reason) {
         const std::uint64_t hash_seed = static_cast<std::uint64_t>(reason) * 2 + (side == "entry");
@@ -81,7 +82,8 @@
         return *m_call_cache.emplace(cache_key, &new_counter).first->second;
     }
 
-    // Brings the exported counters up to the account, which is cheaper to add to.
+    // Updates the exported counters from the byte account. Callers add to the account, because
+    // adding to it is cheaper than to the counters.
     void export_moved_bytes() {
         for (std::size_t i = 0; i < byte_purpose_count * byte_scope_count; ++i) {
             const auto purpose = static_cast<byte_purpose>(i / byte_scope_count);
--- a/src/observe/metrics.hpp
+++ b/src/observe/metrics.hpp
@@ -1,4 +1,4 @@
-// Prometheus metrics of a node. The registry is prometheus-cpp's; its headers stay in metrics.cpp.
+// Prometheus metrics of a node. Only metrics.cpp includes the headers of prometheus-cpp.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace caraway {
 
-// All metrics of one node process.
+// Holds all metrics of one node process. Every metric is labelled with instance and data centre.
 class node_metrics {
 public:
     static std::unique_ptr<node_metrics> create(std::string_view instance,
@@ -23,20 +23,24 @@
     node_metrics& operator=(node_metrics&&) = delete;
     ~node_metrics();
 
-    // Counts a call that ended; side is "entry" or "backend".
+    // Counts a finished call and records its latency. side is "entry" or "backend".
     void count_call(std::string_view side, std::string_view service, outcome result,
                     error_kind reason, duration latency);
+    // Counts a second attempt of the entry side.
     void count_retry(std::string_view service);
-    // Control bytes sent or received; channel is "udp", "bulk" or "store".
+    // Adds bytes of control traffic. channel is "udp", "bulk" or "store".
     void count_control_bytes(std::string_view channel, std::uint64_t sent, std::uint64_t received);
+    // Counts a call to the key-value store by its result.
     void count_store_call(std::string_view operation, error_kind result);
     void set_config_version(std::uint64_t version);
-    // state is a name of member_state_name.
+    // Sets the number of known members in a state, which is a name that member_state_name returns.
     void set_members(std::string_view state, std::uint64_t count);
+    // Sets the running and waiting calls of the own backend server and its concurrency limit.
     void set_load(std::uint32_t running, std::uint32_t waiting, std::uint32_t limit);
-    // The bytes moved, to be added to.
+    // Returns the counters of bytes exchanged with other nodes, for the caller to add to. Owned by
+    // this object.
     byte_account& moved_bytes();
-    // The text exposition format of all metrics.
+    // Returns all metrics in the Prometheus text exposition format.
     std::string render() const;
 
 private:
--- a/src/observe/recorder.cpp
+++ b/src/observe/recorder.cpp
@@ -11,7 +11,7 @@
 
 struct recording_state {
     std::atomic<bool> m_enabled{false};
-    std::mutex m_mutex; // never held over input or output
+    std::mutex m_mutex; // never held during I/O
     std::size_t m_max_queued_lines = 0;
     std::vector<std::string> m_lines;
     std::uint64_t m_dropped = 0;
@@ -42,8 +42,7 @@
     all_fields.emplace_back("action", action);
     std::string line = format_event(log_level::info, decision_event, all_fields);
     const std::lock_guard lock(state.m_mutex);
-    // Once one line is dropped the later ones are useless to a replay, until the next flush has
-    // noted the gap.
+    // After a dropped line, a replay can't use later ones until the next flush has logged the gap.
     if (state.m_dropped > 0 || state.m_lines.size() >= state.m_max_queued_lines) {
         ++state.m_dropped;
         return;
--- a/src/observe/recorder.hpp
+++ b/src/observe/recorder.hpp
@@ -1,5 +1,6 @@
-// Records the inputs of decisions with the actions that came out, as log lines of the event
-// "decision", for replay (src/ctl/replay.hpp). Off unless the setting log.record_lines is above 0.
+// Records the inputs of the decision code and the resulting actions for replay
+// (src/ctl/replay.hpp), as log lines with the event "decision". Disabled unless the setting
+// log.record_lines is above 0.
 #pragma once
 
 #include <cstddef>
@@ -12,23 +13,26 @@
 namespace caraway {
 
 constexpr std::string_view decision_event = "decision";
-// Written in the place of inputs that were dropped because too many waited; a replay ends there.
+// Written in place of inputs that were dropped because the queue was full. A replay ends there.
 constexpr std::string_view dropped_decisions_event = "decisions_dropped";
 
-// Starts recording for the rest of the process. At most max_lines wait to be written, further ones
-// are dropped and counted. Call after set_log_identity, before other threads start.
+// Starts recording for the rest of the process, or stops it if max_lines is 0. At most max_lines
+// are queued, and further ones are dropped and counted. Call after set_log_identity, before other
+// threads start.
 void start_recording(std::size_t max_lines);
 
-// True when inputs are recorded. Costs one relaxed load; callers check it before they build fields.
+// Returns whether inputs are recorded. Costs one relaxed load, so callers check it before they
+// build the fields.
 bool is_recording();
 
-// Queues one input: the part of the decision code, the input's name, the time that the decision
-// saw, the input's fields, and the action in text form (see observe/action_text.hpp). Safe from any
-// thread and under a lock, since it writes nothing. Lines keep the order of the calls.
+// Queues one input: the component of the decision code, the input's name, the time passed to the
+// decision code, the input's fields, and the action as text (see observe/action_text.hpp). Performs
+// no I/O, so it is safe to call from any thread and while a lock is held. Lines keep the order of
+// the calls.
 void record_input(std::string_view component, std::string_view input, time_point now,
                   std::initializer_list<log_field> fields, std::string_view action);
 
-// Writes the queued lines. Called by the control loop, with no lock held.
+// Writes the queued lines. The control loop calls it without holding a lock.
 void flush_recording();
 
 } // namespace caraway
--- a/src/observe/span.cpp
+++ b/src/observe/span.cpp
@@ -10,14 +10,15 @@
 namespace caraway {
 namespace {
 
-// Layout of a version 00 traceparent: "00-" 32 hex digits "-" 16 hex digits "-" 2 hex digits.
+// Layout of a version 00 traceparent: "00-", 32 hexadecimal digits, "-", 16 digits, "-", 2 digits.
 constexpr std::size_t traceparent_length = 55;
 constexpr std::size_t trace_high_offset = 3;
 constexpr std::size_t trace_low_offset = 19;
 constexpr std::size_t span_offset = 36;
 constexpr std::size_t flags_offset = 53;
 
-// Parses lower-case hexadecimal digits; the standard allows no others.
+// Parses lower-case hexadecimal digits. Returns nothing for other characters, since the standard
+// doesn't allow upper case.
 std::optional<std::uint64_t> parse_hex(std::string_view digits) {
     for (const char c : digits) {
         if ((c < '0' || c > '9') && (c < 'a' || c > 'f')) {
@@ -29,14 +30,14 @@
     return value;
 }
 
-// A random identifier; zero means "none" in the standard.
+// Returns a random identifier other than 0, which the standard defines as invalid.
 std::uint64_t random_identifier(random_source& random) {
     const std::uint64_t value = random();
     return value == 0 ? 1 : value;
 }
 
 std::optional<trace_context> parse_traceparent(std::string_view text) {
-    // Later versions may add fields behind another dash; the first four keep their place.
+    // Later versions may append fields after another dash, but the first four keep their positions.
     if (text.size() < traceparent_length || text[2] != '-' || text[span_offset - 1] != '-' ||
         text[flags_offset - 1] != '-' || text.substr(0, 2) == "ff") {
         return std::nullopt;
--- a/tests/observe_test.cpp
+++ b/tests/observe_test.cpp
@@ -1,4 +1,4 @@
-// Tests of log lines, spans and metrics.
+// Tests of log lines, recorded inputs, spans and metrics.
 #include <algorithm>
 #include <array>
 #include <string>
@@ -15,7 +15,8 @@
 
 BOOST_AUTO_TEST_SUITE(observe)
 
-// Guards against a caller's header that breaks the line or forges a second one.
+// Guards against a malformed line or a forged second line when a logged value, such as a caller's
+// header, contains quotes, line breaks or invalid UTF-8.
 BOOST_AUTO_TEST_CASE(log_lines_stay_valid_json_with_hostile_values) {
     const std::string hostile = "a\"\n{\"event\":\"forged\"}\xff\x01";
     const std::string line = captured_log([&hostile] {
@@ -29,10 +30,11 @@
     BOOST_TEST(parsed.at("sent").as_bool());
 }
 
-// Guards against a recorder that grows without bound when nobody writes, or that hides a gap.
+// Guards against a recorder whose queue grows without bound when it isn't flushed, or that doesn't
+// report dropped inputs.
 BOOST_AUTO_TEST_CASE(recorded_inputs_are_bounded_and_gaps_are_logged) {
     BOOST_TEST(!is_recording());
-    set_log_identity("test", "north", log_level::info); // the gap is a warning
+    set_log_identity("test", "north", log_level::info); // a gap is logged as a warning
     const std::string text = captured_log([] {
         start_recording(2);
         for (int i = 0; i < 5; ++i) {
@@ -49,7 +51,7 @@
     BOOST_TEST(text.find("\"count\":3") != std::string::npos);
 }
 
-// Guards against a line that exceeds what a pipe takes in one piece.
+// Guards against a line that exceeds the size of an atomic write to a pipe.
 BOOST_AUTO_TEST_CASE(long_values_are_truncated) {
     const std::string long_value(20'000, 'x');
     const std::string line = captured_log([&long_value] {
@@ -59,7 +61,7 @@
     BOOST_TEST(boost::json::parse(line).at("value").as_string().size() == 1'000U);
 }
 
-// Guards against a trace that is cut at a hop.
+// Guards against a trace that is interrupted at a hop.
 BOOST_AUTO_TEST_CASE(trace_context_round_trips) {
     random_source random(1);
     const trace_context first_hop = continue_trace("", random);
@@ -70,7 +72,7 @@
     BOOST_TEST(second_hop.m_span != first_hop.m_span);
 }
 
-// Guards against identifiers that the standard forbids.
+// Guards against continuing a trace whose identifiers the standard doesn't allow.
 BOOST_AUTO_TEST_CASE(malformed_trace_context_begins_a_new_trace) {
     random_source random(1);
     for (const char* header :
@@ -97,8 +99,8 @@
     BOOST_TEST(text.find("caraway_call_seconds_bucket") != std::string::npos);
 }
 
-// Guards against a log that grows without bound, or hides that it lost lines, while nobody reads
-// it.
+// Guards against a log buffer that grows without bound, or doesn't report dropped lines, while
+// nothing reads standard output.
 BOOST_AUTO_TEST_CASE(full_log_buffer_drops_lines_and_logs_their_number) {
     log_buffer buffer;
     const std::string line(1'000, 'x');
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the adapter to the platform: each translation, also with input that can't be read.
+// Tests of the adapter to the platform: every translation, with valid and malformed input.
 #include "config/adapter.hpp"
 #include "platform/operator_items.hpp"
 #include "platform/platform_adapter.hpp"
@@ -47,7 +47,7 @@
 
 BOOST_AUTO_TEST_SUITE(platform_adapter)
 
-// Guards against a configuration whose routes or services arrive with another meaning.
+// Guards against a wrong translation of routes, services or orders of the operators' configuration.
 BOOST_AUTO_TEST_CASE(operator_items_become_one_mesh) {
     error reason;
     const std::vector<store_entry> items{
@@ -80,7 +80,7 @@
     BOOST_TEST(!read->m_lists_data_centres);
 }
 
-// Guards against a configuration or an order that is applied in part.
+// Guards against partially applying a configuration or an order that contains a malformed field.
 BOOST_AUTO_TEST_CASE(unreadable_items_are_rejected_as_a_whole) {
     const std::vector<std::pair<std::string_view, std::string_view>> faults{
         {R"("timeout_ms":2500)", R"("timeout_ms":"2500")"},
@@ -104,8 +104,8 @@
     BOOST_TEST(!platform::parse_operator_items(bad_order, reason));
 }
 
-// Guards against a record that its next holder can't read back, and a state that operators don't
-// know.
+// Guards against a move record that the next lease holder can't decode, and against a state that
+// operators don't know.
 BOOST_AUTO_TEST_CASE(move_status_keeps_the_record) {
     move_record record;
     record.m_move_id = "m1";
@@ -126,7 +126,8 @@
     BOOST_TEST(!platform::decode_move_status("nothing", 7));
 }
 
-// Guards against reports of other writers that would name a server to use.
+// Guards against accepting an incomplete or malformed report, such as one of another writer, which
+// would add a server that can't be used.
 BOOST_AUTO_TEST_CASE(reports_are_read_completely_or_rejected) {
     error reason;
     const auto read = platform::decode_report("i-1", report_text, reason);
@@ -158,8 +159,8 @@
     BOOST_TEST(!platform::decode_leave("i-1", R"({"born":"8"})", reason));
 }
 
-// Guards against a store error that passes for another one: a lost lease, an absent key, a refusal
-// that did nothing, a write whose outcome is unknown.
+// Guards against confusing store errors: a lost lease, an absent key, a rejected operation that had
+// no effect and a write whose outcome is unknown.
 BOOST_AUTO_TEST_CASE(store_statuses_keep_their_meaning) {
     using op = store_operation;
     BOOST_TEST((decode(op::get, 404, "").m_kind == error_kind::store_not_found));
@@ -178,7 +179,8 @@
     BOOST_TEST(decode(op::create_lease, 200, R"({"lease":77,"ttl_ms":3000})").m_lease == "77");
 }
 
-// Guards against values that change on the way, and pages that are taken for the whole list.
+// Guards against values that change in encoding or decoding, and against treating one page as the
+// whole list.
 BOOST_AUTO_TEST_CASE(store_values_and_pages_are_decoded_exactly) {
     using op = store_operation;
     const std::string bytes("a\0\xff z", 5);
