--- a/src/config/adapter.hpp
+++ b/src/config/adapter.hpp
@@ -27,8 +27,8 @@
     std::function<std::optional<server_report>(std::string_view server, std::string_view body,
                                                error& reason)>
         m_decode_report;
-    std::function<std::optional<server_leave>(std::string_view server, std::string_view body,
-                                              error& reason)>
+    std::function<std::optional<server_leave_notice>(std::string_view server, std::string_view body,
+                                                     error& reason)>
         m_decode_leave;
 };
 
--- a/src/ctl/replay_player.cpp
+++ b/src/ctl/replay_player.cpp
@@ -113,7 +113,7 @@
         process.m_started_calls = result.m_verdict == admission_verdict::run ? 1 : 0;
         return action_text(state, result);
     }
-    admission_release release;
+    released_calls release;
     if (name == "limits") {
         admission_limits limits;
         limits.m_slots = static_cast<std::uint32_t>(input.count("slots"));
--- a/src/decide/acceptance.cpp
+++ b/src/decide/acceptance.cpp
@@ -178,14 +178,15 @@
 text_source choose_text_source(const submitted_revisions& revisions, std::uint64_t last_evaluated,
                                std::uint64_t highest_decided, std::uint64_t unusable_delta,
                                duration wait_elapsed) {
-    if (revisions.m_text == 0 || revisions.m_text == last_evaluated ||
-        revisions.m_text <= highest_decided) {
+    if (revisions.m_text_revision == 0 || revisions.m_text_revision == last_evaluated ||
+        revisions.m_text_revision <= highest_decided) {
         return text_source::nothing;
     }
-    if (revisions.m_delta > revisions.m_text && revisions.m_delta != unusable_delta) {
+    if (revisions.m_delta_revision > revisions.m_text_revision &&
+        revisions.m_delta_revision != unusable_delta) {
         return text_source::delta;
     }
-    return wait_elapsed < submitted_delta_wait ? text_source::wait : text_source::whole;
+    return wait_elapsed < submitted_delta_wait ? text_source::wait : text_source::full;
 }
 
 // Each revision is evaluated once: it is skipped if it was refused, or if it is not newer than the
--- a/src/decide/acceptance.hpp
+++ b/src/decide/acceptance.hpp
@@ -69,13 +69,13 @@
 // Store revisions of the submitted text and of the delta that carawayctl writes after it; 0 if
 // absent.
 struct submitted_revisions {
-    std::uint64_t m_text = 0;
-    std::uint64_t m_delta = 0;
+    std::uint64_t m_text_revision = 0;
+    std::uint64_t m_delta_revision = 0;
 };
 
 // How the accepter obtains a submitted text: from its delta, by waiting for a delta that may still
 // be written, or by reading the full text.
-enum class text_source : std::uint8_t { nothing, delta, wait, whole };
+enum class text_source : std::uint8_t { nothing, delta, wait, full };
 
 // How long the accepter waits for the delta after it has seen a new text. carawayctl writes the
 // delta within a few milliseconds. A text that another tool wrote without a delta is accepted this
--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -52,8 +52,8 @@
 constexpr int min_useful_time_percent = 60;
 // Bounds of the ratio of actual to estimated queueing time, and the shortest estimate that is
 // compared. Below it, the moment at which a slot happens to become free dominates.
-constexpr double min_wait_ratio = 0.25;
-constexpr double max_wait_ratio = 4;
+constexpr double min_wait_correction = 0.25;
+constexpr double max_wait_correction = 4;
 constexpr milliseconds min_compared_wait{5};
 // Upper bound of the reported load; beyond it, more queued calls make no difference to the callers'
 // choice.
@@ -121,7 +121,7 @@
     for (std::size_t i = 0; i < ahead; ++i) {
         queued_work += run_time(state, state.m_queue[i].m_route);
     }
-    const double ratio = state.m_wait_ratio[static_cast<std::size_t>(call.m_urgency)];
+    const double ratio = state.m_wait_correction[static_cast<std::size_t>(call.m_urgency)];
     const auto wait = std::chrono::duration_cast<duration>(ratio * queued_work / limit);
     if (!reports_cold(state, now)) {
         return wait;
@@ -133,17 +133,18 @@
 
 // Updates the wait ratio with a completed wait. Late calls are ignored: they yield to all others,
 // so their waits give no information.
-void update_wait_ratio(admission_state& state, const queued_call& call, time_point now) {
+void update_wait_correction(admission_state& state, const queued_call& call, time_point now) {
     if (call.m_route.empty() || call.m_late || call.m_expected_wait < min_compared_wait) {
         return;
     }
     const double ratio = std::chrono::duration<double>(now - call.m_queued_at) /
                          std::chrono::duration<double>(call.m_expected_wait);
-    double& wait_ratio = state.m_wait_ratio[static_cast<std::size_t>(call.m_urgency)];
+    double& wait_correction = state.m_wait_correction[static_cast<std::size_t>(call.m_urgency)];
     // The estimate already includes the ratio, so the product is the ratio that would have been
     // correct.
-    const double corrected = std::clamp(wait_ratio * ratio, min_wait_ratio, max_wait_ratio);
-    wait_ratio += (corrected - wait_ratio) / smoothing_samples;
+    const double corrected =
+        std::clamp(wait_correction * ratio, min_wait_correction, max_wait_correction);
+    wait_correction += (corrected - wait_correction) / smoothing_samples;
 }
 
 bool is_limit_fully_open(const admission_state& state) {
@@ -268,8 +269,8 @@
 }
 
 // Removes expired calls from the queue, then starts calls from its front while the limit allows.
-admission_release release_waiting(admission_state& state, time_point now) {
-    admission_release release;
+released_calls release_waiting(admission_state& state, time_point now) {
+    released_calls release;
     std::size_t released_count = 0;
     const auto too_late = [&state, now](const queued_call& call) {
         return call.m_deadline <= now + min_useful_time(state, call.m_route);
@@ -282,7 +283,7 @@
     std::erase_if(state.m_queue, too_late);
     demote_late_calls(state, now);
     while (released_count < state.m_queue.size() && can_start_call(state, now)) {
-        update_wait_ratio(state, state.m_queue[released_count], now);
+        update_wait_correction(state, state.m_queue[released_count], now);
         release.m_run.push_back(state.m_queue[released_count].m_id);
         start_call(state, now);
         ++released_count;
@@ -370,8 +371,7 @@
 // Failures and overload drop the limit at once; a higher latency drops it as soon as the smoothed
 // value shows it. Answers to calls that started before the last drop don't reflect the server's
 // present state.
-admission_release admission_finish(admission_state& state, const call_sample& sample,
-                                   time_point now) {
+released_calls admission_finish(admission_state& state, const call_sample& sample, time_point now) {
     const bool in_use = state.m_running >= concurrency_limit(state);
     state.m_running -= state.m_running > 0 ? 1 : 0;
     if (sample.m_cancelled) {
@@ -408,12 +408,12 @@
     std::erase_if(state.m_queue, [&](const queued_call& waiting) { return waiting.m_id == call; });
 }
 
-admission_release admission_tick(admission_state& state, time_point now) {
+released_calls admission_tick(admission_state& state, time_point now) {
     return release_waiting(state, now);
 }
 
-admission_release admission_drain(admission_state& state) {
-    admission_release release;
+released_calls admission_drain(admission_state& state) {
+    released_calls release;
     state.m_draining = true;
     for (const queued_call& call : state.m_queue) {
         release.m_expired.push_back(call.m_id);
--- a/src/decide/admission.hpp
+++ b/src/decide/admission.hpp
@@ -59,7 +59,7 @@
     route_latencies m_route_latencies;
     // Ratio of actual to estimated queueing time for each urgency. It exceeds 1 for less urgent
     // calls when more urgent ones keep arriving, which the queue at arrival does not show.
-    std::array<double, urgency_levels> m_wait_ratio{1, 1, 1};
+    std::array<double, urgency_levels> m_wait_correction{1, 1, 1};
     std::uint32_t m_answers = 0;         // successful, since smoothing last restarted
     std::uint32_t m_fast_answers = 0;    // consecutive, since the limit last changed
     double m_failure_share = 0;          // smoothed share of failed calls
@@ -122,25 +122,24 @@
 };
 
 // IDs of the calls that left the queue.
-struct admission_release {
+struct released_calls {
     std::vector<std::uint64_t> m_run;     // have a slot and must be started
     std::vector<std::uint64_t> m_expired; // have too little time left and must be refused
 };
 
 // Records the end of a running call: frees its slot, adjusts the cold-start limit and starts queued
 // calls.
-admission_release admission_finish(admission_state& state, const call_sample& sample,
-                                   time_point now);
+released_calls admission_finish(admission_state& state, const call_sample& sample, time_point now);
 
 // Removes a queued call that its caller has cancelled.
 void admission_cancel(admission_state& state, std::uint64_t call);
 
 // Expires queued calls and starts those that may run. Must be called at least every 20 ms while
 // calls are queued.
-admission_release admission_tick(admission_state& state, time_point now);
+released_calls admission_tick(admission_state& state, time_point now);
 
 // Expires all queued calls; every later offer is refused with draining.
-admission_release admission_drain(admission_state& state);
+released_calls admission_drain(admission_state& state);
 
 // Returns true while the backend server may be in cold start, so that its latency is no evidence
 // about its version: since the limit started or dropped its latency has not reached the warm level,
--- a/src/decide/own_server.cpp
+++ b/src/decide/own_server.cpp
@@ -74,7 +74,7 @@
     return report_verdict::taken;
 }
 
-report_verdict receive_leave(own_server& server, const server_leave& leave, time_point now) {
+report_verdict receive_leave(own_server& server, const server_leave_notice& leave, time_point now) {
     if (!server.m_report || server.m_report->m_server != leave.m_server) {
         server.m_unmatched_leave = leave;
         server.m_unmatched_leave_at = now;
--- a/src/decide/own_server.hpp
+++ b/src/decide/own_server.hpp
@@ -31,7 +31,7 @@
 };
 
 // Notice of a backend server that it is stopping. Only the identity is always present.
-struct server_leave {
+struct server_leave_notice {
     std::string m_server;
     std::optional<std::int64_t> m_started_ms;
 };
@@ -41,7 +41,7 @@
     std::optional<server_report> m_report; // last accepted report of the current incarnation
     // Last leave notice of a server unknown at that time, as happens to a node that has just
     // restarted.
-    std::optional<server_leave> m_unmatched_leave;
+    std::optional<server_leave_notice> m_unmatched_leave;
     time_point m_unmatched_leave_at;
     time_point m_reported_at;
     time_point m_cold_until;
@@ -66,7 +66,7 @@
 
 // Processes a leave notice. A notice of an earlier incarnation is stale. A notice of an unknown
 // server is stale, too, but is stored to reject late reports of that server.
-report_verdict receive_leave(own_server& server, const server_leave& leave, time_point now);
+report_verdict receive_leave(own_server& server, const server_leave_notice& leave, time_point now);
 
 // Returns why the server may receive no calls: none if it may, draining if it is draining or
 // stopping, or connect_failed if it is unknown, unreachable or has sent no report for longer than
--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -101,8 +101,8 @@
 }
 
 // Writes the whole text, then its delta (which may be empty) and the record.
-void write_whole_text(control& state, const accepted_record& record, std::string_view text,
-                      std::string delta) {
+void write_full_text(control& state, const accepted_record& record, std::string_view text,
+                     std::string delta) {
     state.m_store->put(text_key(record.m_version, record.m_hash),
                        store_whole_text(record.m_version, record.m_hash, text), 0, {},
                        [&state, record, delta = std::move(delta)](const store_reply& reply) {
@@ -148,7 +148,7 @@
     if (!is_small_delta(delta.size(), text.size())) {
         delta.clear();
     }
-    write_whole_text(state, record, text, std::move(delta));
+    write_full_text(state, record, text, std::move(delta));
 }
 
 // Validates the text submitted at a store revision, unless it has been decided, and stores either
@@ -195,8 +195,9 @@
     const auto delta = decode_stored_text(reply.m_value, reason);
     // A text always has a lower revision than its delta. A delta that named a higher one by mistake
     // would prevent all later texts from being validated.
-    if (!delta || delta->m_version < submitted.m_text || delta->m_version >= reply.m_revision) {
-        state.m_accepter.m_unusable_delta_revision = submitted.m_delta;
+    if (!delta || delta->m_version < submitted.m_text_revision ||
+        delta->m_version >= reply.m_revision) {
+        state.m_accepter.m_unusable_delta_revision = submitted.m_delta_revision;
         process_submitted_revisions(state, submitted);
         return;
     }
@@ -244,8 +245,8 @@
 // is read only if it is new, since it may be almost 1 MB long.
 void process_submitted_revisions(control& state, const submitted_revisions& submitted) {
     accepter_role& role = state.m_accepter;
-    if (submitted.m_text != role.m_latest_text_revision) {
-        role.m_latest_text_revision = submitted.m_text;
+    if (submitted.m_text_revision != role.m_latest_text_revision) {
+        role.m_latest_text_revision = submitted.m_text_revision;
         role.m_latest_text_seen_at = state.now();
     }
     const std::uint64_t decided_revision =
@@ -262,7 +263,7 @@
     case text_source::wait:
         wait_for_submitted_delta(state);
         break;
-    case text_source::whole:
+    case text_source::full:
         read_submitted_text(state);
         break;
     }
@@ -279,12 +280,12 @@
         submitted_revisions submitted;
         for (const store_entry& entry : reply.m_entries) {
             if (entry.m_key == text_store_key) {
-                submitted.m_text = entry.m_revision;
+                submitted.m_text_revision = entry.m_revision;
             } else if (entry.m_key == text_delta_store_key) {
-                submitted.m_delta = entry.m_revision;
+                submitted.m_delta_revision = entry.m_revision;
             }
         }
-        role.m_listed_revision = std::max(submitted.m_text, submitted.m_delta);
+        role.m_listed_revision = std::max(submitted.m_text_revision, submitted.m_delta_revision);
         process_submitted_revisions(state, submitted);
     });
 }
@@ -343,7 +344,7 @@
     role.m_accepted_text_version = role.m_accepted->m_version;
     role.m_accepted_read = true;
     if (role.m_accepted->m_base.m_version == 0) {
-        state.m_whole_text =
+        state.m_full_text =
             config_text{role.m_accepted->m_version, role.m_accepted->m_hash, role.m_accepted_text};
         remove_old_texts(state, *role.m_accepted);
     }
--- a/src/node/config_sync.cpp
+++ b/src/node/config_sync.cpp
@@ -114,15 +114,14 @@
     }
 }
 
-// Requests a text newer than `current_version` from an instance.
-void fetch_version(control& state, const std::string& instance, std::uint64_t current_version) {
+// Requests a text newer than `have_version` from an instance.
+void fetch_newer_text(control& state, const std::string& instance, std::uint64_t have_version) {
     const auto holder = state.m_members.m_members.find(instance);
     if (holder == state.m_members.m_members.end()) {
         perform(state, decide_fetch_failed(state));
         return;
     }
-    const fetch_config_request request{state.m_settings.m_instance, current_version,
-                                       current_version + 1};
+    const fetch_config_request request{state.m_settings.m_instance, have_version, have_version + 1};
     send_bulk(state, holder->second.m_member.m_bulk, request,
               [&state, instance](const std::optional<bulk_reply>& reply) {
                   const auto* fetched = reply ? std::get_if<fetch_config_reply>(&*reply) : nullptr;
@@ -140,7 +139,7 @@
     for (const distribution_action& action : actions) {
         switch (action.m_kind) {
         case distribution_action::kind::fetch:
-            fetch_version(state, action.m_instance, action.m_version);
+            fetch_newer_text(state, action.m_instance, action.m_version);
             break;
         case distribution_action::kind::parse:
             parse_version(state, action.m_version);
@@ -168,8 +167,8 @@
     perform(state, decide_version_announced(state, instance, version));
 }
 
-std::optional<packed_text> pack_text_for(control& state, std::uint64_t have_version,
-                                         std::uint64_t want_version) {
+std::optional<packed_text> pack_latest_text(control& state, std::uint64_t have_version,
+                                            std::uint64_t want_version) {
     const auto& texts = state.m_distribution.m_texts;
     if (texts.empty()) {
         return std::nullopt;
--- a/src/node/control.hpp
+++ b/src/node/control.hpp
@@ -213,7 +213,7 @@
 
     // The latest text stored whole that this node read or wrote as a reader or accepter. It is the
     // base of deltas, and is kept apart from m_distribution, which may have skipped that version.
-    std::optional<config_text> m_whole_text;
+    std::optional<config_text> m_full_text;
     std::vector<std::unique_ptr<reader_role>> m_readers;
     operator_watch m_operator;
     own_server m_own_server;
@@ -293,8 +293,8 @@
 // Handles the information that an instance holds a configuration version.
 void handle_peer_version(control& state, std::string_view instance, std::uint64_t version);
 // Returns the packed text that answers a fetch request.
-std::optional<packed_text> pack_text_for(control& state, std::uint64_t have_version,
-                                         std::uint64_t want_version);
+std::optional<packed_text> pack_latest_text(control& state, std::uint64_t have_version,
+                                            std::uint64_t want_version);
 // Handles a text received from a peer.
 void receive_text(control& state, std::string_view instance, const packed_text& packed);
 // Runs the timers of the distribution of the configuration.
@@ -375,7 +375,7 @@
 // As a collector, sends the summaries of its shards and writes verdicts when they are due.
 void tick_in_force(control& state, time_point now);
 // Handles a summary sent to this node as a collector.
-void receive_in_force(control& state, const in_force_request& summary);
+void receive_in_force_summary(control& state, const in_force_request& summary);
 // Reports to the collector of this node's shard that a version is in force on this node.
 void announce_in_force(control& state);
 
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -34,7 +34,7 @@
     bulk_reply operator()(const fetch_config_request& request) const {
         handle_peer_version(m_state, request.m_instance, request.m_have_version);
         return fetch_config_reply{
-            pack_text_for(m_state, request.m_have_version, request.m_want_version)};
+            pack_latest_text(m_state, request.m_have_version, request.m_want_version)};
     }
     bulk_reply operator()(const facts_message& request) const {
         facts_message reply = collect_facts(m_state);
@@ -53,7 +53,7 @@
         return m_state.m_move.m_old_version_sum;
     }
     bulk_reply operator()(const in_force_request& request) const {
-        receive_in_force(m_state, request);
+        receive_in_force_summary(m_state, request);
         return done_reply{};
     }
 };
--- a/src/node/in_force.cpp
+++ b/src/node/in_force.cpp
@@ -101,7 +101,7 @@
                                        static_cast<std::uint32_t>(report.m_members),
                                        report.m_missing};
         if (is_self(state, global_collector)) {
-            receive_in_force(state, summary);
+            receive_in_force_summary(state, summary);
         } else {
             send_bulk(state, global_collector.m_bulk, summary,
                       [](const std::optional<bulk_reply>&) {});
@@ -183,7 +183,7 @@
     state.m_udp->send(collector.m_udp, encode_packet(announcement));
 }
 
-void receive_in_force(control& state, const in_force_request& summary) {
+void receive_in_force_summary(control& state, const in_force_request& summary) {
     collector_state& collector = state.m_collector;
     if (summary.m_version < collector.m_collecting_version) {
         return;
--- a/src/node/join.cpp
+++ b/src/node/join.cpp
@@ -276,7 +276,7 @@
 // the store, so that a mass join costs the store two small reads per node. A node that had not
 // asked the members it could find became ready with an empty table, mistook one member for all
 // registrars of an idempotency key and executed the call again.
-void read_accepted_floor(control& state) {
+void read_min_version(control& state) {
     state.m_store->get(accepted_key, [&state](const store_reply& reply) {
         if (reply.m_kind == error_kind::store_not_found) {
             perform(state, decide_store_read(state, std::nullopt));
@@ -346,7 +346,7 @@
             reply.m_members.push_back(tracked.m_member);
         }
     }
-    reply.m_config = pack_text_for(state, request.m_self.m_config_version, 0);
+    reply.m_config = pack_latest_text(state, request.m_self.m_config_version, 0);
     facts_message facts = collect_facts(state);
     reply.m_suspensions = std::move(facts.m_suspensions);
     reply.m_records = std::move(facts.m_records);
@@ -390,7 +390,7 @@
     }
     ask_members(state);
     if (!state.m_distribution.m_store_read && !state.reads_operator_items()) {
-        read_accepted_floor(state);
+        read_min_version(state);
     }
     schedule_join_retry(state, now);
 }
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -192,7 +192,7 @@
 constexpr milliseconds member_wait_per_entry{15};
 // The same if the store listed hardly any entry points at the first read: all other nodes are
 // starting too, and few of them need to read.
-constexpr milliseconds first_start_member_wait{1'500};
+constexpr milliseconds mesh_first_start_member_wait{1'500};
 
 // Returns how long a starting node waits for members to supply the configuration before it reads
 // the store itself.
@@ -200,7 +200,7 @@
     const auto entry_point_count = static_cast<std::int64_t>(state.m_join.m_entry_points.size());
     const bool store_listed = state.m_join.m_entry_points_listed_at != time_point{};
     if (store_listed && state.m_join.m_mesh_first_start) {
-        return first_start_member_wait;
+        return mesh_first_start_member_wait;
     }
     return store_listed ? std::min(max_member_wait, entry_point_count * member_wait_per_entry)
                         : max_member_wait;
@@ -211,7 +211,7 @@
 constexpr milliseconds max_behind_time{400};
 
 // A node that finds no member within this time after its start watches the store itself.
-constexpr milliseconds max_alone_time{1'500};
+constexpr milliseconds max_discovery_time{1'500};
 
 // Determines whether this node watches the store: it is among the first candidates of its data
 // centre, or among the first of those that reach the store.
@@ -232,7 +232,7 @@
     };
     // A node that knows no other member yet would rank itself first in its data centre.
     const bool membership_known =
-        state.m_join.m_complete || now >= watch.m_start_at + max_alone_time;
+        state.m_join.m_complete || now >= watch.m_start_at + max_discovery_time;
     const std::size_t watchers = watchers_per_data_centre(state.m_members.m_groups.size());
     const bool candidate =
         membership_known &&
--- a/src/node/stored_text.cpp
+++ b/src/node/stored_text.cpp
@@ -21,28 +21,28 @@
 
 // Reads the text stored whole on which the record's text is based, and restores the record's text
 // from it. `delta` may be empty if the record's text is itself stored whole.
-void read_whole_text(control& state, const accepted_record& record,
-                     std::optional<packed_text> delta, text_callback done) {
-    const text_id whole_text_name = full_text_of(record);
-    state.m_store->get(text_key(whole_text_name.m_version, whole_text_name.m_hash),
-                       [&state, record, whole_text_name, delta = std::move(delta),
+void read_full_text(control& state, const accepted_record& record, std::optional<packed_text> delta,
+                    text_callback done) {
+    const text_id full_text_id = full_text_of(record);
+    state.m_store->get(text_key(full_text_id.m_version, full_text_id.m_hash),
+                       [&state, record, full_text_id, delta = std::move(delta),
                         done = std::move(done)](const store_reply& reply) {
                            if (reply.m_kind != error_kind::none) {
                                done(reply.m_kind, nullptr);
                                return;
                            }
                            error reason;
-                           auto whole_text =
-                               load_whole_text(reply.m_value, whole_text_name.m_hash, reason);
-                           if (!whole_text) {
+                           auto full_text =
+                               load_whole_text(reply.m_value, full_text_id.m_hash, reason);
+                           if (!full_text) {
                                done(reason.m_kind, nullptr);
                                return;
                            }
-                           state.m_whole_text = config_text{
-                               whole_text_name.m_version, whole_text_name.m_hash,
-                               std::make_shared<const std::string>(std::move(*whole_text))};
-                           if (whole_text_name.m_version == record.m_version) {
-                               done(error_kind::none, state.m_whole_text->m_text);
+                           state.m_full_text = config_text{
+                               full_text_id.m_version, full_text_id.m_hash,
+                               std::make_shared<const std::string>(std::move(*full_text))};
+                           if (full_text_id.m_version == record.m_version) {
+                               done(error_kind::none, state.m_full_text->m_text);
                                return;
                            }
                            auto text = delta ? restore_text(state, record, *delta) : nullptr;
@@ -53,8 +53,8 @@
 } // namespace
 
 std::shared_ptr<const std::string> find_text(const control& state, std::uint64_t version) {
-    if (state.m_whole_text && state.m_whole_text->m_version == version) {
-        return state.m_whole_text->m_text;
+    if (state.m_full_text && state.m_full_text->m_version == version) {
+        return state.m_full_text->m_text;
     }
     const accepter_role& role = state.m_accepter;
     if (role.m_accepted_text && role.m_accepted_text_version == version) {
@@ -82,7 +82,7 @@
                 done(error_kind::none, std::move(text));
                 return;
             }
-            read_whole_text(state, record, std::move(delta), std::move(done));
+            read_full_text(state, record, std::move(delta), std::move(done));
         });
 }
 
--- a/src/observe/action_text.cpp
+++ b/src/observe/action_text.cpp
@@ -82,7 +82,7 @@
     return text + admission_text(state);
 }
 
-std::string action_text(const admission_state& state, const admission_release& release) {
+std::string action_text(const admission_state& state, const released_calls& release) {
     std::string text;
     append_calls(text, "run", release.m_run);
     append_calls(text, "expired", release.m_expired);
--- a/src/observe/action_text.hpp
+++ b/src/observe/action_text.hpp
@@ -20,7 +20,7 @@
 // The verdict on an offered call, with the running calls and the limit after it.
 std::string action_text(const admission_state& state, const admission_result& result);
 // The waiting calls that may run or expired, with the running calls and the limit after it.
-std::string action_text(const admission_state& state, const admission_release& release);
+std::string action_text(const admission_state& state, const released_calls& release);
 
 // The actions in order, as "fetch east-1 3;announce 4;parse 4"; empty if there are none.
 std::string action_text(std::span<const distribution_action> actions);
--- a/src/traffic/admission_gate.cpp
+++ b/src/traffic/admission_gate.cpp
@@ -19,7 +19,7 @@
 // Records the effect of an ended, waiting or cancelled call or of the passing of time. A tick that
 // released no call changed nothing and is not recorded.
 void record_release(const admission_state& state, std::string_view input, time_point now,
-                    const admission_release& release) {
+                    const released_calls& release) {
     const bool did_nothing = release.m_run.empty() && release.m_expired.empty();
     if (is_recording() && !(did_nothing && input == "tick")) {
         record_input(recorded_component, input, now, {}, action_text(state, release));
@@ -52,7 +52,7 @@
     if (is_recording()) {
         record_input(recorded_component, "limits", m_clock.now(),
                      {{"slots", m_state.m_limits.m_slots}, {"queue", m_state.m_limits.m_queue}},
-                     action_text(m_state, admission_release{}));
+                     action_text(m_state, released_calls{}));
     }
     update_load();
 }
@@ -126,7 +126,7 @@
     admission_cancel(m_state, call);
     if (is_recording()) {
         record_input(recorded_component, "cancel", m_clock.now(), {{"call", call}},
-                     action_text(m_state, admission_release{}));
+                     action_text(m_state, released_calls{}));
     }
     update_load();
     fail(reason, control.end_reason(false), "the call ended while it was queued");
@@ -136,7 +136,7 @@
 void admission_gate::release_slot(const call_sample& sample) {
     const std::lock_guard lock(m_mutex);
     const time_point now = m_clock.now();
-    const admission_release release = admission_finish(m_state, sample, now);
+    const released_calls release = admission_finish(m_state, sample, now);
     if (is_recording()) {
         record_input(recorded_component, "finish", now,
                      {{"latency_ns", to_ns(sample.m_latency)},
@@ -160,7 +160,7 @@
 
 void admission_gate::drain() {
     const std::lock_guard lock(m_mutex);
-    const admission_release release = admission_drain(m_state);
+    const released_calls release = admission_drain(m_state);
     record_release(m_state, "drain", m_clock.now(), release);
     apply_release(release);
 }
@@ -181,7 +181,7 @@
     m_waiting.erase(found);
 }
 
-void admission_gate::apply_release(const admission_release& release) {
+void admission_gate::apply_release(const released_calls& release) {
     for (const std::uint64_t call : release.m_run) {
         set_verdict(call, verdict::run);
     }
@@ -212,7 +212,7 @@
     const std::lock_guard lock(m_mutex);
     m_ticking = false;
     const time_point now = m_clock.now();
-    const admission_release release = admission_tick(m_state, now);
+    const released_calls release = admission_tick(m_state, now);
     record_release(m_state, "tick", now, release);
     apply_release(release);
     if (!m_waiting.empty()) {
--- a/src/traffic/admission_gate.hpp
+++ b/src/traffic/admission_gate.hpp
@@ -69,7 +69,7 @@
     };
     // All of these except tick(), which locks m_mutex itself, require that m_mutex is held.
     void set_verdict(std::uint64_t call, verdict value);
-    void apply_release(const admission_release& release);
+    void apply_release(const released_calls& release);
     void update_load();
     void start_ticking();
     void tick();
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -133,7 +133,7 @@
     BOOST_TEST((choose_text_source({9, 10}, 5, 5, 0, {}) == text_source::delta));
     BOOST_TEST((choose_text_source({9, 6}, 5, 5, 0, {}) == text_source::wait));
     BOOST_TEST((choose_text_source({9, 10}, 5, 5, 10, milliseconds{249}) == text_source::wait));
-    BOOST_TEST((choose_text_source({9, 10}, 5, 5, 10, milliseconds{250}) == text_source::whole));
+    BOOST_TEST((choose_text_source({9, 10}, 5, 5, 10, milliseconds{250}) == text_source::full));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -171,7 +171,7 @@
         time_point now{};
         std::map<std::uint64_t, urgency> waiting;
         std::set<std::uint64_t> running;
-        const auto apply_release = [&](const admission_release& release) {
+        const auto apply_release = [&](const released_calls& release) {
             for (const std::uint64_t call : release.m_expired) {
                 BOOST_TEST(waiting.erase(call) == 1U);
             }
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -488,8 +488,8 @@
         claim_reply& reply = current.m_replies[i];
         if (!reaches(claimant, registrar)) {
             const time_point unreachable_since = std::max(registrar.m_changed, claimant.m_changed);
-            const bool believed_dead = m_now - unreachable_since > detection_time;
-            reply.m_status = believed_dead ? claim_status::dead : claim_status::unreachable;
+            const bool assumed_dead = m_now - unreachable_since > detection_time;
+            reply.m_status = assumed_dead ? claim_status::dead : claim_status::unreachable;
             return;
         }
         const claim_request& request = current.m_request;
