--- a/src/traffic/admission_gate.cpp
+++ b/src/traffic/admission_gate.cpp
@@ -87,7 +87,7 @@
         }
         if (offered.m_verdict == admission_verdict::refuse) {
             retry_after = offered.m_retry_after;
-            fail(reason, offered.m_reason, "the backend server accepts no more calls now");
+            fail(reason, offered.m_reason, "the backend server takes no more calls now");
             return false;
         }
         waiting->m_control = control.shared_from_this();
@@ -109,8 +109,7 @@
     case verdict::run:
         return true; // an ended call is detected before it is sent
     case verdict::displaced:
-        fail(reason, error_kind::queue_full,
-             "a more urgent call displaced this one from the queue");
+        fail(reason, error_kind::queue_full, "a more urgent call took the place in the queue");
         return false;
     case verdict::expired:
         if (m_state.m_draining) {
@@ -129,7 +128,7 @@
                      action_text(m_state, released_calls{}));
     }
     update_load();
-    fail(reason, control.end_reason(false), "the call ended while it was queued");
+    fail(reason, control.end_reason(false), "the call ended in the queue");
     return false;
 }
 
--- a/src/traffic/backend_side.cpp
+++ b/src/traffic/backend_side.cpp
@@ -79,7 +79,7 @@
         return error{error_kind::version_not_served, "another version runs here"};
     }
     if (snapshot.m_own_refusal != error_kind::none) {
-        return error{snapshot.m_own_refusal, "the backend server accepts no new work"};
+        return error{snapshot.m_own_refusal, "the backend server takes no new work"};
     }
     return std::nullopt;
 }
@@ -136,7 +136,7 @@
         result.m_answer.reset();
         result.m_sent = false;
         fail(result.m_reason, error_kind::version_not_served,
-             "another backend server now has this address");
+             "another backend server has the address");
         return;
     }
     if (may_mean_not_run && !header_value(*result.m_answer, edge.m_not_run).empty()) {
@@ -149,7 +149,7 @@
         header_value(*result.m_answer, edge.m_server_marker).empty()) {
         open_connection.m_reusable = false;
         result.m_answer.reset();
-        fail(result.m_reason, error_kind::connection_cut, "the response lacks the server's seal");
+        fail(result.m_reason, error_kind::connection_cut, "the answer lacks the server's seal");
     }
 }
 
@@ -230,10 +230,10 @@
     const auto current = context.m_snapshot.load();
     if (current->m_own_refusal != error_kind::none &&
         current->m_own_refusal != error_kind::draining) {
-        return error{current->m_own_refusal, "the backend server accepts no new work"};
+        return error{current->m_own_refusal, "the backend server takes no new work"};
     }
     if (current->m_own_server.m_refusal != error_kind::none) {
-        return error{current->m_own_server.m_refusal, "the backend server is leaving or absent"};
+        return error{current->m_own_server.m_refusal, "the backend server leaves or is not there"};
     }
     if (current->m_own_server.m_server != at_arrival.m_own_server.m_server) {
         return error{error_kind::version_not_served, "the backend server was replaced"};
--- a/src/traffic/claims_over_http.cpp
+++ b/src/traffic/claims_over_http.cpp
@@ -308,7 +308,7 @@
                              ? decode_request(request.body())
                              : std::nullopt;
     if (request.method() != http::verb::post || !decoded) {
-        return make_refusal(error_kind::bad_request, "malformed request from a node");
+        return make_refusal(error_kind::bad_request, "not a request of a node");
     }
     if (path == claim_path) {
         const claim_reply reply = context.m_keys.grant(*decoded, *context.m_snapshot.load());
@@ -338,7 +338,7 @@
             control, claim_key(decoded->m_service, decoded->m_key), decoded->m_claim_id, until,
             yield));
     }
-    return make_refusal(error_kind::bad_request, "unknown path in a request from a node");
+    return make_refusal(error_kind::bad_request, "unknown request of a node");
 }
 
 // Collects the replies to one request that is sent to all registrars. Each registrar is asked on
@@ -392,7 +392,7 @@
         }
         const auto earlier_attempt = m_context.m_keys.find(m_combined_key);
         if (!earlier_attempt) {
-            fail(reason, error_kind::queue_full, "the result table is full");
+            fail(reason, error_kind::queue_full, "the table of results is full");
             return false;
         }
         if (earlier_attempt->m_state == result_state::stored) {
@@ -401,8 +401,7 @@
             return false;
         }
         if (earlier_attempt->m_state == result_state::too_large) {
-            fail(reason, error_kind::key_already_claimed,
-                 "a request with this idempotency key was already sent");
+            fail(reason, error_kind::key_already_claimed, "the key was sent before");
             return false;
         }
         if (earlier_attempt->m_state == result_state::withdrawn) {
@@ -411,8 +410,7 @@
         const auto ended = m_context.m_keys.wait_while_running(
             m_control, m_combined_key, earlier_attempt->m_claim_id, m_control.deadline(), yield);
         if (ended && ended->m_state == result_state::running) {
-            fail(reason, error_kind::key_already_claimed,
-                 "the request with this idempotency key is still running");
+            fail(reason, error_kind::key_already_claimed, "the key's request is still running");
             return false;
         }
     }
@@ -481,8 +479,7 @@
         m_claimant = decision.m_claimant;
         m_claimant_id = decision.m_claim_id;
     }
-    fail(reason, decision.m_reason,
-         "the registrars did not grant the claim of the idempotency key");
+    fail(reason, decision.m_reason, "the key is not free at its registrars");
     return false;
 }
 
@@ -496,8 +493,7 @@
 
 bool key_claim::fetch_result(asio::yield_context yield, error& reason) {
     const std::string claimant = std::exchange(m_claimant, std::string());
-    fail(reason, error_kind::key_already_claimed,
-         "a request with this idempotency key was already sent");
+    fail(reason, error_kind::key_already_claimed, "the key was sent before");
     std::string state;
     if (claimant == m_context.m_settings.m_instance) {
         const auto found = m_context.m_keys.wait_while_running(
