--- a/src/decide/acceptance.hpp
+++ b/src/decide/acceptance.hpp
@@ -66,8 +66,8 @@
 // neither for its text nor for the texts of earlier versions that readers may still be fetching.
 bool is_obsolete_key(std::string_view key, const accepted_record& committed);
 
-// Store revisions of the submitted text and of the delta that carawayctl writes after it; 0 if
-// absent.
+// Store revisions of the submitted text and of the delta that carawayctl writes after the text. A
+// revision is 0 if the value is absent.
 struct submitted_revisions {
     std::uint64_t m_text_revision = 0;
     std::uint64_t m_delta_revision = 0;
--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -121,8 +121,8 @@
     for (std::size_t i = 0; i < ahead; ++i) {
         queued_work += run_time(state, state.m_queue[i].m_route);
     }
-    const double ratio = state.m_wait_correction[static_cast<std::size_t>(call.m_urgency)];
-    const auto wait = std::chrono::duration_cast<duration>(ratio * queued_work / limit);
+    const double correction = state.m_wait_correction[static_cast<std::size_t>(call.m_urgency)];
+    const auto wait = std::chrono::duration_cast<duration>(correction * queued_work / limit);
     if (!reports_cold(state, now)) {
         return wait;
     }
@@ -131,8 +131,8 @@
     return std::max(wait, std::chrono::duration_cast<duration>(paced));
 }
 
-// Updates the wait ratio with a completed wait. Late calls are ignored: they yield to all others,
-// so their waits give no information.
+// Updates the correction of estimated waits with a completed wait. Late calls are ignored: they
+// yield to all others, so their waits give no information.
 void update_wait_correction(admission_state& state, const queued_call& call, time_point now) {
     if (call.m_route.empty() || call.m_late || call.m_expected_wait < min_compared_wait) {
         return;
@@ -140,8 +140,8 @@
     const double ratio = std::chrono::duration<double>(now - call.m_queued_at) /
                          std::chrono::duration<double>(call.m_expected_wait);
     double& wait_correction = state.m_wait_correction[static_cast<std::size_t>(call.m_urgency)];
-    // The estimate already includes the ratio, so the product is the ratio that would have been
-    // correct.
+    // The estimate already includes the correction, so the product is the correction that would
+    // have been right.
     const double corrected =
         std::clamp(wait_correction * ratio, min_wait_correction, max_wait_correction);
     wait_correction += (corrected - wait_correction) / smoothing_samples;
--- a/src/decide/admission.hpp
+++ b/src/decide/admission.hpp
@@ -57,8 +57,9 @@
     duration m_best_latency{};
     duration m_smoothed_latency{};
     route_latencies m_route_latencies;
-    // Ratio of actual to estimated queueing time for each urgency. It exceeds 1 for less urgent
-    // calls when more urgent ones keep arriving, which the queue at arrival does not show.
+    // Factor that corrects the estimated queueing time, for each urgency: the smoothed ratio of
+    // actual to estimated time. It exceeds 1 for less urgent calls when more urgent ones keep
+    // arriving, which the queue at arrival does not show.
     std::array<double, urgency_levels> m_wait_correction{1, 1, 1};
     std::uint32_t m_answers = 0;         // successful, since smoothing last restarted
     std::uint32_t m_fast_answers = 0;    // consecutive, since the limit last changed
--- a/src/decide/claim.hpp
+++ b/src/decide/claim.hpp
@@ -125,7 +125,7 @@
 };
 
 // dead: the member table says that the registrar is dead, so it isn't asked. unreachable: the
-// registrar is believed alive but didn't reply.
+// registrar is listed as live but didn't reply.
 enum class claim_status : std::uint8_t { granted, held, full, unreachable, dead };
 
 // A registrar's reply to a claim.
@@ -182,8 +182,10 @@
     enum class kind : std::uint8_t {
         run, // all live registrars granted, and a majority of all; a majority's history is complete
         ask_claimant, // another node holds the key: ask it for the result
-        refuse,       // certainly not run before: withdraw and answer not run (m_reason)
-        unknown,      // may have run before: withdraw own grants and answer unknown (m_reason)
+        refuse,       // the request has certainly not run: withdraw the claim and refuse the
+                      // request as not run, with m_reason
+        unknown,      // an earlier attempt may have run: withdraw the claim where it was granted
+                      // and answer that the outcome is unknown, with m_reason
     };
     kind m_kind = kind::unknown;
     std::string m_claimant;
--- a/src/decide/distribution.hpp
+++ b/src/decide/distribution.hpp
@@ -24,7 +24,7 @@
     std::shared_ptr<const std::string> m_text;
 };
 
-// In all functions below, live_members is the number of other members that are believed reachable.
+// In all functions below, live_members is the number of other members that are alive or suspect.
 
 // Number of texts kept to send deltas to peers. The text in force is kept in addition.
 constexpr std::size_t max_kept_texts = 8;
--- a/src/decide/facts.hpp
+++ b/src/decide/facts.hpp
@@ -24,8 +24,8 @@
 struct move_record {
     std::string m_move_id;
     std::string m_service;
-    std::string m_from;
-    std::string m_to;
+    std::string m_from; // old version, whose calls the move transfers
+    std::string m_to;   // new version
     move_state m_state = move_state::running;
     std::uint32_t m_stage = 0;
     // Share of the service's calls that the new version receives.
--- a/src/decide/membership.hpp
+++ b/src/decide/membership.hpp
@@ -1,5 +1,5 @@
 // SWIM-like membership: determines which instances are alive by probes between peers. It is a pure
-// state machine: the caller passes in events and the current time, and carries out the returned
+// state machine: the node passes in events and the current time, and carries out the returned
 // actions. The parts are in namespace swim: membership_table (entries), membership_groups (data
 // centres), membership_merge, membership_packets, membership_packet_size, membership_rumours and
 // membership_probes. membership.cpp connects them.
@@ -117,7 +117,7 @@
     milliseconds m_initial_comparison_time{0};
 };
 
-// An action that the caller has to carry out after an event.
+// An action that the node has to carry out after an event.
 struct membership_action {
     enum class kind : std::uint8_t {
         send,             // send m_packet to m_to
@@ -223,8 +223,8 @@
     time_point m_self_changed;        // start, or last change of this node's incarnation
     time_point m_no_death_before;     // set after a pause of this process
     std::uint32_t m_local_health = 0; // 0 is healthy; each step lengthens this node's timeouts
-    std::uint64_t m_facts_digest = 0; // set by the caller when facts change
-    std::uint64_t m_held_version = 0; // set by the caller: highest version whose text is held
+    std::uint64_t m_facts_digest = 0; // set by the node when facts change
+    std::uint64_t m_held_version = 0; // set by the node: highest version whose text is held
     std::deque<std::string> m_update_queue;      // members with piggyback transmissions due
     std::uint32_t m_self_transmissions_left = 0; // the same for this node's entry
     time_point m_next_gossip;                    // of queued updates, between the probes
--- a/src/decide/membership_groups.cpp
+++ b/src/decide/membership_groups.cpp
@@ -175,8 +175,8 @@
         }
         picked.push_back(&found->second);
     };
-    // A short order is traversed in random order. A long one is sampled, with spare attempts for
-    // members that are not live.
+    // If there are few members, all of them are tried in random order. Otherwise random members are
+    // tried, with spare attempts for those that are not live.
     if (total <= 4 * count) {
         std::vector<std::size_t> positions(total);
         for (std::size_t i = 0; i < positions.size(); ++i) {
--- a/src/decide/membership_merge.hpp
+++ b/src/decide/membership_merge.hpp
@@ -11,10 +11,15 @@
 // How an entry reached this node: in a packet, or in a join reply or table exchange.
 enum class entry_source : std::uint8_t { packet, exchange };
 
-// Effect of a merge on the table. After rumour the entry has to be forwarded immediately.
-enum class merge_result : std::uint8_t { unchanged, changed, rumour };
-
-// Merges one entry. A claim about this node itself is refuted instead if necessary.
+// Effect of a merge on the table.
+enum class merge_result : std::uint8_t {
+    unchanged,
+    changed,
+    rumour, // changed, and the entry must be forwarded to other members immediately
+};
+
+// Merges one entry. An entry about this node itself is not merged; unless it is outdated or equals
+// this node's own state, this node refutes it by a higher incarnation.
 merge_result merge_entry(membership_table& table, const member& entry, entry_source source,
                          time_point now, actions& out);
 
--- a/src/decide/membership_packet_size.cpp
+++ b/src/decide/membership_packet_size.cpp
@@ -13,7 +13,8 @@
     return bytes;
 }
 
-// A field consists of a one-byte tag, a length for strings and nested messages, and its content.
+// The functions below return the encoded size of a field: a one-byte tag, a length for strings and
+// nested messages, and the content.
 std::size_t number_field_size(std::uint64_t value) {
     return 1 + varint_bytes(value);
 }
--- a/src/decide/membership_packets.hpp
+++ b/src/decide/membership_packets.hpp
@@ -11,8 +11,8 @@
 
 namespace caraway::swim {
 
-// A packet under construction with its estimated size in bytes. It refers to a packet of the
-// caller.
+// A packet under construction with its estimated size in bytes. It refers to a packet owned by
+// the calling function.
 struct packet_filler {
     packet& m_packet;
     std::size_t m_bytes;
--- a/src/decide/membership_rumours.hpp
+++ b/src/decide/membership_rumours.hpp
@@ -33,8 +33,8 @@
 // On a gateway: sends the queued changes to the other data centres.
 void gossip_remote(membership_table& table, time_point now, actions& out);
 
-// Forwards the facts of a packet that were not forwarded before and the given member rumours, and
-// reports the new facts to the caller.
+// Forwards the facts of a packet that were not forwarded before and the given member rumours. Adds
+// a facts_received action for the new facts.
 void forward_rumours(membership_table& table, const packet& received, std::vector<member> rumours,
                      time_point now, actions& out);
 
--- a/src/decide/membership_table.cpp
+++ b/src/decide/membership_table.cpp
@@ -75,8 +75,8 @@
     lower_loss_start(tracked, received_lost_ms);
 }
 
-// Sets the state together with the timers, counters and indices that depend on it. The caller must
-// have removed the entry from its bucket hash.
+// Sets the state together with the timers, counters and indices that depend on it. The entry
+// must have been removed from its bucket hash before.
 void enter_state(membership_table& table, tracked_member& tracked, member_state state,
                  time_point now) {
     const std::string& name = tracked.m_member.m_instance;
--- a/src/decide/membership_table.hpp
+++ b/src/decide/membership_table.hpp
@@ -54,7 +54,7 @@
 void change_state(membership_table& table, tracked_member& tracked, member_state state,
                   time_point now);
 
-// Reports to the caller that the entry of the instance has changed.
+// Adds a member_changed action for the instance.
 void report_member_change(std::string_view instance, actions& out);
 
 } // namespace caraway::swim
--- a/src/decide/move_evidence.cpp
+++ b/src/decide/move_evidence.cpp
@@ -40,9 +40,9 @@
 constexpr double spread_mass = 1 - stage_start_mass * move_stages;
 constexpr double start_spread = 200;
 
-// Odds ratios of the failure alternatives. 100 decides after few failures while the new version has
-// a small share of the calls; with 3 as the lowest, differences below about 1.7 times are not
-// detected.
+// Odds ratios of the failure alternatives. The ratio of 100 decides after few failures while the
+// new version has a small share of the calls. The lowest ratio is 3, so odds of failure that are
+// less than about 1.7 times those of the old version fit "as good" better and are not detected.
 constexpr std::array<double, failure_alternatives> failure_odds{3, 10, 100};
 
 // If the old version has no traffic on a route, a failure share of up to 5% is assumed to be good.
--- a/src/decide/own_server.hpp
+++ b/src/decide/own_server.hpp
@@ -30,7 +30,7 @@
     milliseconds m_warmup_left{0}; // remaining warm-up time; 0 when warm
 };
 
-// Notice of a backend server that it is stopping. Only the identity is always present.
+// Message of a backend server that it is stopping. Only the identity is always present.
 struct server_leave_notice {
     std::string m_server;
     std::optional<std::int64_t> m_started_ms;
--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -81,9 +81,9 @@
                        });
 }
 
-// Writes the delta from the latest text stored whole, then commits the record. If the new text is
-// itself stored whole, a failed write of its delta doesn't stop the acceptance, since readers can
-// read the whole text. Overwrites a value that a dead accepter left under the key, since the key
+// Writes the delta from the latest text stored in full, then commits the record. If the new text is
+// itself stored in full, a failed write of its delta doesn't stop the acceptance, since readers can
+// read the full text. Overwrites a value that a dead accepter left under the key, since the key
 // identifies the content.
 void write_delta(control& state, const accepted_record& record, const std::string& delta) {
     if (delta.empty()) {
@@ -100,7 +100,7 @@
                        });
 }
 
-// Writes the whole text, then its delta (which may be empty) and the record.
+// Writes the full text, then its delta (which may be empty) and the record.
 void write_full_text(control& state, const accepted_record& record, std::string_view text,
                      std::string delta) {
     state.m_store->put(text_key(record.m_version, record.m_hash),
@@ -117,7 +117,7 @@
                        });
 }
 
-// Returns the encoded delta from the latest text stored whole. The result is empty if this node
+// Returns the encoded delta from the latest text stored in full. The result is empty if this node
 // doesn't hold that text or if the delta doesn't restore the new text.
 std::string make_delta(const control& state, const accepted_record& record, const text_id& base,
                        std::string_view text) {
@@ -131,7 +131,7 @@
     return unpack_text(packed, *base_text, reason) ? encode_stored_text(packed) : std::string{};
 }
 
-// Stores the text, whole or as a delta, and then commits its record.
+// Stores the text, in full or as a delta, and then commits its record.
 void write_accepted(control& state, accepted_record record, const std::string& text) {
     accepter_role& role = state.m_accepter;
     text_id base = role.m_accepted ? full_text_of(*role.m_accepted) : text_id{};
@@ -172,7 +172,7 @@
     }
 }
 
-// Reads and processes the whole submitted text.
+// Reads and processes the full submitted text.
 void read_submitted_text(control& state) {
     state.m_store->get(text_store_key, [&state](const store_reply& reply) {
         if (reply.m_kind != error_kind::none) {
@@ -186,7 +186,7 @@
 void process_submitted_revisions(control& state, const submitted_revisions& submitted);
 
 // Processes the submitted text as restored from the delta that carawayctl writes after the text, or
-// reads the whole text if that fails. The delta names the revision of that text instead of a
+// reads the full text if that fails. The delta names the revision of that text instead of a
 // version. A delta that names an older text was written late, after another text was submitted, and
 // is ignored.
 void apply_submitted_delta(control& state, const submitted_revisions& submitted,
@@ -290,7 +290,7 @@
     });
 }
 
-// Removes the texts and deltas that are no longer needed once a text stored whole is committed.
+// Removes the texts and deltas that are no longer needed once a text stored in full is committed.
 // Lists them in the store, so that those of dead accepters are removed too; a value whose removal
 // fails is removed in a later pass.
 void remove_old_texts(control& state, const accepted_record& committed) {
--- a/src/node/config_sync.cpp
+++ b/src/node/config_sync.cpp
@@ -114,7 +114,8 @@
     }
 }
 
-// Requests a text newer than `have_version` from an instance.
+// Requests from an instance a text newer than `have_version`, the highest version that this node
+// holds.
 void fetch_newer_text(control& state, const std::string& instance, std::uint64_t have_version) {
     const auto holder = state.m_members.m_members.find(instance);
     if (holder == state.m_members.m_members.end()) {
--- a/src/node/control.hpp
+++ b/src/node/control.hpp
@@ -200,7 +200,7 @@
     std::shared_ptr<const mesh> m_mesh; // in force on this node
     // Parsed configurations by version that this node holds but that are not yet in force.
     std::map<std::uint64_t, std::shared_ptr<const mesh>> m_parsed_configs;
-    // Cache of the latest text, packed for peers by the version they hold; 0 means the whole text.
+    // Cache of the latest text, packed for peers by the version they hold; 0 means the full text.
     // Most members fetch a new text from the few that had it first, and hold the same version.
     std::map<std::uint64_t, packed_text> m_packed_texts;
     std::uint64_t m_packed_version = 0; // version of the text in m_packed_texts
@@ -211,8 +211,9 @@
     bool m_draining = false; // new work is refused; set some time after m_leaving
     std::optional<time_point> m_data_centre_out_since;
 
-    // The latest text stored whole that this node read or wrote as a reader or accepter. It is the
-    // base of deltas, and is kept apart from m_distribution, which may have skipped that version.
+    // The latest text stored in full that this node read or wrote as a reader or accepter. It is
+    // the base of deltas, and is kept apart from m_distribution, which may have skipped that
+    // version.
     std::optional<config_text> m_full_text;
     std::vector<std::unique_ptr<reader_role>> m_readers;
     operator_watch m_operator;
@@ -292,7 +293,8 @@
 void perform(control& state, std::span<const distribution_action> actions);
 // Handles the information that an instance holds a configuration version.
 void handle_peer_version(control& state, std::string_view instance, std::uint64_t version);
-// Returns the packed text that answers a fetch request.
+// Returns the latest text held here, packed for a peer that holds have_version. Returns nullopt if
+// it is not newer than that, or is older than want_version.
 std::optional<packed_text> pack_latest_text(control& state, std::uint64_t have_version,
                                             std::uint64_t want_version);
 // Handles a text received from a peer.
@@ -360,7 +362,7 @@
 // Returns the text of an accepted version if this node holds it, otherwise null.
 std::shared_ptr<const std::string> find_text(const control& state, std::uint64_t version);
 // Reads the text of an accepted record: from its delta if this node holds the base, otherwise with
-// the stored whole text. Makes at most two store calls, however far this node is behind.
+// the stored full text. Makes at most two store calls, however far this node is behind.
 void read_stored_text(control& state, const accepted_record& record, text_callback done);
 
 // move_control.cpp: the version move of the own service.
@@ -374,7 +376,7 @@
 
 // As a collector, sends the summaries of its shards and writes verdicts when they are due.
 void tick_in_force(control& state, time_point now);
-// Handles a summary sent to this node as a collector.
+// Handles a shard's summary, which is sent to this node as the global collector.
 void receive_in_force_summary(control& state, const in_force_request& summary);
 // Reports to the collector of this node's shard that a version is in force on this node.
 void announce_in_force(control& state);
--- a/src/node/join.cpp
+++ b/src/node/join.cpp
@@ -57,7 +57,7 @@
 
 // Returns the addresses to ask besides the entry points: live members known from earlier replies
 // that haven't answered a join request yet, or the seeds if there are none. A node that asked only
-// its seeds could not establish its version floor while the store was down and most of the seeds
+// its seeds could not determine its minimum version while the store was down and most of the seeds
 // were unreachable, although enough other members were alive.
 std::vector<ip_endpoint> known_targets(const control& state) {
     std::vector<ip_endpoint> targets;
@@ -271,11 +271,11 @@
     }
 }
 
-// Reads the accepted record, which sets the version floor. The text comes from members. Only a node
-// that finds no member, or gets no answer from the first ones it asked, reads the whole text from
-// the store, so that a mass join costs the store two small reads per node. A node that had not
-// asked the members it could find became ready with an empty table, mistook one member for all
-// registrars of an idempotency key and executed the call again.
+// Reads the accepted record, which sets the minimum version that this node may apply. The text
+// comes from members. Only a node that finds no member, or gets no answer from the first ones it
+// asked, reads the full text from the store, so that a mass join costs the store two small reads
+// per node. A node that had not asked the members it could find became ready with an empty table,
+// mistook one member for all registrars of an idempotency key and executed the call again.
 void read_min_version(control& state) {
     state.m_store->get(accepted_key, [&state](const store_reply& reply) {
         if (reply.m_kind == error_kind::store_not_found) {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -22,7 +22,8 @@
 // new work, so that its leave spreads and calls sent before the senders learnt of it are answered.
 constexpr milliseconds min_drain_time{1'000};
 constexpr milliseconds refusal_time{300};
-// A second reader keeps watching until the lease of a dead one expires.
+// If one reader dies, the other still watches the store, so that no change is missed until the dead
+// reader's lease has expired and another node has taken it over.
 constexpr int readers_per_data_centre = 2;
 constexpr milliseconds gauge_interval{1'000};
 // Interval of the log lines with the byte and store call counts. They are written while the process
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -22,10 +22,10 @@
 // call in step.
 constexpr milliseconds retry_pause{100};
 constexpr milliseconds max_retry_pause{800};
-// How often a node determines again whether it watches the store.
+// How often a node determines again whether it must watch the store.
 constexpr milliseconds candidate_interval{500};
-// The same until a configuration is in force: after a power loss of the whole fleet no node has
-// one, and every caller waits for the first watchers.
+// Replaces candidate_interval until a configuration is in force: after a power loss of the whole
+// fleet no node has one, and every caller waits for the first watchers.
 constexpr milliseconds first_candidate_interval{100};
 // Consecutive failed calls after which a watcher announces that it can't reach the store, so that
 // the next candidates start to watch.
@@ -190,8 +190,8 @@
 // small mesh, one read for each node costs the store little.
 constexpr milliseconds max_member_wait{700};
 constexpr milliseconds member_wait_per_entry{15};
-// The same if the store listed hardly any entry points at the first read: all other nodes are
-// starting too, and few of them need to read.
+// Replaces max_member_wait if the store listed hardly any entry points at the first read, as at the
+// first start of the whole mesh: all other nodes are starting too, and few of them need to read.
 constexpr milliseconds mesh_first_start_member_wait{1'500};
 
 // Returns how long a starting node waits for members to supply the configuration before it reads
@@ -210,7 +210,7 @@
 // the store.
 constexpr milliseconds max_behind_time{400};
 
-// A node that finds no member within this time after its start watches the store itself.
+// A node that has found no other member this long after its start watches the store itself.
 constexpr milliseconds max_discovery_time{1'500};
 
 // Determines whether this node watches the store: it is among the first candidates of its data
--- a/src/node/stored_text.cpp
+++ b/src/node/stored_text.cpp
@@ -19,8 +19,8 @@
     return text ? std::make_shared<const std::string>(std::move(*text)) : nullptr;
 }
 
-// Reads the text stored whole on which the record's text is based, and restores the record's text
-// from it. `delta` may be empty if the record's text is itself stored whole.
+// Reads the text stored in full on which the record's text is based, and restores the record's text
+// from it. `delta` may be empty if the record's text is itself stored in full.
 void read_full_text(control& state, const accepted_record& record, std::optional<packed_text> delta,
                     text_callback done) {
     const text_id full_text_id = full_text_of(record);
@@ -68,7 +68,7 @@
     state.m_store->get(
         delta_key(record.m_version, record.m_hash),
         [&state, record, done = std::move(done)](const store_reply& reply) mutable {
-            // A text stored whole may have no delta.
+            // A text stored in full may have no delta.
             if (reply.m_kind != error_kind::none &&
                 (reply.m_kind != error_kind::store_not_found || record.m_base.m_version != 0)) {
                 done(reply.m_kind, nullptr);
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr milliseconds detection_time{5'000}; // until a dead or partitioned member is believed dead
+constexpr milliseconds detection_time{5'000}; // until a dead or partitioned member is declared dead
 constexpr milliseconds retention{600'000};
 constexpr milliseconds loss_rule_retention{7'200'000};
 constexpr milliseconds max_view_delay{4'999}; // until a ready node knows a new name
@@ -306,7 +306,7 @@
         case 2:
             restart(node);
             break;
-        case 3: // a partition; members that can't reach each other believe the other side dead. One
+        case 3: // a partition; members that can't reach each other declare the other side dead. One
                 // that begins before a new name is known everywhere is like a join within it.
             if (!partitioned() && m_fault_profile != fault_profile::replacements &&
                 (has_joins_in_partitions() || m_now - m_last_join > max_view_delay)) {
