--- a/src/decide/membership_merge.hpp
+++ b/src/decide/membership_merge.hpp
@@ -11,12 +11,9 @@
 // How an entry reached this node: in a packet, or in a join reply or table exchange.
 enum class entry_source : std::uint8_t { packet, exchange };
 
-// Effect of a merge on the table.
-enum class merge_result : std::uint8_t {
-    unchanged,
-    changed,
-    rumour, // changed, and the entry must be forwarded to other members immediately
-};
+// Effect of a merge on the table. The value `rumour` means that the table has changed and that the
+// entry must be forwarded to other members immediately.
+enum class merge_result : std::uint8_t { unchanged, changed, rumour };
 
 // Merges one entry. An entry about this node itself is not merged; unless it is outdated or equals
 // this node's own state, this node refutes it by a higher incarnation.
