--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -81,9 +81,9 @@
                        });
 }
 
-// Writes the delta from the latest text stored whole, then commits the record. If the new text is
-// itself stored whole, a failed write of its delta doesn't stop the acceptance, since readers can
-// read the whole text. Overwrites a value that a dead accepter left under the key, since the key
+// Writes the delta from the latest text stored in full, then commits the record. If the new text is
+// itself stored in full, a failed write of its delta doesn't stop the acceptance, since readers can
+// read the full text. Overwrites a value that a dead accepter left under the key, since the key
 // identifies the content.
 void write_delta(control& state, const accepted_record& record, const std::string& delta) {
     if (delta.empty()) {
@@ -100,9 +100,9 @@
                        });
 }
 
-// Writes the whole text, then its delta (which may be empty) and the record.
-void write_whole_text(control& state, const accepted_record& record, std::string_view text,
-                      std::string delta) {
+// Writes the full text, then its delta (which may be empty) and the record.
+void write_full_text(control& state, const accepted_record& record, std::string_view text,
+                     std::string delta) {
     state.m_store->put(text_key(record.m_version, record.m_hash),
                        encode_whole_text(record.m_version, record.m_hash, text), 0, {},
                        [&state, record, delta = std::move(delta)](const store_reply& reply) {
@@ -117,7 +117,7 @@
                        });
 }
 
-// Returns the encoded delta from the latest text stored whole. The result is empty if this node
+// Returns the encoded delta from the latest text stored in full. The result is empty if this node
 // doesn't hold that text or if the delta doesn't restore the new text.
 std::string make_delta(const control& state, const accepted_record& record, const text_id& base,
                        std::string_view text) {
@@ -131,7 +131,7 @@
     return unpack_text(packed, *base_text, reason) ? encode_stored_text(packed) : std::string{};
 }
 
-// Stores the text, whole or as a delta, and then commits its record.
+// Stores the text, in full or as a delta, and then commits its record.
 void write_accepted(control& state, accepted_record record, const std::string& text) {
     accepter_role& role = state.m_accepter;
     text_id base = role.m_accepted ? full_text_of(*role.m_accepted) : text_id{};
@@ -148,7 +148,7 @@
     if (!is_small_delta(delta.size(), text.size())) {
         delta.clear();
     }
-    write_whole_text(state, record, text, std::move(delta));
+    write_full_text(state, record, text, std::move(delta));
 }
 
 // Validates the text submitted at a store revision, unless it has been decided, and stores either
@@ -172,7 +172,7 @@
     }
 }
 
-// Reads and processes the whole submitted text.
+// Reads and processes the full submitted text.
 void read_submitted_text(control& state) {
     state.m_store->get(text_store_key, [&state](const store_reply& reply) {
         if (reply.m_kind != error_kind::none) {
@@ -186,7 +186,7 @@
 void process_submitted_revisions(control& state, const submitted_revisions& submitted);
 
 // Processes the submitted text as restored from the delta that carawayctl writes after the text, or
-// reads the whole text if that fails. The delta names the revision of that text instead of a
+// reads the full text if that fails. The delta names the revision of that text instead of a
 // version. A delta that names an older text was written late, after another text was submitted, and
 // is ignored.
 void apply_submitted_delta(control& state, const submitted_revisions& submitted,
@@ -195,8 +195,9 @@
     const auto delta = decode_stored_text(reply.m_value, reason);
     // A text always has a lower revision than its delta. A delta that named a higher one by mistake
     // would prevent all later texts from being validated.
-    if (!delta || delta->m_version < submitted.m_text || delta->m_version >= reply.m_revision) {
-        state.m_accepter.m_unusable_delta_revision = submitted.m_delta;
+    if (!delta || delta->m_version < submitted.m_text_revision ||
+        delta->m_version >= reply.m_revision) {
+        state.m_accepter.m_unusable_delta_revision = submitted.m_delta_revision;
         process_submitted_revisions(state, submitted);
         return;
     }
@@ -244,8 +245,8 @@
 // is read only if it is new, since it may be almost 1 MB long.
 void process_submitted_revisions(control& state, const submitted_revisions& submitted) {
     accepter_role& role = state.m_accepter;
-    if (submitted.m_text != role.m_latest_text_revision) {
-        role.m_latest_text_revision = submitted.m_text;
+    if (submitted.m_text_revision != role.m_latest_text_revision) {
+        role.m_latest_text_revision = submitted.m_text_revision;
         role.m_latest_text_seen_at = state.now();
     }
     const std::uint64_t decided_revision =
@@ -262,7 +263,7 @@
     case text_source::wait:
         wait_for_submitted_delta(state);
         break;
-    case text_source::whole:
+    case text_source::full:
         read_submitted_text(state);
         break;
     }
@@ -279,17 +280,17 @@
         submitted_revisions submitted;
         for (const store_entry& entry : reply.m_entries) {
             if (entry.m_key == text_store_key) {
-                submitted.m_text = entry.m_revision;
+                submitted.m_text_revision = entry.m_revision;
             } else if (entry.m_key == text_delta_store_key) {
-                submitted.m_delta = entry.m_revision;
+                submitted.m_delta_revision = entry.m_revision;
             }
         }
-        role.m_listed_revision = std::max(submitted.m_text, submitted.m_delta);
+        role.m_listed_revision = std::max(submitted.m_text_revision, submitted.m_delta_revision);
         process_submitted_revisions(state, submitted);
     });
 }
 
-// Removes the texts and deltas that are no longer needed once a text stored whole is committed.
+// Removes the texts and deltas that are no longer needed once a text stored in full is committed.
 // Lists them in the store, so that those of dead accepters are removed too; a value whose removal
 // fails is removed in a later pass.
 void remove_old_texts(control& state, const accepted_record& committed) {
@@ -343,7 +344,7 @@
     role.m_accepted_text_version = role.m_accepted->m_version;
     role.m_accepted_read = true;
     if (role.m_accepted->m_base.m_version == 0) {
-        state.m_whole_text =
+        state.m_full_text =
             config_text{role.m_accepted->m_version, role.m_accepted->m_hash, role.m_accepted_text};
         remove_old_texts(state, *role.m_accepted);
     }
--- a/src/observe/action_text.cpp
+++ b/src/observe/action_text.cpp
@@ -86,7 +86,7 @@
     return text + admission_state_text(state);
 }
 
-std::string action_text(const admission_state& state, const admission_release& release) {
+std::string action_text(const admission_state& state, const released_calls& release) {
     std::string text;
     append_calls(text, "run", release.m_run);
     append_calls(text, "expired", release.m_expired);
--- a/src/observe/action_text.hpp
+++ b/src/observe/action_text.hpp
@@ -21,7 +21,7 @@
 std::string action_text(const admission_state& state, const admission_result& result);
 // Returns the waiting calls that may now run or have expired, and the running calls, waiting calls
 // and limit after that.
-std::string action_text(const admission_state& state, const admission_release& release);
+std::string action_text(const admission_state& state, const released_calls& release);
 
 // Returns the actions in order, such as "fetch east-1 3;announce 4;parse 4". Empty if there are
 // none.
