--- a/tests/integration/calls_test.py
+++ b/tests/integration/calls_test.py
@@ -3,7 +3,7 @@
 import time
 
 from harness import run_tests, seed
-from mesh import Mesh, check_calls, mesh_text, wait_quietly
+from mesh import Mesh, check_calls, mesh_text, wait_ignoring_errors
 
 READY_AGAIN_S = 18.0
 KEYS_READY_S = 12.5  # a name is a registrar of keys first sent 12 s after its first start
@@ -36,7 +36,7 @@
                      targets=[i.name for i in mesh.of_service("gate")])
 
 
-def of_work(mesh):
+def work_names(mesh):
     return [i.name for i in mesh.of_service("work")]
 
 
@@ -47,14 +47,14 @@
         start_mesh(mesh, 3, service_ms=20, slots=12, cold_s=4)
         calls = load(mesh, "cold", "--path", "/read/a", "--rate", 200, "--duration-s", 17)
         time.sleep(8)
-        first = [mesh.executions(n) for n in of_work(mesh)]
+        first = [mesh.executions(n) for n in work_names(mesh)]
         assert all(c["falls"] == 0 for c in first), [c["falls"] for c in first]
         assert not any(c["cold"] for c in first), "still cold: the load did not warm it"
-        for name in of_work(mesh)[:2]:
-            mesh.server_fault(name, cold=True)
+        for name in work_names(mesh)[:2]:
+            mesh.set_server_fault(name, cold=True)
             time.sleep(4)
         summary = mesh.summary(calls)
-        last = [mesh.executions(n) for n in of_work(mesh)]
+        last = [mesh.executions(n) for n in work_names(mesh)]
         # The first sign of new coldness is a slow or failed answer: one fall may show it, and a
         # second one would mean that the sign was ignored.
         assert all(c["falls"] <= 1 for c in last), [c["falls"] for c in last]
@@ -67,24 +67,24 @@
     taken for the answer of another request (guarantee 7)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 3, gates=2, service_ms=5)
-        mesh.server_fault("work-0", truncate_permille=100)
-        mesh.server_fault("work-1", answer_delay_ms=150)
-        first = load(mesh, "cut", "--path", "/read/a", "--path", "/book/b", "--rate", 80,
+        mesh.set_server_fault("work-0", truncate_permille=100)
+        mesh.set_server_fault("work-1", answer_delay_ms=150)
+        cut_load = load(mesh, "cut", "--path", "/read/a", "--path", "/book/b", "--rate", 80,
                      "--duration-s", 9, "--response-bytes", 20000)
-        late = load(mesh, "late", "--path", "/read/a", "--path", "/book/b", "--rate", 60,
+        late_load = load(mesh, "late", "--path", "/read/a", "--path", "/book/b", "--rate", 60,
                     "--duration-s", 9, "--response-bytes", 3000, "--deadline-ms", 120)
         truncations = 0
-        while first.running():
-            for name in of_work(mesh):
-                mesh.fault(f"traffic/{name}", truncate_after_bytes=700)
+        while cut_load.running():
+            for name in work_names(mesh):
+                mesh.set_link_fault(f"traffic/{name}", truncate_after_bytes=700)
             truncations += 1
             time.sleep(0.5)
-        cut, slow = mesh.summary(first), mesh.summary(late)
+        cut, slow = mesh.summary(cut_load), mesh.summary(late_load)
         figures = [check_calls(s, unknown=None) for s in (cut, slow)]
         # The faults did bite: answers were refused as unknown instead of passed on in part.
         assert cut["unknown"] > 0 and truncations > 5, cut
         assert slow["unknown"] + slow["deadline"] > 0, slow
-        checked = sum(mesh.check_not_run(mesh.records(each)) for each in (first, late))
+        checked = sum(mesh.check_not_run(mesh.records(load_program)) for load_program in (cut_load, late_load))
         return f"cut: {figures[0]}; late: {figures[1]}; {checked} refusals true; {mesh.finish()}"
 
 
@@ -101,21 +101,21 @@
         time.sleep(1.5)
         mesh.instances["work-2"].node.kill()
         mesh.start_node("work-2")
-        mesh.fault("traffic/work-3", cut=True)
+        mesh.set_link_fault("traffic/work-3", cut=True)
         time.sleep(1)
-        mesh.fault("traffic/work-3", cut=False)
+        mesh.set_link_fault("traffic/work-3", cut=False)
         summary = mesh.summary(calls)
         records = mesh.records(calls)
         # The killed server took its counts with it: its calls are checked by the audit alone.
-        lost = {"work-0"}
-        alive = [n for n in of_work(mesh) if n not in lost]
+        killed = {"work-0"}
+        alive = [n for n in work_names(mesh) if n not in killed]
         checked = mesh.check_not_run(records, alive)
         started = sum(mesh.executions(n)["started"] for n in alive)
         others = [r for r in records if r["outcome"] not in ("answered", "not-run")]
-        times = [mesh.ran(r["number"], alive) for r in others]
-        assert all(t <= 1 for t in times), times
-        answered = sum(r["outcome"] == "answered" and r["instance"] not in lost for r in records)
-        assert started == answered + sum(times), (started, answered, sum(times))
+        run_counts = [mesh.run_count(r["number"], alive) for r in others]
+        assert all(t <= 1 for t in run_counts), run_counts
+        answered = sum(r["outcome"] == "answered" and r["instance"] not in killed for r in records)
+        assert started == answered + sum(run_counts), (started, answered, sum(run_counts))
         return f"{check_calls(summary, unknown=None)}; {checked} refusals true; {mesh.finish()}"
 
 
@@ -127,23 +127,23 @@
         time.sleep(KEYS_READY_S)
         calls = load(mesh, "keyed", "--path", "/book/b", "--rate", 100, "--duration-s", 16,
                      "--keyed-permille", 1000, "--resend")
-        turns = random.Random(seed())
+        rng = random.Random(seed())
         restarts = 0
         while calls.running():
-            name = turns.choice(of_work(mesh))
-            if turns.random() < 0.5:
+            name = rng.choice(work_names(mesh))
+            if rng.random() < 0.5:
                 mesh.instances[name].node.kill()
-                time.sleep(turns.uniform(0, 0.5))
+                time.sleep(rng.uniform(0, 0.5))
                 mesh.start_node(name)
             else:
-                mesh.fault(f"traffic/{name}", cut=True)
-                time.sleep(turns.uniform(0.05, 0.4))
-                mesh.fault(f"traffic/{name}", cut=False)
+                mesh.set_link_fault(f"traffic/{name}", cut=True)
+                time.sleep(rng.uniform(0.05, 0.4))
+                mesh.set_link_fault(f"traffic/{name}", cut=False)
             restarts += 1
-            time.sleep(turns.uniform(0.3, 1.2))
+            time.sleep(rng.uniform(0.3, 1.2))
         mesh.wait_ready()
         summary = mesh.summary(calls)
-        started = mesh.check_run_once(mesh.records(calls), of_work(mesh))
+        started = mesh.check_run_once(mesh.records(calls), work_names(mesh))
         return f"{restarts} faults, {summary['resent']} sent again, {started} runs, doubled 0; " \
                f"{check_calls(summary, unknown=None)}; {mesh.finish()}"
 
@@ -157,17 +157,17 @@
         calls = load(mesh, "overload", "--path", "/poll/a:6", "--path", "/alarm/b:1", "--rate",
                      200, "--duration-s", 8)
         summary = mesh.summary(calls)
-        servers = [mesh.executions(n) for n in of_work(mesh)]
+        servers = [mesh.executions(n) for n in work_names(mesh)]
         assert all(c["shed"] == 0 and c["max_concurrency"] <= 2 for c in servers), servers
-        shares = {}
+        answered_shares = {}
         for path, counted in summary["by_path"].items():
             sent = sum(counted["outcomes"].values())
-            shares[path] = counted["outcomes"].get("answered", 0) / sent
-        assert shares["/alarm/b"] > shares["/poll/a"], shares
+            answered_shares[path] = counted["outcomes"].get("answered", 0) / sent
+        assert answered_shares["/alarm/b"] > answered_shares["/poll/a"], answered_shares
         checked = mesh.check_not_run(mesh.records(calls))
         assert checked > 0, summary
         # Calls that ended late were cancelled, so a server has no more starts than callers' calls.
-        return f"answered: {shares['/alarm/b']:.0%} of urgent calls, {shares['/poll/a']:.0%} of " \
+        return f"answered: {answered_shares['/alarm/b']:.0%} of urgent calls, {answered_shares['/poll/a']:.0%} of " \
                f"polls; {checked} refusals true; {check_calls(summary, None)}; {mesh.finish()}"
 
 
@@ -190,31 +190,31 @@
                              "--duration-s", 4, "--keyed-permille", 500, "--resend",
                              targets=["c1-0"], direct=True, **more)
 
-        whole = chain("seven", [f"/{n}" for n in names[1:]])
-        summary = mesh.summary(whole)
+        whole_load = chain("seven", [f"/{n}" for n in names[1:]])
+        summary = mesh.summary(whole_load)
         assert summary["answered"] == summary["sent"], summary
         counts = [mesh.executions(f"{n}-0")["started"] for n in names]
         assert counts == [summary["sent"]] * 7, counts
-        eighth = chain("eight", [f"/{n}" for n in names[1:]] + ["/c1"])
-        over = mesh.summary(eighth)
+        eighth_load = chain("eight", [f"/{n}" for n in names[1:]] + ["/c1"])
+        eighth_summary = mesh.summary(eighth_load)
         counts = [mesh.executions(f"{n}-0")["started"] for n in names]
-        assert counts == [summary["sent"] + over["sent"]] * 7, (counts, over["sent"])
-        mesh.check_not_run(mesh.records(eighth))
-        broken = chain("broken", [f"/{n}" for n in names[1:]])
+        assert counts == [summary["sent"] + eighth_summary["sent"]] * 7, (counts, eighth_summary["sent"])
+        mesh.check_not_run(mesh.records(eighth_load))
+        broken_load = chain("broken", [f"/{n}" for n in names[1:]])
         time.sleep(1)
         mesh.instances["c5-0"].node.kill()
         time.sleep(1)
         mesh.start_node("c5-0")
-        third = mesh.summary(broken)
-        mesh.check_not_run(mesh.records(broken))
-        wait_quietly(lambda: mesh.status("c5-0")["ready"], READY_AGAIN_S, "c5 ready")
+        broken_summary = mesh.summary(broken_load)
+        mesh.check_not_run(mesh.records(broken_load))
+        wait_ignoring_errors(lambda: mesh.status("c5-0")["ready"], READY_AGAIN_S, "c5 ready")
         for name in names:
             assert not mesh.executions(f"{name}-0")["run_again"], name
-        return f"whole: {check_calls(summary)}; broken: {check_calls(third, None)}; " \
+        return f"whole: {check_calls(summary)}; broken: {check_calls(broken_summary, None)}; " \
                f"{mesh.finish()}"
 
 
 if __name__ == "__main__":
     run_tests([test_keyed_requests_sent_again_while_nodes_restart, test_cold_start_and_cold_again,
                test_chains_seven_deep, test_truncated_and_late_answers,
-               test_killed_with_calls_under_way, test_overload_with_urgent_calls], at_once=3)
+               test_killed_with_calls_under_way, test_overload_with_urgent_calls], max_parallel=3)
--- a/tests/integration/config_faults_test.py
+++ b/tests/integration/config_faults_test.py
@@ -3,11 +3,11 @@
 import time
 
 from harness import HOST, request, run_tests
-from mesh import Mesh, check_calls, http, mesh_text, wait_quietly
+from mesh import Mesh, check_calls, http, mesh_text, wait_ignoring_errors
 
 CONVERGENCE_S = 18.0  # the users' target for a change to be in force everywhere
 DATA_CENTRES = ["east", "west"]
-TARGET_OF_READS = {"service": "alpha", "timeout": "2s", "idempotent": True}
+READ_ROUTE = {"service": "alpha", "timeout": "2s", "idempotent": True}
 
 
 def text(slots=12, services=None, routes=None, out=()):
@@ -15,7 +15,7 @@
     return mesh_text(
         DATA_CENTRES,
         {"alpha": {"version": "1", "slots": slots}, "beta": {"version": "1"}, **(services or {})},
-        {"/alpha": TARGET_OF_READS, "/beta": {"service": "beta", "timeout": "2s"},
+        {"/alpha": READ_ROUTE, "/beta": {"service": "beta", "timeout": "2s"},
          **(routes or {})},
         out)
 
@@ -37,13 +37,13 @@
                      "--duration-s", seconds, targets=targets)
 
 
-def accepted_soon(mesh, version, timeout_s=15):
+def wait_accepted(mesh, version, timeout_s=15):
     """Waits for an acceptance in the store; returns its time."""
-    wait_quietly(lambda: mesh.accepted_version() >= version, timeout_s, f"accepted {version}")
+    wait_ignoring_errors(lambda: mesh.accepted_version() >= version, timeout_s, f"accepted {version}")
     return time.monotonic()
 
 
-def in_force_everywhere(mesh, version, since, names=None):
+def wait_in_force(mesh, version, since, names=None):
     """Fails if a node lacks the version 18 s after the given time; returns the seconds taken."""
     mesh.wait_version(version, max(0.1, CONVERGENCE_S - (time.monotonic() - since)), names)
     return time.monotonic() - since
@@ -55,32 +55,32 @@
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         load = start_load(mesh, "away", 11)
-        took = []
+        elapsed_s = []
         for version, fault in ((2, "down"), (3, "stall")):
             mesh.apply(text(slots=10 + version))
-            since = accepted_soon(mesh, version)
-            mesh.store_fault(**{fault: True})
-            took.append(in_force_everywhere(mesh, version, since))
+            since = wait_accepted(mesh, version)
+            mesh.set_store_fault(**{fault: True})
+            elapsed_s.append(wait_in_force(mesh, version, since))
             time.sleep(2.5)
-            mesh.store_fault(**{fault: False})
-            wait_quietly(lambda: mesh.lease_holders("accepter"), 15, "an accepter again")
-        mesh.store_fault(down=True)
+            mesh.set_store_fault(**{fault: False})
+            wait_ignoring_errors(lambda: mesh.lease_holders("accepter"), 15, "an accepter again")
+        mesh.set_store_fault(down=True)
         calls = check_calls(mesh.summary(load))
-        mesh.store_fault(down=False)
+        mesh.set_store_fault(down=False)
         assert mesh.accepted_version() == 3
-        return f"in force after {took[0]:.2f} s and {took[1]:.2f} s; {calls}; {mesh.finish()}"
+        return f"in force after {elapsed_s[0]:.2f} s and {elapsed_s[1]:.2f} s; {calls}; {mesh.finish()}"
 
 
 def test_store_down_for_the_whole_load():
     """Guards against calls that depend on the store: all are answered while it is down."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 4)
-        mesh.store_fault(down=True)
+        mesh.set_store_fault(down=True)
         load = start_load(mesh, "down", 12, rate=150)
         summary = mesh.summary(load)
         assert summary["answered"] == summary["sent"], summary
         assert all(mesh.status(n)["config_version"] == 1 for n in mesh.instances)
-        mesh.store_fault(down=False)
+        mesh.set_store_fault(down=False)
         return f"{check_calls(summary)}; {mesh.finish()}"
 
 
@@ -89,7 +89,7 @@
     paused past its lease, and against a late writer that brings an older version back."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
-        took = []
+        elapsed_s = []
         version = 1
 
         def holders(role):
@@ -99,41 +99,41 @@
 
         for role, kind in (("accepter", "kill"), ("accepter", "pause"), ("reader", "pause"),
                            ("reader", "kill")):
-            wait_quietly(lambda role=role: holders(role), 15, f"a {role}")
+            wait_ignoring_errors(lambda role=role: holders(role), 15, f"a {role}")
             version += 1
             mesh.apply(text(slots=10 + version))
-            hit = holders(role)[:1] if role == "accepter" else holders(role)
-            for name in hit:
+            failed_nodes = holders(role)[:1] if role == "accepter" else holders(role)
+            for name in failed_nodes:
                 node = mesh.instances[name].node
                 node.kill() if kind == "kill" else node.pause()
             paused_at = time.monotonic()
-            others = [n for n in mesh.instances if n not in hit]
+            others = [n for n in mesh.instances if n not in failed_nodes]
             # The next accepter comes within a lease period; the target counts from acceptance.
-            since = accepted_soon(mesh, version)
-            took.append(in_force_everywhere(mesh, version, since, others))
+            since = wait_accepted(mesh, version)
+            elapsed_s.append(wait_in_force(mesh, version, since, others))
             if kind == "pause":
                 time.sleep(max(0, 6 - (time.monotonic() - paused_at)))  # lease period: 5 s
-            for name in hit:
+            for name in failed_nodes:
                 mesh.start_node(name) if kind == "kill" else mesh.instances[name].node.resume()
-            in_force_everywhere(mesh, version, time.monotonic())
+            wait_in_force(mesh, version, time.monotonic())
         assert mesh.accepted_version() == version
         mesh.wait_ready()
-        return ("in force after " + ", ".join(f"{t:.2f}" for t in took) +
+        return ("in force after " + ", ".join(f"{t:.2f}" for t in elapsed_s) +
                 f" s; {mesh.finish()}")
 
 
-def test_operators_race_over_a_lossy_platform():
+def test_concurrent_edits_with_lost_answers_and_datagrams():
     """Guards against a lost edit, a text applied out of order and a node left behind when the
     store loses answers and watch events and UDP loses 5% (guarantees 1 and 12)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
-        mesh.fault("udp/*", loss_permille=50)
-        mesh.store_fault(lose_answers_permille=150, drop_watch_events_permille=500)
+        mesh.set_link_fault("udp/*", loss_permille=50)
+        mesh.set_store_fault(lose_answers_permille=150, drop_watch_events_permille=500)
         edits = {"alpha": 0, "beta": 0}
         first_queue = {"alpha": 100, "beta": 500}
         load = start_load(mesh, "race", 12)
 
-        def operate(service):
+        def edit_repeatedly(service):
             path = f"{mesh.dir}/operator-{service}.toml"
             base = first_queue[service]
             end = time.monotonic() + 9
@@ -150,13 +150,13 @@
                     edits[service] += 1
                 time.sleep(0.3)
 
-        operators = [threading.Thread(target=operate, args=(s,)) for s in edits]
+        operators = [threading.Thread(target=edit_repeatedly, args=(s,)) for s in edits]
         for operator in operators:
             operator.start()
         for operator in operators:
             operator.join()
         since = time.monotonic()
-        mesh.store_fault(lose_answers_permille=0, drop_watch_events_permille=0)
+        mesh.set_store_fault(lose_answers_permille=0, drop_watch_events_permille=0)
         final = http("GET", mesh.store_port, "/v1/kv/caraway/text")[2].decode()
         for service, count in edits.items():
             assert count > 2 and f"queue = {first_queue[service] + count}\n" in final, \
@@ -168,14 +168,14 @@
             out.write(final)
 
         def newest_accepted():
-            done = mesh.ctl("diff", path, check=False)
-            return done.returncode == 0 and done.stdout == "no change\n"
+            completed = mesh.ctl("diff", path, check=False)
+            return completed.returncode == 0 and completed.stdout == "no change\n"
 
-        wait_quietly(newest_accepted, CONVERGENCE_S, "the newest text accepted")
-        took = in_force_everywhere(mesh, mesh.accepted_version(), since)
+        wait_ignoring_errors(newest_accepted, CONVERGENCE_S, "the newest text accepted")
+        elapsed_s = wait_in_force(mesh, mesh.accepted_version(), since)
         calls = check_calls(mesh.summary(load))
         return (f"{edits['alpha']}+{edits['beta']} edits, version {mesh.accepted_version()} in force"
-                f" {took:.2f} s after the last; {calls}; {mesh.finish()}")
+                f" {elapsed_s:.2f} s after the last; {calls}; {mesh.finish()}")
 
 
 def test_bad_text_is_refused_whole():
@@ -204,7 +204,7 @@
                 now = http("GET", mesh.store_port, "/v1/kv/caraway/text")[1]["x-revision"]
                 return f'"source_revision":{now}' in record.replace(" ", "")
 
-            wait_quietly(refused, CONVERGENCE_S, "the refusal")
+            wait_ignoring_errors(refused, CONVERGENCE_S, "the refusal")
         time.sleep(1)
         assert mesh.accepted_version() == 1
         for name in mesh.instances:
@@ -216,14 +216,14 @@
                           targets=["alpha-0"])
         mesh.apply(text(services={"gamma": {"version": "1"}},
                         routes={"/gamma": {"service": "gamma"}}))
-        took = in_force_everywhere(mesh, 2, since)
+        elapsed_s = wait_in_force(mesh, 2, since)
         gamma = mesh.summary(extra)  # each call is refused, none hangs or is misrouted
         assert gamma["not_run"] == gamma["sent"], gamma
         mesh.apply(text())
-        in_force_everywhere(mesh, 3, time.monotonic())
+        wait_in_force(mesh, 3, time.monotonic())
         summary = mesh.summary(load)
         assert summary["answered"] == summary["sent"], summary["not_run_reasons"]
-        return f"{len(bad)} texts refused; valid one in force after {took:.2f} s; " \
+        return f"{len(bad)} texts refused; valid one in force after {elapsed_s:.2f} s; " \
                f"{check_calls(summary)}; {mesh.finish()}"
 
 
@@ -245,28 +245,28 @@
         mesh.wait_version(2, CONVERGENCE_S)
         mesh.wait_members()
 
-        def restart(name, floor):
+        def restart(name, min_version):
             mesh.instances[name].node.kill()
             mesh.start_node(name)
-            wait_quietly(lambda: mesh.status(name)["ready"], CONVERGENCE_S, f"{name} ready again")
+            wait_ignoring_errors(lambda: mesh.status(name)["ready"], CONVERGENCE_S, f"{name} ready again")
             version = mesh.status(name)["config_version"]
-            assert version >= floor, f"{name} ready with {version}, had {floor}"
+            assert version >= min_version, f"{name} ready with {version}, had {min_version}"
 
         restart(east[0], 2)
         mesh.cut_data_centre("west")
         mesh.apply(text(slots=8))
-        in_force_everywhere(mesh, 3, time.monotonic(), east)
-        mesh.store_fault(down=True)
+        wait_in_force(mesh, 3, time.monotonic(), east)
+        mesh.set_store_fault(down=True)
         restart(east[0], 3)
         restart(west[0], 2)
         mesh.cut_data_centre("west", cut=False)
         since = time.monotonic()
         restart(east[1], 3)
         restart(west[1], 3)
-        took = in_force_everywhere(mesh, 3, since)
-        mesh.store_fault(down=False)
+        elapsed_s = wait_in_force(mesh, 3, since)
+        mesh.set_store_fault(down=False)
         calls = check_calls(mesh.summary(load), unknown=None)
-        return f"all at version 3 {took:.2f} s after the cut healed; {calls}; {mesh.finish()}"
+        return f"all at version 3 {elapsed_s:.2f} s after the cut healed; {calls}; {mesh.finish()}"
 
 
 def test_restart_among_nodes_that_are_behind():
@@ -275,37 +275,37 @@
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 8)
         names = list(mesh.instances)
-        restarted, behind = names[0], [names[1], names[3]]
-        current = [n for n in names[1:] if n not in behind]
+        restarted, lagging = names[0], [names[1], names[3]]
+        up_to_date = [n for n in names[1:] if n not in lagging]
 
-        def for_nodes(which, action):
+        def call_nodes(which, action):
             for name in which:
                 getattr(mesh.instances[name].node, action)()
 
         mesh.apply(text(slots=9))
         mesh.wait_version(2, CONVERGENCE_S)
-        for_nodes(behind, "pause")
+        call_nodes(lagging, "pause")
         mesh.apply(text(slots=8))
-        since = accepted_soon(mesh, 3)
-        in_force_everywhere(mesh, 3, since, [restarted, *current])
-        mesh.store_fault(down=True)
+        since = wait_accepted(mesh, 3)
+        wait_in_force(mesh, 3, since, [restarted, *up_to_date])
+        mesh.set_store_fault(down=True)
         mesh.instances[restarted].node.kill()
-        for_nodes(current, "pause")
-        for_nodes(behind, "resume")
+        call_nodes(up_to_date, "pause")
+        call_nodes(lagging, "resume")
         mesh.start_node(restarted)
         time.sleep(4)  # only nodes with version 2 answer
         assert not mesh.status(restarted)["ready"], mesh.applied_versions(restarted)
-        for_nodes(current, "resume")
+        call_nodes(up_to_date, "resume")
         since = time.monotonic()
-        took = in_force_everywhere(mesh, 3, since)
-        mesh.store_fault(down=False)
+        elapsed_s = wait_in_force(mesh, 3, since)
+        mesh.set_store_fault(down=False)
         assert mesh.applied_versions(restarted)[-1] == 3
-        return f"version 3 {took:.2f} s after the others answered; {mesh.finish()}"
+        return f"version 3 {elapsed_s:.2f} s after the others answered; {mesh.finish()}"
 
 
 if __name__ == "__main__":
     run_tests([test_accepter_and_readers_fail_during_a_change,
                test_restart_among_nodes_that_are_behind,
                test_store_fails_right_after_acceptance, test_restarted_nodes_never_go_back,
-               test_operators_race_over_a_lossy_platform, test_bad_text_is_refused_whole,
-               test_store_down_for_the_whole_load], at_once=3)
+               test_concurrent_edits_with_lost_answers_and_datagrams, test_bad_text_is_refused_whole,
+               test_store_down_for_the_whole_load], max_parallel=3)
--- a/tests/integration/ctl_test.py
+++ b/tests/integration/ctl_test.py
@@ -34,10 +34,10 @@
 
     def ctl(self, *arguments):
         """Returns the exit code and what was printed."""
-        done = subprocess.run([os.path.join(self.harness.bins, "carawayctl"), "--store",
+        completed = subprocess.run([os.path.join(self.harness.bins, "carawayctl"), "--store",
                                self.address, *arguments],
                               capture_output=True, text=True, timeout=60)
-        return done.returncode, done.stdout + done.stderr
+        return completed.returncode, completed.stdout + completed.stderr
 
     def text(self):
         return request(self.address, "GET", "/v1/kv/caraway/text")[2].decode()
@@ -117,7 +117,7 @@
 
         # A text that another writer put past the checks is refused by the accepter.
         request(f"{HOST}:{mesh.store_port}", "PUT", "/v1/kv/caraway/text", "format = 1\nnmae = 1\n")
-        refused = wait_until(lambda: (done := mesh.ctl("status", check=False)).returncode == 1 and done,
+        refused = wait_until(lambda: (completed := mesh.ctl("status", check=False)).returncode == 1 and completed,
                              10, "refusal")
         assert "text:2:1: found unknown key \"nmae\"" in refused.stdout, refused.stdout
         assert "version 2 accepted" in refused.stdout, refused.stdout
--- a/tests/integration/data_centre_test.py
+++ b/tests/integration/data_centre_test.py
@@ -2,24 +2,24 @@
 import time
 
 from harness import run_tests
-from mesh import Mesh, check_calls, mesh_text, wait_quietly
+from mesh import Mesh, check_calls, mesh_text, wait_ignoring_errors
 
 # The users' targets.
 STOP_LIMIT_S = 3.0
 CONVERGENCE_S = 18.0
-PLACES = ["harris", "martin", "thurlow"]
+DATA_CENTRES = ["harris", "martin", "thurlow"]
 
 
 def text(out=()):
     return mesh_text(
-        PLACES, {"rake": {"version": "1"}},
+        DATA_CENTRES, {"rake": {"version": "1"}},
         {"/read": {"service": "rake", "timeout": "1s", "idempotent": True},
          "/cycle": {"service": "rake", "timeout": "2s"}}, out)
 
 
 def start_mesh(mesh, **options):
     for i in range(6):
-        mesh.add(f"rake-{i}", PLACES[i % 3], "rake", **{"service_ms": 5, **options})
+        mesh.add(f"rake-{i}", DATA_CENTRES[i % 3], "rake", **{"service_ms": 5, **options})
     mesh.start()
     mesh.apply(text())
     mesh.wait_ready()
@@ -27,20 +27,20 @@
     return mesh
 
 
-def names_in(mesh, place):
-    return [i.name for i in mesh.in_data_centre(place)]
+def names_in(mesh, data_centre):
+    return [i.name for i in mesh.in_data_centre(data_centre)]
 
 
 def accept(mesh, content):
     """Applies a text and waits for its acceptance; returns its version and the Unix time in ms."""
     version = mesh.accepted_version() + 1
     mesh.apply(content)
-    wait_quietly(lambda: mesh.accepted_version() >= version, CONVERGENCE_S, "acceptance")
+    wait_ignoring_errors(lambda: mesh.accepted_version() >= version, CONVERGENCE_S, "acceptance")
     return version, time.time() * 1000
 
 
-def last_start_ms(mesh, place):
-    return max(mesh.executions(name)["last_started_ms"] for name in names_in(mesh, place))
+def last_start_ms(mesh, data_centre):
+    return max(mesh.executions(name)["last_started_ms"] for name in names_in(mesh, data_centre))
 
 
 def load(mesh, seconds, targets, rate=150, name="load"):
@@ -48,9 +48,9 @@
                      "--duration-s", seconds, targets=targets, direct=True)
 
 
-def works_again(mesh, place):
+def is_serving(mesh, data_centre):
     now = time.time() * 1000
-    return all(mesh.executions(n)["last_started_ms"] > now - 500 for n in names_in(mesh, place))
+    return all(mesh.executions(n)["last_started_ms"] > now - 500 for n in names_in(mesh, data_centre))
 
 
 def test_out_and_back():
@@ -62,17 +62,17 @@
         time.sleep(4)
         _, accepted_ms = accept(mesh, text(["harris"]))
         time.sleep(STOP_LIMIT_S + 2)
-        late = (last_start_ms(mesh, "harris") - accepted_ms) / 1000
-        assert late <= STOP_LIMIT_S, f"last call {late:.2f} s after acceptance"
+        last_call_s = (last_start_ms(mesh, "harris") - accepted_ms) / 1000
+        assert last_call_s <= STOP_LIMIT_S, f"last call {last_call_s:.2f} s after acceptance"
         for name in names_in(mesh, "harris"):
-            mesh.server_fault(name, cold=True)
+            mesh.set_server_fault(name, cold=True)
         accept(mesh, text())
-        back = wait_quietly(lambda: works_again(mesh, "harris"), CONVERGENCE_S, "work again")
+        return_s = wait_ignoring_errors(lambda: is_serving(mesh, "harris"), CONVERGENCE_S, "work again")
         summary = mesh.summary(calls)
         falls = [mesh.executions(n)["falls"] for n in names_in(mesh, "harris")]
         assert falls == [0, 0], falls
         assert summary["answered"] == summary["sent"], summary["not_run_reasons"]
-        return f"last call {late:.2f} s after acceptance, works {back:.2f} s after return; " \
+        return f"last call {last_call_s:.2f} s after acceptance, works {return_s:.2f} s after return; " \
                f"{check_calls(summary)}; {mesh.finish()}"
 
 
@@ -89,7 +89,7 @@
             mesh.instances[name].server.kill()
         killed_ms = time.time() * 1000
         version, _ = accept(mesh, text(["harris"]))
-        took = mesh.wait_version(version, CONVERGENCE_S)
+        elapsed_s = mesh.wait_version(version, CONVERGENCE_S)
         for name in names_in(mesh, "harris"):
             mesh.start_instance(name)
         mesh.wait_ready()
@@ -99,7 +99,7 @@
         accept(mesh, text())
         # Entries prefer their own data centre, so callers come back to this one, too.
         inside = load(mesh, 30, names_in(mesh, "harris"), 60, "inside")
-        back = wait_quietly(lambda: works_again(mesh, "harris"), CONVERGENCE_S, "work again")
+        return_s = wait_ignoring_errors(lambda: is_serving(mesh, "harris"), CONVERGENCE_S, "work again")
         inside.terminate()
         check_calls(mesh.summary(inside))
         summary = mesh.summary(calls)
@@ -107,9 +107,9 @@
         # Nothing fails once the failure is detected and the change is in force.
         failed = [r["sent_ms"] - killed_ms for r in records if r["outcome"] != "answered"]
         assert all(f <= CONVERGENCE_S * 1000 for f in failed), failed
-        last = max(failed, default=0) / 1000
-        assert last <= STOP_LIMIT_S, f"a call failed that was sent {last:.2f} s after the kill"
-        return f"out in force after {took:.2f} s, works {back:.2f} s after its return; {len(failed)} calls failed, the last {last:.2f} s "\
+        last_failure_s = max(failed, default=0) / 1000
+        assert last_failure_s <= STOP_LIMIT_S, f"a call failed that was sent {last_failure_s:.2f} s after the kill"
+        return f"out in force after {elapsed_s:.2f} s, works {return_s:.2f} s after its return; {len(failed)} calls failed, the last {last_failure_s:.2f} s "\
                f"after the kill; {check_calls(summary, None)}; {mesh.finish()}"
 
 
@@ -128,23 +128,23 @@
         version, accepted_ms = accept(mesh, text(["harris"]))
         mesh.wait_version(version, CONVERGENCE_S, entries)
         time.sleep(STOP_LIMIT_S)
-        late = (last_start_ms(mesh, "harris") - accepted_ms) / 1000
-        assert late <= STOP_LIMIT_S, f"last call {late:.2f} s after acceptance"
+        last_call_s = (last_start_ms(mesh, "harris") - accepted_ms) / 1000
+        assert last_call_s <= STOP_LIMIT_S, f"last call {last_call_s:.2f} s after acceptance"
         mesh.cut_data_centre("harris", cut=False)
         healed = time.monotonic()
         mesh.wait_version(version, CONVERGENCE_S)
         version, _ = accept(mesh, text())
         mesh.wait_version(version, CONVERGENCE_S)
-        wait_quietly(lambda: works_again(mesh, "harris"), CONVERGENCE_S, "work again")
-        back = time.monotonic() - healed
+        wait_ignoring_errors(lambda: is_serving(mesh, "harris"), CONVERGENCE_S, "work again")
+        return_s = time.monotonic() - healed
         inside.terminate()
         within = check_calls(mesh.summary(inside), None)
         summary = mesh.summary(calls)
         failed = [r["sent_ms"] - cut_ms for r in mesh.records(calls) if r["outcome"] != "answered"]
-        last = max(failed, default=0) / 1000
-        assert last <= STOP_LIMIT_S, f"a call failed that was sent {last:.2f} s after the cut"
+        last_failure_s = max(failed, default=0) / 1000
+        assert last_failure_s <= STOP_LIMIT_S, f"a call failed that was sent {last_failure_s:.2f} s after the cut"
         checked = mesh.check_not_run(mesh.records(calls))
-        return f"last call {late:.2f} s after acceptance, works {back:.2f} s after the cut healed; "\
+        return f"last call {last_call_s:.2f} s after acceptance, works {return_s:.2f} s after the cut healed; "\
                f"{len(failed)} failed; {checked} refusals true; {check_calls(summary, None)}; " \
                f"inside: {within}; {mesh.finish()}"
 
@@ -154,7 +154,7 @@
     faster than the changes spread, with 5% of the datagrams lost."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
-        mesh.fault("udp/*", loss_permille=50)
+        mesh.set_link_fault("udp/*", loss_permille=50)
         calls = load(mesh, 14, None)
         for turn in range(6):
             accept(mesh, text(["harris"] if turn % 2 == 0 else ["martin"]))
@@ -162,14 +162,14 @@
         version, accepted_ms = accept(mesh, text(["harris"]))
         mesh.wait_version(version, CONVERGENCE_S)
         time.sleep(STOP_LIMIT_S + 1)
-        late = (last_start_ms(mesh, "harris") - accepted_ms) / 1000
-        assert late <= STOP_LIMIT_S, f"last call {late:.2f} s after acceptance"
-        wait_quietly(lambda: works_again(mesh, "martin"), CONVERGENCE_S, "work in martin")
+        last_call_s = (last_start_ms(mesh, "harris") - accepted_ms) / 1000
+        assert last_call_s <= STOP_LIMIT_S, f"last call {last_call_s:.2f} s after acceptance"
+        wait_ignoring_errors(lambda: is_serving(mesh, "martin"), CONVERGENCE_S, "work in martin")
         summary = mesh.summary(calls)
         checked = mesh.check_not_run(mesh.records(calls))
-        return f"version {version}, last call {late:.2f} s after acceptance; {checked} refusals " \
+        return f"version {version}, last call {last_call_s:.2f} s after acceptance; {checked} refusals " \
                f"true; {check_calls(summary)}; {mesh.finish()}"
 
 
 if __name__ == "__main__":
-    run_tests([test_out_and_back, test_killed_whole, test_cut_off, test_flapping], at_once=2)
+    run_tests([test_out_and_back, test_killed_whole, test_cut_off, test_flapping], max_parallel=2)
--- a/tests/integration/harness.py
+++ b/tests/integration/harness.py
@@ -40,22 +40,22 @@
 def free_ports(count, kinds=(socket.SOCK_STREAM, socket.SOCK_DGRAM)):
     """Returns ports that are free for each kind of socket. All are reserved before the first is
     given back, so that they differ."""
-    held, ports = [], []
+    reserved, ports = [], []
     while len(ports) < count:
-        first = socket.socket(socket.AF_INET, kinds[0])
-        first.bind((HOST, 0))
-        held.append(first)
-        port = first.getsockname()[1]
+        primary_socket = socket.socket(socket.AF_INET, kinds[0])
+        primary_socket.bind((HOST, 0))
+        reserved.append(primary_socket)
+        port = primary_socket.getsockname()[1]
         try:
             for kind in kinds[1:]:
-                other = socket.socket(socket.AF_INET, kind)
-                held.append(other)
-                other.bind((HOST, port))
+                secondary_socket = socket.socket(socket.AF_INET, kind)
+                reserved.append(secondary_socket)
+                secondary_socket.bind((HOST, port))
         except OSError:
             continue
         ports.append(port)
-    for each in held:
-        each.close()
+    for reserved_socket in reserved:
+        reserved_socket.close()
     return ports
 
 
@@ -69,12 +69,12 @@
 
 def wait_until(check, timeout_s=10, what="condition", interval_s=0.02):
     """Calls check until it returns something true, and returns that; fails after the timeout."""
-    end = time.monotonic() + timeout_s
+    deadline = time.monotonic() + timeout_s
     while True:
         result = check()
         if result:
             return result
-        if time.monotonic() > end:
+        if time.monotonic() > deadline:
             raise AssertionError(f"not within {timeout_s} s: {what}")
         time.sleep(interval_s)
 
@@ -208,11 +208,11 @@
             process = subprocess.Popen([os.path.join(self.bins, program), *map(str, arguments)],
                                        stdin=subprocess.DEVNULL, stdout=log,
                                        stderr=log, env={**os.environ, **(env or {})})
-        started = Program(label, process, log_path)
-        self.programs.append(started)
+        started_program = Program(label, process, log_path)
+        self.programs.append(started_program)
         if ready:
-            started.wait_event(ready, timeout_s)
-        return started
+            started_program.wait_event(ready, timeout_s)
+        return started_program
 
     def load(self, *arguments, name="load"):
         """Starts a load generator with the run's seed, unless --seed is given. Returns the program,
@@ -232,7 +232,7 @@
             return summary, [json.loads(line) for line in file]
 
 
-def run_tests(tests, at_once=1):
+def run_tests(tests, max_parallel=1):
     """Runs the test functions, up to at_once at the same time, and prints one line for each with
     the figures that the test returns. Exits with 1 if one failed."""
     seed()
@@ -243,15 +243,15 @@
         try:
             figures = test() or ""
             passed, result = True, "ok"
-        except Exception as fault:  # every fault of a test is a failure of that test only
-            where = traceback.extract_tb(fault.__traceback__)
-            lines = " < ".join(f"{os.path.basename(f.filename)}:{f.lineno}" for f in where[::-1])
-            passed, result, figures = False, f"FAILED {type(fault).__name__}: {fault}", lines
+        except Exception as error:  # every fault of a test is a failure of that test only
+            frames = traceback.extract_tb(error.__traceback__)
+            location = " < ".join(f"{os.path.basename(f.filename)}:{f.lineno}" for f in frames[::-1])
+            passed, result, figures = False, f"FAILED {type(error).__name__}: {error}", location
         with print_lock:
             print(f"{test.__name__}: {result} ({time.monotonic() - start:.1f} s) {figures}".rstrip(),
                   flush=True)
         return passed
 
-    with concurrent.futures.ThreadPoolExecutor(at_once) as pool:
+    with concurrent.futures.ThreadPoolExecutor(max_parallel) as pool:
         results = list(pool.map(run, tests))
     sys.exit(0 if all(results) else 1)
--- a/tests/integration/leave_test.py
+++ b/tests/integration/leave_test.py
@@ -2,7 +2,7 @@
 import time
 
 from harness import run_tests, wait_until
-from mesh import Mesh, check_calls, mesh_text, wait_quietly
+from mesh import Mesh, check_calls, mesh_text, wait_ignoring_errors
 
 STOP_LIMIT_S = 3.0  # the users' target for new work on a leaving instance
 READY_AGAIN_S = 18.0
@@ -43,9 +43,9 @@
     return (last - leaving) / 1000
 
 
-def start_again(mesh, name):
+def restart_instance(mesh, name):
     mesh.start_instance(name)
-    wait_quietly(lambda: mesh.status(name)["ready"], READY_AGAIN_S, f"{name} ready again")
+    wait_ignoring_errors(lambda: mesh.status(name)["ready"], READY_AGAIN_S, f"{name} ready again")
 
 
 def check_all_answered(summary):
@@ -62,13 +62,13 @@
         start_mesh(mesh, 4, service_ms=200)
         calls = load(mesh, 14, rate=50)  # 10 calls under way at any time; two instances have 24 slots
         time.sleep(7)  # in the 5 s of cold start they have 6, which 10 calls at a time exceed
-        late = []
+        last_call_s = []
         for name in ("work-0", "work-1"):
-            wait_quietly(lambda name=name: mesh.executions(name)["running"] > 0, 5, "calls under way")
-            late.append(stop_instance(mesh, name))
+            wait_ignoring_errors(lambda name=name: mesh.executions(name)["running"] > 0, 5, "calls under way")
+            last_call_s.append(stop_instance(mesh, name))
             time.sleep(0.5)
-        assert max(late) <= STOP_LIMIT_S, late
-        return (f"last new calls {late[0]:+.2f} and {late[1]:+.2f} s after the announcement; "
+        assert max(last_call_s) <= STOP_LIMIT_S, last_call_s
+        return (f"last new calls {last_call_s[0]:+.2f} and {last_call_s[1]:+.2f} s after the announcement; "
                 f"{check_all_answered(mesh.summary(calls))}; {mesh.finish()}")
 
 
@@ -78,21 +78,21 @@
         start_mesh(mesh, 4, service_ms=2000)  # each call takes 1 s to 3 s
         calls = mesh.load("slow", "--path", "/survey/a", "--rate", 1, "--duration-s", 90,
                           targets=["gate-0", "gate-1"], direct=True)
-        late = []
-        left = [f"work-{i}" for i in range(4)]
+        last_call_s = []
+        remaining = [f"work-{i}" for i in range(4)]
 
-        def just_begun():
-            before = {n: mesh.executions(n)["started"] for n in left}
+        def instances_with_new_calls():
+            before = {n: mesh.executions(n)["started"] for n in remaining}
             time.sleep(0.05)
-            return [n for n in left if mesh.executions(n)["started"] > before[n]]
+            return [n for n in remaining if mesh.executions(n)["started"] > before[n]]
 
         for _ in range(2):
-            name = wait_until(just_begun, 30, "a call begun")[0]
-            left.remove(name)
-            late.append(stop_instance(mesh, name))
+            name = wait_until(instances_with_new_calls, 30, "a call begun")[0]
+            remaining.remove(name)
+            last_call_s.append(stop_instance(mesh, name))
         calls.terminate()
-        assert max(late) <= STOP_LIMIT_S, late
-        return f"last new calls {late[0]:+.2f} and {late[1]:+.2f} s after the announcement; " \
+        assert max(last_call_s) <= STOP_LIMIT_S, last_call_s
+        return f"last new calls {last_call_s[0]:+.2f} and {last_call_s[1]:+.2f} s after the announcement; " \
                f"{check_all_answered(mesh.summary(calls))}; {mesh.finish()}"
 
 
@@ -101,12 +101,12 @@
     members (guarantee 10)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 4, service_ms=10)
-        mesh.fault("udp/*", loss_permille=300)
+        mesh.set_link_fault("udp/*", loss_permille=300)
         calls = load(mesh, 9)
         time.sleep(2)
-        late = [stop_instance(mesh, name) for name in ("work-0", "work-1")]
-        assert max(late) <= STOP_LIMIT_S, late
-        return f"last new call {max(late):+.2f} s after the announcement; " \
+        last_call_s = [stop_instance(mesh, name) for name in ("work-0", "work-1")]
+        assert max(last_call_s) <= STOP_LIMIT_S, last_call_s
+        return f"last new call {max(last_call_s):+.2f} s after the announcement; " \
                f"{check_all_answered(mesh.summary(calls))}; {mesh.finish()}"
 
 
@@ -118,46 +118,46 @@
         calls = load(mesh, 60)
         time.sleep(1)
         started = time.monotonic()
-        late = []
+        last_call_s = []
         for i in range(4):
-            late.append(stop_instance(mesh, f"work-{i}"))
-            start_again(mesh, f"work-{i}")
+            last_call_s.append(stop_instance(mesh, f"work-{i}"))
+            restart_instance(mesh, f"work-{i}")
             mesh.wait_members(READY_AGAIN_S)
-        took = time.monotonic() - started
+        elapsed_s = time.monotonic() - started
         time.sleep(1)
         calls.terminate()
-        assert max(late) <= STOP_LIMIT_S, late
-        return f"4 restarts in {took:.1f} s, last new call {max(late):+.2f} s after an " \
+        assert max(last_call_s) <= STOP_LIMIT_S, last_call_s
+        return f"4 restarts in {elapsed_s:.1f} s, last new call {max(last_call_s):+.2f} s after an " \
                f"announcement; {check_all_answered(mesh.summary(calls))}; {mesh.finish()}"
 
 
-def test_herd_of_restarts():
+def test_simultaneous_restarts():
     """Guards against a storm of joins after many instances were restarted at once, and against a
     planned stop of many that is not graceful (guarantee 11)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 6, service_ms=10)
         calls = load(mesh, 60)
-        herd = [f"work-{i}" for i in range(4)]
+        restarted = [f"work-{i}" for i in range(4)]
         time.sleep(1)
-        for name in herd:
+        for name in restarted:
             mesh.instances[name].node.terminate()
-        statuses = [mesh.instances[name].node.wait(40) for name in herd]
+        statuses = [mesh.instances[name].node.wait(40) for name in restarted]
         assert statuses == [0] * 4, statuses
-        late = max((mesh.executions(n)["last_started_ms"] -
-                    mesh.log_lines(n, "leaving")[-1]["time"]) / 1000 for n in herd)
-        assert late <= STOP_LIMIT_S, late
+        last_call_s = max((mesh.executions(n)["last_started_ms"] -
+                    mesh.log_lines(n, "leaving")[-1]["time"]) / 1000 for n in restarted)
+        assert last_call_s <= STOP_LIMIT_S, last_call_s
         since = time.monotonic()
-        for name in herd:
+        for name in restarted:
             mesh.start_node(name)
         mesh.wait_ready(READY_AGAIN_S)
         mesh.wait_members(READY_AGAIN_S)
-        back = time.monotonic() - since
+        return_s = time.monotonic() - since
         time.sleep(1)
         calls.terminate()
-        return f"4 of 6 back after {back:.2f} s, last new call {late:+.2f} s; " \
+        return f"4 of 6 back after {return_s:.2f} s, last new call {last_call_s:+.2f} s; " \
                f"{check_all_answered(mesh.summary(calls))}; {mesh.finish()}"
 
 
 if __name__ == "__main__":
-    run_tests([test_rolling_restart, test_herd_of_restarts, test_stop_with_calls_under_way,
-               test_stop_with_slow_calls_under_way, test_leave_with_lost_datagrams], at_once=2)
+    run_tests([test_rolling_restart, test_simultaneous_restarts, test_stop_with_calls_under_way,
+               test_stop_with_slow_calls_under_way, test_leave_with_lost_datagrams], max_parallel=2)
--- a/tests/integration/mesh.py
+++ b/tests/integration/mesh.py
@@ -57,7 +57,7 @@
     return get_json(f"{HOST}:{port}", path, timeout_s=timeout_s)
 
 
-def wait_quietly(check, timeout_s, what):
+def wait_ignoring_errors(check, timeout_s, what):
     """wait_until that takes a refused connection as "not yet"; returns the seconds it took."""
     started = time.monotonic()
 
@@ -84,7 +84,7 @@
             key: free_port()
             for key in ("traffic", "udp", "bulk", "admin", "server", "server_control")
         }
-        self.announced = {key: self.ports[key] for key in ("traffic", "udp", "bulk")}
+        self.advertised_ports = {key: self.ports[key] for key in ("traffic", "udp", "bulk")}
         self.server = None
         self.node = None
         self.node_logs = []  # one file for each start of the node
@@ -100,14 +100,14 @@
         self.instances = {}
         self.store_options = store_options
         self.store_port = free_port()
-        self.store_control = free_port()
-        self.sources = {}  # data centre -> address that its nodes send from
+        self.store_control_port = free_port()
+        self.source_addresses = {}  # data centre -> address that its nodes send from
         self.store_ports = {}  # data centre -> port at which its nodes reach the store
-        self.proxy_control = free_port()
+        self.proxy_control_port = free_port()
         self.store = None
         self.proxy = None
-        self.applied = 0
-        self.started = 0
+        self.applied_texts = 0
+        self.started_programs = 0
 
     def __enter__(self):
         return self
@@ -120,18 +120,18 @@
 
     def run(self, program, name, *arguments, ready="listening", timeout_s=20):
         """Starts a program whose log file carries the name; a restart gets a file of its own."""
-        self.started += 1
+        self.started_programs += 1
         return self.harness.start(
-            program, *arguments, name=f"{name}.{self.started}", ready=ready, timeout_s=timeout_s
+            program, *arguments, name=f"{name}.{self.started_programs}", ready=ready, timeout_s=timeout_s
         )
 
     def add(self, name, data_centre, service, version="1", **options):
         instance = Instance(name, data_centre, service, version, options)
         if self.proxied:
-            instance.announced = {key: free_port() for key in ("traffic", "udp", "bulk")}
+            instance.advertised_ports = {key: free_port() for key in ("traffic", "udp", "bulk")}
         self.instances[name] = instance
-        if data_centre not in self.sources:
-            self.sources[data_centre] = f"127.0.1.{len(self.sources) + 1}" if self.proxied else HOST
+        if data_centre not in self.source_addresses:
+            self.source_addresses[data_centre] = f"127.0.1.{len(self.source_addresses) + 1}" if self.proxied else HOST
             self.store_ports[data_centre] = free_port() if self.proxied else self.store_port
         return instance
 
@@ -150,7 +150,7 @@
             "kv_store",
             "store",
             "--listen", f"{HOST}:{self.store_port}",
-            "--control", f"{HOST}:{self.store_control}",
+            "--control", f"{HOST}:{self.store_control_port}",
             *self.store_options,
         )
 
@@ -162,37 +162,37 @@
         for instance in self.instances.values():
             for key in ("traffic", "udp", "bulk"):
                 kind = "udp" if key == "udp" else "tcp"
-                host = self.sources[instance.data_centre] if key == "udp" else HOST
+                host = self.source_addresses[instance.data_centre] if key == "udp" else HOST
                 links.append(
-                    f"{key}/{instance.name}={kind},{HOST}:{instance.announced[key]},"
+                    f"{key}/{instance.name}={kind},{HOST}:{instance.advertised_ports[key]},"
                     f"{host}:{instance.ports[key]}"
                 )
-        arguments = ["--control", f"{HOST}:{self.proxy_control}"]
+        arguments = ["--control", f"{HOST}:{self.proxy_control_port}"]
         for link in links:
             arguments += ["--link", link]
         self.proxy = self.run("fault_proxy", "proxy", *arguments)
 
-    def fault(self, link, **values):
+    def set_link_fault(self, link, **values):
         """Changes a link of the proxy; a name ending in * means all links with the prefix."""
-        status, _, body = http("POST", self.proxy_control, "/control", {"link": link, **values})
+        status, _, body = http("POST", self.proxy_control_port, "/control", {"link": link, **values})
         assert status == 200, (status, body)
 
     def cut_data_centre(self, data_centre, cut=True):
         """Cuts the inbound links of all nodes in a data centre, also those from each other."""
         for instance in self.in_data_centre(data_centre):
             for key in ("traffic", "udp", "bulk"):
-                self.fault(f"{key}/{instance.name}", cut=cut)
+                self.set_link_fault(f"{key}/{instance.name}", cut=cut)
 
     def partition(self, data_centre, inbound=True, outbound=True):
         """Cuts a data centre off from the others, both ways or one way; its nodes still reach each
         other and, unless its link is cut, the store. With neither way the cut heals."""
-        own = [self.sources[data_centre]]
-        others = [s for d, s in self.sources.items() if d != data_centre]
+        own_sources = [self.source_addresses[data_centre]]
+        other_sources = [s for d, s in self.source_addresses.items() if d != data_centre]
         for instance in self.instances.values():
             inside = instance.data_centre == data_centre
-            cut = (others if inbound else []) if inside else (own if outbound else [])
+            cut = (other_sources if inbound else []) if inside else (own_sources if outbound else [])
             for key in ("traffic", "udp", "bulk"):
-                self.fault(f"{key}/{instance.name}", cut_sources=cut)
+                self.set_link_fault(f"{key}/{instance.name}", cut_sources=cut)
 
     def in_data_centre(self, data_centre):
         return [i for i in self.instances.values() if i.data_centre == data_centre]
@@ -232,11 +232,11 @@
 
     def node_settings(self, instance):
         seeds = [
-            f"{HOST}:{i.announced['bulk']}"
+            f"{HOST}:{i.advertised_ports['bulk']}"
             for i in list(self.instances.values())[:6]
             if i is not instance
         ]
-        ports, announced = instance.ports, instance.announced
+        ports, advertised = instance.ports, instance.advertised_ports
         sections = {
             "instance": {
                 "name": instance.name,
@@ -246,13 +246,13 @@
             },
             "listen": {
                 "traffic": f"{HOST}:{ports['traffic']}",
-                "peer_udp": f"{self.sources[instance.data_centre]}:{ports['udp']}",
+                "peer_udp": f"{self.source_addresses[instance.data_centre]}:{ports['udp']}",
                 "peer_bulk": f"{HOST}:{ports['bulk']}",
                 "admin": f"{HOST}:{ports['admin']}",
-                "announce_traffic": f"{HOST}:{announced['traffic']}",
-                "announce_udp": f"{HOST}:{announced['udp']}",
-                "announce_bulk": f"{HOST}:{announced['bulk']}",
-                **({"source": self.sources[instance.data_centre]} if self.proxied else {}),
+                "announce_traffic": f"{HOST}:{advertised['traffic']}",
+                "announce_udp": f"{HOST}:{advertised['udp']}",
+                "announce_bulk": f"{HOST}:{advertised['bulk']}",
+                **({"source": self.source_addresses[instance.data_centre]} if self.proxied else {}),
             },
             "backend_server": {"address": f"{HOST}:{ports['server']}"},
             "store": {"addresses": [f"{HOST}:{self.store_ports[instance.data_centre]}"]},
@@ -270,17 +270,17 @@
     def ctl(self, *arguments, check=True, timeout=60):
         """Runs carawayctl; returns the finished process."""
         command = [f"{self.bin}/carawayctl", "--store", f"{HOST}:{self.store_port}"]
-        done = subprocess.run(
+        completed = subprocess.run(
             command + list(arguments), capture_output=True, text=True, timeout=timeout
         )
-        if check and done.returncode != 0:
-            raise AssertionError(f"{arguments}: exit {done.returncode}: {done.stdout}{done.stderr}")
-        return done
+        if check and completed.returncode != 0:
+            raise AssertionError(f"{arguments}: exit {completed.returncode}: {completed.stdout}{completed.stderr}")
+        return completed
 
     def apply(self, text, check=True):
         """Applies a text against the current revision."""
-        self.applied += 1
-        path = f"{self.dir}/text-{self.applied}.toml"
+        self.applied_texts += 1
+        path = f"{self.dir}/text-{self.applied_texts}.toml"
         with open(path, "w") as out:
             out.write(text)
         status, headers, _ = http("GET", self.store_port, "/v1/kv/caraway/text")
@@ -288,10 +288,10 @@
         return self.ctl("apply", path, "--from", revision, check=check)
 
     def store_counters(self):
-        return http_json(self.store_control, "/control")
+        return http_json(self.store_control_port, "/control")
 
-    def store_fault(self, **values):
-        return http("POST", self.store_control, "/control", values)
+    def set_store_fault(self, **values):
+        return http("POST", self.store_control_port, "/control", values)
 
     def status(self, name):
         return http_json(self.instances[name].ports["admin"], "/status", timeout_s=2)
@@ -303,7 +303,7 @@
         return [i for i in self.instances.values() if i.node is not None and i.node.running()]
 
     def wait_ready(self, timeout=30):
-        return wait_quietly(
+        return wait_ignoring_errors(
             lambda: all(self.status(i.name)["ready"] for i in self.running()), timeout, "all ready"
         )
 
@@ -316,7 +316,7 @@
                 pending.pop()
             return not pending
 
-        return wait_quietly(complete, timeout, f"version {version} everywhere")
+        return wait_ignoring_errors(complete, timeout, f"version {version} everywhere")
 
     def wait_members(self, timeout=30):
         """Waits until every running node sees every other one alive and ready."""
@@ -330,7 +330,7 @@
                     return False
             return True
 
-        return wait_quietly(complete, timeout, "all members known")
+        return wait_ignoring_errors(complete, timeout, "all members known")
 
     def accepted_version(self):
         status, _, body = http("GET", self.store_port, "/v1/kv/caraway/state/accepted")
@@ -345,7 +345,7 @@
     def executions(self, name):
         return http_json(self.instances[name].ports["server_control"], "/control/executions")
 
-    def server_fault(self, name, **values):
+    def set_server_fault(self, name, **values):
         return http("POST", self.instances[name].ports["server_control"], "/control", values)
 
     def load(self, name, *options, targets=None, direct=False):
@@ -355,7 +355,7 @@
         arguments = list(options)
         for target in targets:
             instance = self.instances[target]
-            port = (instance.ports if direct else instance.announced)["traffic"]
+            port = (instance.ports if direct else instance.advertised_ports)["traffic"]
             arguments += ["--target", f"{HOST}:{port}"]
         return self.harness.load(*arguments, name=name)
 
@@ -374,23 +374,23 @@
 
     def log_lines(self, name, event):
         """The log lines with the event name of all processes that the node has had."""
-        found = []
+        matching = []
         for path in self.instances[name].node_logs:
             with open(path) as source:
                 lines = [json.loads(line) for line in source if line.startswith("{")]
-            found += [line for line in lines if line.get("event") == event]
-        return found
+            matching += [line for line in lines if line.get("event") == event]
+        return matching
 
     def lease_holders(self, lease):
         """Names of the running nodes that believe they hold a lease, as "accepter"."""
-        found = []
+        holders = []
         for instance in self.running():
             try:
                 if self.status(instance.name)["leases"].get(f"caraway/lease/{lease}"):
-                    found.append(instance.name)
+                    holders.append(instance.name)
             except (OSError, http_client.HTTPException):
                 pass  # paused or about to end
-        return found
+        return holders
 
     def applied_versions(self, name):
         return [line["version"] for line in self.log_lines(name, "config_applied")]
@@ -401,21 +401,21 @@
             versions = self.applied_versions(name)
             assert versions == sorted(versions), f"{name} went back: {versions}"
 
-    def ran(self, number, names=None):
+    def run_count(self, number, names=None):
         """How many times the backend servers ran a request, by their own counts."""
         names = names or [i.name for i in self.instances.values() if i.server.running()]
         ports = [self.instances[name].ports["server_control"] for name in names]
         return sum(http_json(port, f"/control/ran?request={number}")["ran"] for port in ports)
 
-    def check_not_run(self, records, names=None, most=150):
+    def check_not_run(self, records, names=None, max_checked=150):
         """Fails if a backend server ran a request whose caller was told "not run" (guarantee 8);
         returns how many requests were checked: evenly spaced ones if there are many."""
         refused = [r["number"] for r in records if is_refused(r)]
-        picked = refused[:: max(1, len(refused) // most)]
-        for number in picked:
-            times = self.ran(number, names)
-            assert times == 0, f"{number} was refused as not run but ran {times} times"
-        return len(picked)
+        sample = refused[:: max(1, len(refused) // max_checked)]
+        for number in sample:
+            run_count = self.run_count(number, names)
+            assert run_count == 0, f"{number} was refused as not run but ran {run_count} times"
+        return len(sample)
 
     def check_run_once(self, records, names):
         """Fails unless the named backend servers, which got no other requests, ran each answered
@@ -423,24 +423,24 @@
         sum holds only if no refused one ran and no answered one ran twice.
         Returns the number of starts by the servers' own counts."""
         others = [r for r in records if r["outcome"] != "answered" and not is_refused(r)]
-        times = [self.ran(r["number"], names) for r in others]
-        assert all(t <= 1 for t in times), f"run twice: {times}"
+        run_counts = [self.run_count(r["number"], names) for r in others]
+        assert all(t <= 1 for t in run_counts), f"run twice: {run_counts}"
         counts = [self.executions(name) for name in names]
-        again = {k: v for c in counts for k, v in c["run_again"].items()}
-        assert not again, f"run twice: {again}"
+        repeated = {k: v for c in counts for k, v in c["run_again"].items()}
+        assert not repeated, f"run twice: {repeated}"
         started = sum(c["started"] for c in counts)
         answered = sum(r["outcome"] == "answered" for r in records)
-        assert started == answered + sum(times), (started, answered, sum(times))
+        assert started == answered + sum(run_counts), (started, answered, sum(run_counts))
         return started
 
     def audit(self, check=True):
         """Checks the guarantees on the logs of all nodes."""
-        done = subprocess.run(
+        completed = subprocess.run(
             [f"{self.bin}/carawayctl", "audit", *self.node_logs()], capture_output=True, text=True
         )
-        if check and done.returncode != 0:
-            raise AssertionError(f"audit: exit {done.returncode}: {done.stdout}{done.stderr}")
-        return done
+        if check and completed.returncode != 0:
+            raise AssertionError(f"audit: exit {completed.returncode}: {completed.stdout}{completed.stderr}")
+        return completed
 
     def stop_nodes(self, timeout_s=40):
         """Stops all nodes at once with SIGTERM; returns their exit statuses."""
--- a/tests/integration/move_faults_test.py
+++ b/tests/integration/move_faults_test.py
@@ -3,7 +3,7 @@
 import time
 
 from harness import run_tests
-from mesh import Mesh, check_calls, mesh_text, wait_quietly
+from mesh import Mesh, check_calls, mesh_text, wait_ignoring_errors
 
 # The users' targets.
 SHARE_LIMIT = 0.05
@@ -29,12 +29,12 @@
     return at.strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
-def start_mesh(mesh, **second):
+def start_mesh(mesh, **new_version_options):
     """Two instances of version 1 and two of version 2 with the given backend server options."""
     for i in range(2):
         mesh.add(f"old-{i}", ("east", "west")[i], "pour", "1", service_ms=5)
     for i in range(2):
-        mesh.add(f"new-{i}", ("east", "west")[i], "pour", "2", **{"service_ms": 5, **second})
+        mesh.add(f"new-{i}", ("east", "west")[i], "pour", "2", **{"service_ms": 5, **new_version_options})
     mesh.start()
     mesh.apply(text())
     mesh.wait_ready()
@@ -42,33 +42,33 @@
     return mesh
 
 
-def start_move(mesh, given_s, load_s, to="2"):
+def start_move(mesh, duration_s, load_s, to="2"):
     """Starts the load and the move; returns the load and the deadline in local time."""
     load = mesh.load("load", "--path", "/read/a:3", "--path", "/book/b:2", "--rate", RATE,
                      "--duration-s", load_s, targets=["old-0", "old-1"])
-    mesh.apply(text((to, in_seconds(given_s))))
-    ends = time.monotonic() + given_s
-    wait_quietly(lambda: mesh.move("pour"), CONVERGENCE_S, "the move's record")
-    return load, ends
+    mesh.apply(text((to, in_seconds(duration_s))))
+    deadline = time.monotonic() + duration_s
+    wait_ignoring_errors(lambda: mesh.move("pour"), CONVERGENCE_S, "the move's record")
+    return load, deadline
 
 
 def wait_second_stage(mesh, timeout_s):
     """Waits for the last stage that stays below 5% of the calls. A later stage has more, whatever the
     system does."""
-    wait_quietly(lambda: mesh.move("pour")["stage"] >= 1, timeout_s, "the second stage")
+    wait_ignoring_errors(lambda: mesh.move("pour")["stage"] >= 1, timeout_s, "the second stage")
     assert mesh.move("pour")["stage"] == 1, mesh.move("pour")
 
 
 def final_record(mesh, timeout_s):
     """Waits for the final state and for its verdict; returns the record."""
-    wait_quietly(lambda: mesh.move("pour")["state"] != "running", timeout_s, "the final state")
+    wait_ignoring_errors(lambda: mesh.move("pour")["state"] != "running", timeout_s, "the final state")
     record = mesh.move("pour")
-    wait_quietly(lambda: f"move {record['move_id']} " in mesh.ctl("verdicts", check=False).stdout, 15,
+    wait_ignoring_errors(lambda: f"move {record['move_id']} " in mesh.ctl("verdicts", check=False).stdout, 15,
                  "the verdict")
     return record
 
 
-def starts(mesh):
+def backend_call_starts(mesh):
     """(time in ms, version) of each call started at a backend server, from all nodes' logs."""
     return sorted((line["time"], mesh.instances[name].version)
                   for name in mesh.instances
@@ -81,22 +81,22 @@
     lines = [line for name in mesh.instances for line in mesh.log_lines(name, "version_suspended")
              if line["version"] == to]
     assert lines, "never suspended"
-    suspended = min(line["time"] for line in lines)
-    begun = min(line["time"] for name in mesh.instances
+    suspended_ms = min(line["time"] for line in lines)
+    move_started_ms = min(line["time"] for name in mesh.instances
                 for line in mesh.log_lines(name, "move_written"))
-    all_starts = starts(mesh)
-    before = [version for t, version in all_starts if begun <= t <= suspended]
+    all_starts = backend_call_starts(mesh)
+    before = [version for t, version in all_starts if move_started_ms <= t <= suspended_ms]
     share = before.count(to) / max(1, len(before))
-    new = [t for t, version in all_starts if version == to]
-    last = (max(new) - suspended) / 1000 if new else -1.0
+    new_starts = [t for t, version in all_starts if version == to]
+    last = (max(new_starts) - suspended_ms) / 1000 if new_starts else -1.0
     # The backend servers' own counts agree with the nodes' logs, so no call passed by unlogged.
     servers = [mesh.executions(i.name) for i in mesh.of_service("pour", to)]
-    assert sum(s["started"] for s in servers) == len(new), (servers, len(new))
-    last_own = (max(s["last_started_ms"] for s in servers) - suspended) / 1000 if new else -1.0
+    assert sum(s["started"] for s in servers) == len(new_starts), (servers, len(new_starts))
+    last_own = (max(s["last_started_ms"] for s in servers) - suspended_ms) / 1000 if new_starts else -1.0
     assert share <= SHARE_LIMIT, f"{before.count(to)} of {len(before)} calls before the suspension"
     assert max(last, last_own) <= STOP_LIMIT_S, f"last call {last:.2f} s after the suspension"
     return (f"{before.count(to)} of {len(before)} calls ({share:.1%}) in "
-            f"{(suspended - begun) / 1000:.1f} s until suspended, last call {last:+.2f} s")
+            f"{(suspended_ms - move_started_ms) / 1000:.1f} s until suspended, last call {last:+.2f} s")
 
 
 def check_taken_back(mesh, load, record):
@@ -108,12 +108,12 @@
     return f"{figures}; {calls}; {mesh.finish()}"
 
 
-def bad_version(name, **second):
+def bad_version(name, **new_version_options):
     """Makes a test that a bad version is taken back."""
 
     def test():
         with Mesh(proxied=True) as mesh:
-            start_mesh(mesh, **second)
+            start_mesh(mesh, **new_version_options)
             load, _ = start_move(mesh, 30, 40)
             return check_taken_back(mesh, load, final_record(mesh, 32))
 
@@ -141,11 +141,11 @@
         assert record["state"] == "taken_back", record
         load.terminate()
         calls = check_calls(mesh.summary(load))
-        begun = min(line["time"] for name in mesh.instances
+        move_started_ms = min(line["time"] for name in mesh.instances
                     for line in mesh.log_lines(name, "move_written"))
         first_bad = min(mesh.executions(i.name)["first_bad_ms"] or 1 << 60
                         for i in mesh.of_service("pour", "2"))
-        before = [version for t, version in starts(mesh) if begun <= t <= first_bad]
+        before = [version for t, version in backend_call_starts(mesh) if move_started_ms <= t <= first_bad]
         share = before.count("2") / max(1, len(before))
         assert share <= SHARE_LIMIT, f"{before.count('2')} of {len(before)} calls"
         return f"{before.count('2')} of {len(before)} calls before the first slow one; {calls}; " \
@@ -162,11 +162,11 @@
         # calls, so the load goes to the other ones.
         holder = mesh.move("pour")["holder"]
         for i in mesh.of_service("pour", "2"):
-            mesh.server_fault(i.name, behaviour="fails", behaviour_permille=800)
+            mesh.set_server_fault(i.name, behaviour="fails", behaviour_permille=800)
         node = mesh.instances[holder].node
         node.kill() if kind == "kill" else node.pause()
         others = [i.name for i in mesh.instances.values() if i.name != holder]
-        wait_quietly(lambda: mesh.move("pour")["state"] != "running", 25, "the final state")
+        wait_ignoring_errors(lambda: mesh.move("pour")["state"] != "running", 25, "the final state")
         assert mesh.move("pour")["state"] == "taken_back", mesh.move("pour")
         assert mesh.move("pour")["holder"] != holder, "the failed holder wrote the final state"
         if kind == "kill":
@@ -201,14 +201,14 @@
         start_mesh(mesh)
         load, _ = start_move(mesh, 30, 45)
         wait_second_stage(mesh, 20)
-        mesh.store_fault(down=True)
+        mesh.set_store_fault(down=True)
         for i in mesh.of_service("pour", "2"):
-            mesh.server_fault(i.name, behaviour="fails", behaviour_permille=800)
-        wait_quietly(lambda: all(mesh.status(n)["moves"]["pour"]["suspended"]
+            mesh.set_server_fault(i.name, behaviour="fails", behaviour_permille=800)
+        wait_ignoring_errors(lambda: all(mesh.status(n)["moves"]["pour"]["suspended"]
                                  for n in mesh.instances), 15, "suspended everywhere")
         time.sleep(STOP_LIMIT_S)
         figures = check_stopped(mesh)
-        mesh.store_fault(down=False)
+        mesh.set_store_fault(down=False)
         record = final_record(mesh, 2 * LEASE_PERIOD_S + 5)
         assert record["state"] == "taken_back", record
         load.terminate()
@@ -220,13 +220,13 @@
     called done although it never had all traffic in time."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
-        load, ends = start_move(mesh, 16, 45)
+        load, deadline = start_move(mesh, 16, 45)
         wait_second_stage(mesh, 12)
-        mesh.store_fault(down=True)
-        time.sleep(max(0, ends + 2 - time.monotonic()))
+        mesh.set_store_fault(down=True)
+        time.sleep(max(0, deadline + 2 - time.monotonic()))
         weights = {mesh.status(n)["moves"]["pour"]["weight_permille"] for n in mesh.instances}
         assert max(weights) < 1000, weights
-        mesh.store_fault(down=False)
+        mesh.set_store_fault(down=False)
         record = final_record(mesh, 2 * LEASE_PERIOD_S + 5)
         assert record["state"] == "taken_back", record
         time.sleep(STOP_LIMIT_S)
@@ -239,18 +239,18 @@
                f"{mesh.finish()}"
 
 
-def good_version(outage_at, given):
+def good_version(outage_at, duration_s):
     """A good version with the store down for a third of the time given; outage_at is a share."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
-        load, ends = start_move(mesh, given, given + 15)
-        time.sleep(max(0, ends - given * (1 - outage_at) - time.monotonic()))
-        mesh.store_fault(down=True)
-        time.sleep(given / 3)
-        mesh.store_fault(down=False)
-        wait_quietly(lambda: mesh.move("pour")["state"] != "running",
-                     max(0.1, ends + 0.5 - time.monotonic()), "done by the deadline")
-        early = ends - time.monotonic()
+        load, deadline = start_move(mesh, duration_s, duration_s + 15)
+        time.sleep(max(0, deadline - duration_s * (1 - outage_at) - time.monotonic()))
+        mesh.set_store_fault(down=True)
+        time.sleep(duration_s / 3)
+        mesh.set_store_fault(down=False)
+        wait_ignoring_errors(lambda: mesh.move("pour")["state"] != "running",
+                     max(0.1, deadline + 0.5 - time.monotonic()), "done by the deadline")
+        early = deadline - time.monotonic()
         record = final_record(mesh, 1)
         assert record["state"] == "done", record
         time.sleep(1)
@@ -289,7 +289,7 @@
                          "--duration-s", 45, targets=["old-0", "old-1"])
         mesh.apply(text(("2", in_seconds(30))))
         mesh.apply(text(("2", in_seconds(32)), queue=40))
-        wait_quietly(lambda: mesh.move("pour") and mesh.move("pour")["state"] != "running", 30,
+        wait_ignoring_errors(lambda: mesh.move("pour") and mesh.move("pour")["state"] != "running", 30,
                      "the final state")
         time.sleep(STOP_LIMIT_S)
         record = mesh.move("pour")
@@ -317,4 +317,4 @@
                test_store_down_as_the_deadline_passes, test_bad_version_slow_under_load,
                test_holder_paused_past_its_lease, test_holder_killed_when_the_version_turns_bad,
                test_store_down_when_the_version_turns_bad, *BAD_VERSIONS,
-               test_two_texts_race_on_one_service], at_once=7)
+               test_two_texts_race_on_one_service], max_parallel=7)
--- a/tests/integration/partition_test.py
+++ b/tests/integration/partition_test.py
@@ -4,25 +4,25 @@
 import time
 
 from harness import HOST, request, run_tests, seed
-from mesh import Mesh, check_calls, mesh_text, wait_quietly
+from mesh import Mesh, check_calls, mesh_text, wait_ignoring_errors
 
 STOP_LIMIT_S = 3.0
 CONVERGENCE_S = 18.0
-PLACES = ["harris", "martin", "thurlow"]
+DATA_CENTRES = ["harris", "martin", "thurlow"]
 CUT = "harris"
 KEYS_READY_S = 12.5  # a name is a registrar of keys first sent 12 s after its first start
-OLD_ENOUGH_S = 76  # registrars from before a loss are first started 75 s before it
+MIN_NODE_AGE_S = 76  # registrars from before a loss are first started 75 s before it
 
 
 def text(out=()):
     return mesh_text(
-        PLACES, {"rake": {"version": "1"}},
+        DATA_CENTRES, {"rake": {"version": "1"}},
         {"/cycle": {"service": "rake", "timeout": "2s"}}, out)
 
 
 def start_mesh(mesh, count=6, later=()):
     for i in range(count):
-        mesh.add(f"rake-{i}", PLACES[i % 3], "rake", service_ms=5)
+        mesh.add(f"rake-{i}", DATA_CENTRES[i % 3], "rake", service_ms=5)
     for name in later:
         mesh.add(name, name.split("-")[0], "rake", service_ms=5)
     mesh.start(later)
@@ -31,7 +31,7 @@
     mesh.wait_members()
 
 
-def side(mesh, inside):
+def names_on_side(mesh, inside):
     return [i.name for i in mesh.running() if (i.data_centre == CUT) == inside]
 
 
@@ -47,10 +47,10 @@
 
 def apply_during_cut(mesh, version):
     mesh.apply(text([CUT]))
-    wait_quietly(lambda: mesh.accepted_version() >= version, CONVERGENCE_S, "acceptance")
+    wait_ignoring_errors(lambda: mesh.accepted_version() >= version, CONVERGENCE_S, "acceptance")
 
 
-def alive_to(mesh, observer):
+def alive_members(mesh, observer):
     members = mesh.status(observer)["members"]
     return {n for n, m in members.items() if m["state"] == "alive"}
 
@@ -62,48 +62,48 @@
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
 
-        def unknowing_work(line):
+        def is_uninformed_work(line):
             """Work that the audit finds, since it knows of the text: only what ran in the cut off
             data centre, whose last start is checked below against the end of the cut."""
             return "work-in-data-centre-out: " in line and any(f" on {n} " in line for n in inside)
 
-        inside, outside = side(mesh, True), side(mesh, False)
+        inside, outside = names_on_side(mesh, True), names_on_side(mesh, False)
         loads = [load(mesh, "inside", inside, 32), load(mesh, "outside", outside, 32)]
         time.sleep(2)
         mesh.partition(CUT, inbound, outbound)
-        for place in PLACES:
-            mesh.fault(f"store/{place}", cut=(place == CUT) != store_inside)
+        for data_centre in DATA_CENTRES:
+            mesh.set_link_fault(f"store/{data_centre}", cut=(data_centre == CUT) != store_inside)
         both = inbound and outbound
         if both:  # each side holds the other as dead
-            wait_quietly(lambda: not alive_to(mesh, inside[0]) & set(outside)
-                         and not alive_to(mesh, outside[0]) & set(inside), CONVERGENCE_S, "cut")
+            wait_ignoring_errors(lambda: not alive_members(mesh, inside[0]) & set(outside)
+                         and not alive_members(mesh, outside[0]) & set(inside), CONVERGENCE_S, "cut")
         apply_during_cut(mesh, 2)
-        knowing, other = (inside, outside) if store_inside else (outside, inside)
+        informed, uninformed = (inside, outside) if store_inside else (outside, inside)
         accepted_ms = time.time() * 1000
-        mesh.wait_version(2, CONVERGENCE_S, knowing)
+        mesh.wait_version(2, CONVERGENCE_S, informed)
         time.sleep(STOP_LIMIT_S)
-        knows = store_inside or not outbound
-        if knows:
-            late = (last_start_ms(mesh, inside) - accepted_ms) / 1000
-            assert late <= STOP_LIMIT_S, f"last call {late:.2f} s after acceptance"
+        inside_informed = store_inside or not outbound
+        if inside_informed:
+            last_call_s = (last_start_ms(mesh, inside) - accepted_ms) / 1000
+            assert last_call_s <= STOP_LIMIT_S, f"last call {last_call_s:.2f} s after acceptance"
         else:
             # What isn't known can't be followed: work goes on in the cut data centre.
-            assert {mesh.status(n)["config_version"] for n in other} == {1}
+            assert {mesh.status(n)["config_version"] for n in uninformed} == {1}
             assert last_start_ms(mesh, inside) > accepted_ms + 1000, "the cut off side stopped serving"
         mesh.partition(CUT, False, False)
-        mesh.fault("store/*", cut=False)
+        mesh.set_link_fault("store/*", cut=False)
         healed_ms = time.time() * 1000
-        took = mesh.wait_version(2, CONVERGENCE_S)
+        elapsed_s = mesh.wait_version(2, CONVERGENCE_S)
         time.sleep(STOP_LIMIT_S)
-        late = (last_start_ms(mesh, inside) - healed_ms) / 1000
-        assert late <= STOP_LIMIT_S, f"last call {late:.2f} s after the cut healed"
+        last_call_s = (last_start_ms(mesh, inside) - healed_ms) / 1000
+        assert last_call_s <= STOP_LIMIT_S, f"last call {last_call_s:.2f} s after the cut healed"
         mesh.wait_members()
-        figures = [check_calls(mesh.summary(each), None) for each in loads]
-        records = [r for each in loads for r in mesh.records(each)]
+        figures = [check_calls(mesh.summary(load_program), None) for load_program in loads]
+        records = [r for load_program in loads for r in mesh.records(load_program)]
         started = mesh.check_run_once(records, inside + outside)
-        return f"in force {took:.2f} s and last call {late:.2f} s after the cut healed; " \
+        return f"in force {elapsed_s:.2f} s and last call {last_call_s:.2f} s after the cut healed; " \
                f"{started} runs, doubled 0; inside, outside: {figures}; " \
-               f"{mesh.finish(None if knows else unknowing_work)}"
+               f"{mesh.finish(None if inside_informed else is_uninformed_work)}"
 
 
 def test_two_way_cut_store_outside():
@@ -136,32 +136,32 @@
     later = ["harris-n0", "harris-n1", "harris-n2", "martin-n0", "martin-n1", "thurlow-n0"]
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 3, later)
-        time.sleep(OLD_ENOUGH_S)
-        turns = random.Random(seed())
+        time.sleep(MIN_NODE_AGE_S)
+        rng = random.Random(seed())
         mesh.partition(CUT)
         time.sleep(2)
         for name in later:
             mesh.start_instance(name)
         mesh.wait_ready()
         time.sleep(KEYS_READY_S)  # until the new names are registrars of keys first sent from now on
-        sides = [side(mesh, True), side(mesh, False)]
+        sides = [names_on_side(mesh, True), names_on_side(mesh, False)]
         keys = []  # (key, first sent)
         outcomes = collections.Counter()
 
-        def send(when, key):
+        def send(phase, key):
             """Sends the key through a node of either side, the first one at random."""
-            turns.shuffle(sides)
+            rng.shuffle(sides)
             for names in sides:
-                port = mesh.instances[turns.choice(names)].ports["traffic"]
+                port = mesh.instances[rng.choice(names)].ports["traffic"]
                 headers = {"idempotency-key": key[0], "x-caraway-first-sent": str(key[1]),
                            "x-request-number": key[0]}
                 answer = request(f"{HOST}:{port}", "POST", "/cycle/b", b"", headers)
-                outcomes[when, answer[1].get("x-caraway-outcome")] += 1
+                outcomes[phase, answer[1].get("x-caraway-outcome")] += 1
 
-        def send_new(when, count):
+        def send_new(phase, count):
             for _ in range(count):
-                keys.append((f"{when}-{len(keys)}", int(time.time() * 1000)))
-                send(when, keys[-1])
+                keys.append((f"{phase}-{len(keys)}", int(time.time() * 1000)))
+                send(phase, keys[-1])
 
         send_new("cut", 200)
         mesh.partition(CUT, False, False)
@@ -169,7 +169,7 @@
         mesh.wait_members(60)
         for key in keys:
             send("healed", key)
-        times = collections.Counter(mesh.ran(key[0]) for key in keys)
+        times = collections.Counter(mesh.run_count(key[0]) for key in keys)
         doubled = sum(n for runs, n in times.items() if runs > 1)
         assert doubled == 0, f"{doubled} of {len(keys)} keys ran twice; {dict(outcomes)}"
         assert outcomes["cut", "answered"] > 0, outcomes
@@ -178,4 +178,4 @@
 
 if __name__ == "__main__":
     run_tests([test_keys_and_new_names_in_a_cut, test_two_way_cut_store_outside,
-               test_two_way_cut_store_inside, test_inbound_cut, test_outbound_cut], at_once=2)
+               test_two_way_cut_store_inside, test_inbound_cut, test_outbound_cut], max_parallel=2)
--- a/tests/integration/platform_standins.py
+++ b/tests/integration/platform_standins.py
@@ -50,16 +50,16 @@
     def __init__(self):
         self.items, self.events, self.leases = {}, [], {}
         self.revision, self.calls, self.down = 1, 0, False
-        self.hidden = ()  # parts of keys that lists leave out
+        self.hidden_key_parts = ()  # parts of keys that lists leave out
         self.changed = threading.Condition()
         store = self
 
         class Handler(_Handler):
             def do_GET(self):
-                store.answer_read(self)
+                store.handle_read(self)
 
             def do_POST(self):
-                store.answer_write(self, self.body())
+                store.handle_write(self, self.body())
 
             do_DELETE = do_POST
 
@@ -95,77 +95,77 @@
             self.changed.notify_all()
 
     def _expire(self):
-        for lease, (until, _) in list(self.leases.items()):
-            if time.monotonic() > until:
-                self._end(lease)
+        for lease, (expires_at, _) in list(self.leases.items()):
+            if time.monotonic() > expires_at:
+                self._end_lease(lease)
 
-    def _end(self, lease):
+    def _end_lease(self, lease):
         self.leases.pop(lease, None)
         for key in [k for k, item in self.items.items() if item["lease"] == lease]:
             self._delete(key)
 
-    def answer_read(self, call):
+    def handle_read(self, handler):
         self.calls += 1
-        url = urllib.parse.urlsplit(call.path)
+        url = urllib.parse.urlsplit(handler.path)
         query = dict(urllib.parse.parse_qsl(url.query))
         if self.down:
-            return call.reply(503)
+            return handler.reply(503)
         with self.changed:
             self._expire()
             if url.path == "/api/kv-key":
                 item = self.items.get(query["key"])
-                return call.reply(200 if item else 404,
+                return handler.reply(200 if item else 404,
                                   {**(item or {}), "current_rev": self.revision})
             prefix = query["path_prefix"]
             if url.path == "/api/kv-range":
                 rows = [self.items[k] for k in sorted(self.items)
                         if k.startswith(prefix) and k > query.get("after", "")
-                        and not any(part in k for part in self.hidden)]
+                        and not any(part in k for part in self.hidden_key_parts)]
                 # Two rows a page, so that every list has to read several.
-                return call.reply(200, {"items": rows[:2], "has_more": len(rows) > 2,
+                return handler.reply(200, {"items": rows[:2], "has_more": len(rows) > 2,
                                         "current_rev": self.revision})
 
-            def news():
+            def pending_events():
                 return [e for e in self.events
                         if e["revision"] > int(query["after"]) and e["key"].startswith(prefix)]
-            self.changed.wait_for(lambda: news() or self.down, int(query["wait_ms"]) / 1000)
-            answer = {"events": news(), "current_rev": self.revision}
-        return call.reply(503 if self.down else 200, answer)
+            self.changed.wait_for(lambda: pending_events() or self.down, int(query["wait_ms"]) / 1000)
+            answer = {"events": pending_events(), "current_rev": self.revision}
+        return handler.reply(503 if self.down else 200, answer)
 
-    def answer_write(self, call, body):
+    def handle_write(self, handler, body):
         self.calls += 1
         if self.down:
-            return call.reply(503)
+            return handler.reply(503)
         with self.changed:
             self._expire()
-            if call.path == "/api/kv-lease":
+            if handler.path == "/api/kv-lease":
                 ttl = json.loads(body)["ttl_ms"]
                 lease = len(self.leases) + 1000 + self.revision
                 self.leases[lease] = (time.monotonic() + ttl / 1000, ttl)
-                return call.reply(200, {"lease": lease, "ttl_ms": ttl})
-            if call.path != "/api/kv-txn":
-                lease = int(call.path.rsplit("/", 1)[1])
+                return handler.reply(200, {"lease": lease, "ttl_ms": ttl})
+            if handler.path != "/api/kv-txn":
+                lease = int(handler.path.rsplit("/", 1)[1])
                 if lease not in self.leases:
-                    return call.reply(404)
+                    return handler.reply(404)
                 ttl = self.leases[lease][1]
                 self.leases[lease] = (time.monotonic() + ttl / 1000, ttl)
-                if call.command == "DELETE":
-                    self._end(lease)
-                return call.reply(200, {"ttl_ms": ttl})
+                if handler.command == "DELETE":
+                    self._end_lease(lease)
+                return handler.reply(200, {"ttl_ms": ttl})
             change = json.loads(body)
             for row in change["expect"]:
                 item = self.items.get(row["key"], {"key": row["key"], "revision": 0, "value": ""})
                 if item["revision"] != row["revision"]:
-                    return call.reply(412, {"items": [item]})
+                    return handler.reply(412, {"items": [item]})
             for row in change["writes"]:
                 if row["lease"] and row["lease"] not in self.leases:
-                    return call.reply(404)
+                    return handler.reply(404)
                 if row["key"].startswith(("op/", "servers/")):
-                    return call.reply(403)
+                    return handler.reply(403)
                 self._write(row["key"], base64.b64decode(row["value"]), row["lease"])
             for key in change["deletes"]:
                 self._delete(key)
-            return call.reply(200, {"revision": self.revision})
+            return handler.reply(200, {"revision": self.revision})
 
 
 class ReportingServer:
@@ -174,51 +174,51 @@
     def __init__(self, service, data_centre, reports_address, version="v1"):
         self.service, self.data_centre, self.version = service, data_centre, version
         self.reports_address = reports_address
-        self.identity = "i-" + uuid.uuid4().hex[:8]
-        self.born, self.sequence, self.state = int(time.time() * 1000), 0, "ready"
+        self.instance_id = "i-" + uuid.uuid4().hex[:8]
+        self.started_ms, self.sequence, self.state = int(time.time() * 1000), 0, "ready"
         self.runs, self.callers, self.delay_s = [], set(), 0
         self.stopped = threading.Event()
         server = self
 
         class Handler(_Handler):
             def do_GET(self):
-                server.answer(self, self.body())
+                server.handle_request(self, self.body())
 
             do_POST = do_GET
 
         self.server, self.address = _serve(Handler)
-        threading.Thread(target=self._report_always, daemon=True).start()
-
-    def answer(self, call, body):
-        expected = call.headers.get("X-Carawaytray-Expected-Instance")
-        if expected != self.identity:
-            return call.reply(421, headers={"X-Carawaytray-Instance-Id": self.identity})
-        number = call.headers["X-Carawaytray-Attempt-Id"]
-        self.runs.append((number, time.monotonic()))
-        self.callers.add(call.headers.get("X-Carawaytray-Caller-Service"))
+        threading.Thread(target=self._report_periodically, daemon=True).start()
+
+    def handle_request(self, handler, body):
+        expected = handler.headers.get("X-Carawaytray-Expected-Instance")
+        if expected != self.instance_id:
+            return handler.reply(421, headers={"X-Carawaytray-Instance-Id": self.instance_id})
+        attempt_id = handler.headers["X-Carawaytray-Attempt-Id"]
+        self.runs.append((attempt_id, time.monotonic()))
+        self.callers.add(handler.headers.get("X-Carawaytray-Caller-Service"))
         time.sleep(self.delay_s)
-        return call.reply(200, body or f"{self.identity} {call.path}".encode(),
-                          {"X-Carawaytray-Attempt-Id": number,
-                           "X-Carawaytray-Server-Seal": self.identity})
+        return handler.reply(200, body or f"{self.instance_id} {handler.path}".encode(),
+                          {"X-Carawaytray-Attempt-Id": attempt_id,
+                           "X-Carawaytray-Server-Seal": self.instance_id})
 
     def report(self):
         """Sends one report. Returns the status of the answer, None without one."""
         self.sequence += 1
-        value = {"address": self.address, "born": self.born,
+        value = {"address": self.address, "born": self.started_ms,
                  "info": {"service": self.service, "version": self.version,
                           "zone": self.data_centre, "slots": 4},
                  "status": {"state": self.state, "call_seq": self.sequence, "warmup_left_ms": 0}}
         try:
             return request(self.reports_address, "POST",
-                           "/api/Instances.Heartbeat/" + self.identity, json.dumps(value).encode(),
+                           "/api/Instances.Heartbeat/" + self.instance_id, json.dumps(value).encode(),
                            timeout_s=1)[0]
         except OSError:
             return None
 
     def leave(self):
         return request(self.reports_address, "POST",
-                       "/api/Instances.Deregister/" + self.identity, b"{}", timeout_s=1)[0]
+                       "/api/Instances.Deregister/" + self.instance_id, b"{}", timeout_s=1)[0]
 
-    def _report_always(self):
+    def _report_periodically(self):
         while not self.stopped.wait(0.3):
             self.report()
--- a/tests/integration/platform_test.py
+++ b/tests/integration/platform_test.py
@@ -84,11 +84,11 @@
         except OSError:
             return False
 
-    def call(self, path, body=b"", deadline_ms=2000, number=None):
+    def call(self, path, body=b"", deadline_ms=2000, attempt_id=None):
         """Returns the status and the body of the answer."""
-        number = number or uuid.uuid4().hex[:16]
+        attempt_id = attempt_id or uuid.uuid4().hex[:16]
         answer = request(self.callers, "POST" if body else "GET", path, body,
-                         {"Host": "shop.example", "X-Carawaytray-Attempt-Id": number,
+                         {"Host": "shop.example", "X-Carawaytray-Attempt-Id": attempt_id,
                           "X-Carawaytray-Deadline-Ms": str(deadline_ms)})
         return answer[0], answer[-1]
 
@@ -96,8 +96,8 @@
 class Platform:
     """A store and four instances in two data centres."""
 
-    def __init__(self, apart=False):
-        self.apart = apart  # the services' instances join only each other at first
+    def __init__(self, separate_groups=False):
+        self.separate_groups = separate_groups  # the services' instances join only each other at first
 
     def __enter__(self):
         self.harness = Harness()
@@ -106,26 +106,26 @@
         self.store.put("op/config", config(5, FIRST))
         self.instances = []
         for service in ("orders", "stock"):
-            self.instances += [Instance(self.harness, self.store, f"{service}-{place}", service,
-                                        place) for place in ("north", "south")]
-            if self.apart:
+            self.instances += [Instance(self.harness, self.store, f"{service}-{data_centre}", service,
+                                        data_centre) for data_centre in ("north", "south")]
+            if self.separate_groups:
                 wait_until(lambda: all(i.ready() for i in self.instances), READY_S, "ready")
-                self.store.hidden = ("/orders-",)  # their entry points
+                self.store.hidden_key_parts = ("/orders-",)  # their entry points
         wait_until(lambda: all(i.ready() for i in self.instances), READY_S, "ready")
-        if self.apart:
+        if self.separate_groups:
             time.sleep(JOINED_S)
-        self.store.hidden = ()
+        self.store.hidden_key_parts = ()
         for path in ("/orders/x", "/stock/x"):
             wait_until(lambda: all(i.call(path)[0] == 200 for i in self.instances), READY_S, path)
         return self
 
     def __exit__(self, kind, value, trace):
-        for each in self.instances:
-            each.server.stopped.set()
+        for instance in self.instances:
+            instance.server.stopped.set()
         self.harness.__exit__(kind, value, trace)
 
 
-def test_calm_day():
+def test_calls_and_configuration_change():
     """Guards against a path through the adapter that loses, changes or misroutes a call, against a
     configuration that is not in force in time, and against 404 for a route that is there."""
     with Platform() as platform:
@@ -144,10 +144,10 @@
         since = time.monotonic()
         wait_until(lambda: all(i.call("/new/z")[0] == 200 and i.call("/both/z")[0] == 404
                                for i in platform.instances), APPLY_S, "in force")
-        took = time.monotonic() - since
-        numbers = [n for i in platform.instances for n, _ in i.server.runs]
-        assert len(numbers) == len(set(numbers)), "a call ran twice"
-        return f"{len(numbers)} runs, in force after {took:.2f} s, {platform.store.calls} store calls"
+        elapsed_s = time.monotonic() - since
+        attempt_ids = [n for i in platform.instances for n, _ in i.server.runs]
+        assert len(attempt_ids) == len(set(attempt_ids)), "a call ran twice"
+        return f"{len(attempt_ids)} runs, in force after {elapsed_s:.2f} s, {platform.store.calls} store calls"
 
 
 def test_drain_and_evacuation():
@@ -179,7 +179,7 @@
                    any(at > since for _, at in north.server.runs), 5, "taken back")
 
 
-def test_store_away():
+def test_store_unavailable():
     """Guards against calls that fail while the store is away, and against a node that can't start
     then although members know the configuration."""
     with Platform() as platform:
@@ -203,12 +203,12 @@
 def test_groups_that_started_apart():
     """Guards against nodes that started together, joined only each other and stay apart from the
     rest for good: after a loss of power in 3 of 8 runs of a day a fifth of its calls was refused."""
-    with Platform(apart=True) as platform:
-        for each in platform.instances:
-            wait_until(lambda: all(each.call(path)[0] == 200 for path in ("/orders/x", "/stock/x")),
-                       READY_S, each.name)
+    with Platform(separate_groups=True) as platform:
+        for instance in platform.instances:
+            wait_until(lambda: all(instance.call(path)[0] == 200 for path in ("/orders/x", "/stock/x")),
+                       READY_S, instance.name)
 
 
 if __name__ == "__main__":
-    run_tests([test_calm_day, test_drain_and_evacuation, test_store_away,
+    run_tests([test_calls_and_configuration_change, test_drain_and_evacuation, test_store_unavailable,
                test_groups_that_started_apart])
--- a/tests/integration/standins_test.py
+++ b/tests/integration/standins_test.py
@@ -27,7 +27,7 @@
     return status, int(headers.get("x-revision", 0))
 
 
-def gives_no_answer(call):
+def fails_without_answer(call):
     try:
         call()
     except (OSError, http.client.HTTPException):
@@ -88,10 +88,10 @@
         harness.start("fault_proxy", "--link", f"u=udp,{link},{HOST}:{target.getsockname()[1]}",
                       "--control", faults)
         senders = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(5)]
-        to = (HOST, int(link.split(":")[1]))
+        destination = (HOST, int(link.split(":")[1]))
         for i, sender in enumerate(senders):
             sender.settimeout(2)
-            sender.sendto(b"ping%d" % i, to)
+            sender.sendto(b"ping%d" % i, destination)
         for _ in senders:
             data, source = target.recvfrom(100)
             target.sendto(data.replace(b"ping", b"pong"), source)
@@ -99,20 +99,20 @@
             assert sender.recv(100) == b"pong%d" % i
         post_json(faults, "/control", {"link": "u", "delay_ms": 100})
         start = time.monotonic()
-        senders[0].sendto(b"late", to)
+        senders[0].sendto(b"late", destination)
         assert target.recv(100) == b"late" and time.monotonic() - start >= 0.1
         post_json(faults, "/control", {"link": "u", "delay_ms": 0, "freeze": True})
-        senders[0].sendto(b"held", to)
+        senders[0].sendto(b"held", destination)
         target.settimeout(0.1)
-        assert gives_no_answer(lambda: target.recv(100))
+        assert fails_without_answer(lambda: target.recv(100))
         post_json(faults, "/control", {"link": "u", "freeze": False})
         target.settimeout(2)
         assert target.recv(100) == b"held"
         post_json(faults, "/control", {"link": "u", "loss_permille": 1000})
-        senders[0].sendto(b"lost", to)
+        senders[0].sendto(b"lost", destination)
         wait_until(lambda: get_json(faults, "/control")["u"]["lost"] == 1)
-        for each in [target, *senders]:
-            each.close()
+        for open_socket in [target, *senders]:
+            open_socket.close()
 
 
 def test_proxy_limits_tcp():
@@ -133,7 +133,7 @@
         post_json(faults, "/control", {"link": "t", "delay_ms": 0, "bandwidth_kbps": 4000})
         assert 0.4 <= timed(200_000)
         post_json(faults, "/control", {"link": "t", "bandwidth_kbps": 0, "freeze": True})
-        assert gives_no_answer(lambda: request(link, "GET", "/x", timeout_s=0.2))
+        assert fails_without_answer(lambda: request(link, "GET", "/x", timeout_s=0.2))
         post_json(faults, "/control", {"link": "t", "freeze": False})
         assert timed(200_000) < 0.4
 
@@ -200,7 +200,7 @@
     with Harness() as harness:
         store, control = start_store(harness, "--writes-per-s", 50)
         post_json(control, "/control", {"lose_answers_permille": 1000})
-        assert gives_no_answer(lambda: put(store, "k", "kept"))
+        assert fails_without_answer(lambda: put(store, "k", "kept"))
         post_json(control, "/control", {"lose_answers_permille": 0})
         assert request(store, "GET", "/v1/kv/k")[2] == b"kept"
 
@@ -208,13 +208,13 @@
         held.request("GET", "/v1/watch?prefix=k&after=1&wait_ms=5000")
         wait_until(lambda: get_json(control, "/control")["waiting_watches"] == 1)
         post_json(control, "/control", {"down": True})
-        assert gives_no_answer(held.getresponse)
-        assert gives_no_answer(lambda: request(store, "GET", "/v1/kv/k"))
+        assert fails_without_answer(held.getresponse)
+        assert fails_without_answer(lambda: request(store, "GET", "/v1/kv/k"))
         post_json(control, "/control", {"down": False})
         assert request(store, "GET", "/v1/kv/k")[0] == 200
 
         post_json(control, "/control", {"stall": True})
-        assert gives_no_answer(lambda: request(store, "GET", "/v1/kv/k", timeout_s=0.2))
+        assert fails_without_answer(lambda: request(store, "GET", "/v1/kv/k", timeout_s=0.2))
         waiting = http.client.HTTPConnection(store, timeout=5)
         waiting.request("GET", "/v1/kv/k")
         time.sleep(0.1)
@@ -307,7 +307,7 @@
         wait_until(lambda: request(listen, "GET", "/good")[0] == 500, 3)
         post_json(control, "/control", {"behaviour": "good", "service_ms": 1000})
         assert request(listen, "GET", "/x", headers={"x-caraway-deadline-ms": "50"})[0] == 504
-        assert gives_no_answer(lambda: request(listen, "GET", "/x", timeout_s=0.1))
+        assert fails_without_answer(lambda: request(listen, "GET", "/x", timeout_s=0.1))
         wait_until(lambda: get_json(control, "/control/executions")["cancelled"] == 1, 3)
         post_json(control, "/control", {"service_ms": 1, "truncate_permille": 1000})
         load = harness.load("--target", listen, "--concurrency", 1, "--requests", 5,
@@ -334,9 +334,9 @@
         assert p50(8, "loaded") > 2 * p50(4, "light")
         held = [socket.create_connection((HOST, int(listen.split(":")[1]))) for _ in range(9)]
         wait_until(lambda: get_json(control, "/control/executions")["connections"] == 9)
-        assert gives_no_answer(lambda: request(listen, "GET", "/x"))
-        for each in held:
-            each.close()
+        assert fails_without_answer(lambda: request(listen, "GET", "/x"))
+        for connection in held:
+            connection.close()
         wait_until(lambda: get_json(control, "/control/executions")["connections"] == 0)
 
         post_json(control, "/control", {"service_ms": 1000, "behaviour": "good"})
--- a/tests/integration/stored_text_test.py
+++ b/tests/integration/stored_text_test.py
@@ -4,7 +4,7 @@
 import time
 
 from harness import HOST, request, run_tests, seed
-from mesh import Mesh, mesh_text, wait_quietly
+from mesh import Mesh, mesh_text, wait_ignoring_errors
 
 DATA_CENTRES = ["east", "west"]
 
@@ -37,16 +37,16 @@
     def put():
         return request(f"{HOST}:{mesh.store_port}", "PUT", "/v1/kv/caraway/text", value)[0] == 200
 
-    wait_quietly(put, 10, "raw text written")
+    wait_ignoring_errors(put, 10, "raw text written")
 
 
-def holds(mesh, value):
+def is_accepted_text(mesh, value):
     """Whether the accepted text, restored from the store, says the same as the given one."""
     path = f"{mesh.dir}/expected.toml"
     with open(path, "w") as out:
         out.write(value)
-    done = mesh.ctl("diff", path, check=False)
-    return done.returncode == 0 and done.stdout == "no change\n"
+    completed = mesh.ctl("diff", path, check=False)
+    return completed.returncode == 0 and completed.stdout == "no change\n"
 
 
 def restart_all(mesh):
@@ -70,14 +70,14 @@
         for version in range(2, 27):
             value = text(version)
             if version % 5 == 0:
-                late = request(store, "GET", "/v1/kv/caraway/text-delta")[2]
+                late_delta = request(store, "GET", "/v1/kv/caraway/text-delta")[2]
                 put_raw(mesh, value)
                 # The former text's difference arrives late.
-                assert request(store, "PUT", "/v1/kv/caraway/text-delta", late)[0] == 200
+                assert request(store, "PUT", "/v1/kv/caraway/text-delta", late_delta)[0] == 200
             else:
                 mesh.apply(value)
             mesh.wait_version(version, 18)
-            wait_quietly(lambda value=value: holds(mesh, value), 5, f"version {version} stored")
+            wait_ignoring_errors(lambda value=value: is_accepted_text(mesh, value), 5, f"version {version} stored")
             counts.append(len(keys(mesh, "caraway/accepted-")))
             if version % 3 == 0:
                 restart_all(mesh)
@@ -92,52 +92,52 @@
     """Guards against a text that is lost, accepted in part or can't be restored when the accepter
     is killed, paused past its lease or cut off from the store between any two of its writes, while
     answers are lost and raw texts come between. Store calls take 20 ms more, to hit each step."""
-    chance = random.Random(seed())
+    rng = random.Random(seed())
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 5)
-        mesh.store_fault(lose_answers_permille=100)
-        mesh.fault("store/*", delay_ms=10)
-        slots, hits = 1, []
+        mesh.set_store_fault(lose_answers_permille=100)
+        mesh.set_link_fault("store/*", delay_ms=10)
+        slots, faults = 1, []
         for round_number in range(12):
-            wait_quietly(lambda: mesh.lease_holders("accepter"), 20, "an accepter")
+            wait_ignoring_errors(lambda: mesh.lease_holders("accepter"), 20, "an accepter")
             for _ in range(2):
                 slots += 1
-                if chance.random() < 0.3:
+                if rng.random() < 0.3:
                     put_raw(mesh, text(slots))
                 else:
                     mesh.apply(text(slots), check=False)
             kind = ("kill", "pause", "cut")[round_number % 3]
-            time.sleep(chance.uniform(0, 0.5))
-            hit = mesh.lease_holders("accepter")[:1]
-            hits.append(f"{kind} at version {mesh.accepted_version()}")
+            time.sleep(rng.uniform(0, 0.5))
+            failed_nodes = mesh.lease_holders("accepter")[:1]
+            faults.append(f"{kind} at version {mesh.accepted_version()}")
             if kind == "cut":
-                mesh.fault("store/*", cut=True)
+                mesh.set_link_fault("store/*", cut=True)
                 time.sleep(1)
-                mesh.fault("store/*", cut=False)
-            for name in hit if kind != "cut" else []:
+                mesh.set_link_fault("store/*", cut=False)
+            for name in failed_nodes if kind != "cut" else []:
                 node = mesh.instances[name].node
                 node.kill() if kind == "kill" else node.pause()
                 if kind == "pause":
                     time.sleep(6)  # lease period: 5 s
                     node.resume()
             put_raw(mesh, text(slots))  # in case an apply was refused or lost
-            wait_quietly(lambda slots=slots: holds(mesh, text(slots)), 18, f"slots {slots}")
-            for name in hit if kind == "kill" else []:
+            wait_ignoring_errors(lambda slots=slots: is_accepted_text(mesh, text(slots)), 18, f"slots {slots}")
+            for name in failed_nodes if kind == "kill" else []:
                 mesh.start_node(name)
-        mesh.store_fault(lose_answers_permille=0)
-        mesh.fault("store/*", delay_ms=0)
+        mesh.set_store_fault(lose_answers_permille=0)
+        mesh.set_link_fault("store/*", delay_ms=0)
         mesh.wait_version(mesh.accepted_version(), 18)
         restart_all(mesh)
-        assert holds(mesh, text(slots))
+        assert is_accepted_text(mesh, text(slots))
         version = mesh.accepted_version()
         assert {mesh.status(n)["config_version"] for n in mesh.instances} == {version}
-        return f"version {version}; {len(hits)} hits; {mesh.finish()}"
+        return f"version {version}; {len(faults)} hits; {mesh.finish()}"
 
 
 def test_accepter_stays_below_the_bound_with_a_text_of_1_mb():
     """Guards against an accepter that reads submitted texts whole or writes whole texts for each
     change: at 7,100 changes a day, 9 KB/s are 109 KB a change (design page, section 1.3)."""
-    bound = 9_000 * 86_400 / 7_100
+    max_bytes_per_change = 9_000 * 86_400 / 7_100
 
     def large(slots):
         return text(slots) + "".join(
@@ -158,11 +158,11 @@
             mesh.apply(large(3 + change))
             mesh.wait_version(3 + change, 18)
         worst = max(control_bytes(n) - before[n] for n in mesh.instances) / changes
-        assert worst < bound, worst
+        assert worst < max_bytes_per_change, worst
         return f"{worst / 1000:.1f} KB a change with {len(large(2))} bytes; {mesh.finish()}"
 
 
 if __name__ == "__main__":
     run_tests([test_accepter_ends_between_two_writes,
                test_text_is_restored_at_every_distance_from_a_whole_one,
-               test_accepter_stays_below_the_bound_with_a_text_of_1_mb], at_once=2)
+               test_accepter_stays_below_the_bound_with_a_text_of_1_mb], max_parallel=2)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -18,7 +18,7 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 sys.path.insert(0, os.path.join(ROOT, "tests", "integration"))
 
-from mesh import Mesh, is_refused, mesh_text, wait_quietly  # noqa: E402
+from mesh import Mesh, is_refused, mesh_text, wait_ignoring_errors  # noqa: E402
 
 KEPT_SEEDS = os.path.join(ROOT, "tests", "soak", "kept_seeds.txt")
 READY_AGAIN_S = 20      # a healed mesh is ready again
@@ -104,10 +104,10 @@
         links = [f"{kind}/{name}" for kind in ("traffic", "udp", "bulk")]
         links = turns.sample(links, turns.randint(1, 3))
         for link in links:
-            self.mesh.fault(link, **harm)
+            self.mesh.set_link_fault(link, **harm)
         time.sleep(turns.uniform(0.2, 3))
         for link in links:
-            self.mesh.fault(link, **heal)
+            self.mesh.set_link_fault(link, **heal)
 
     def cut_one_way(self, turns, data_centre):
         inbound = turns.random() < 0.5
@@ -120,14 +120,14 @@
                                    ({"stall": True}, {"stall": False}),
                                    ({"latency_ms": 400}, {"latency_ms": 0}),
                                    ({"lose_answers_permille": 400}, {"lose_answers_permille": 0})])
-        self.mesh.store_fault(**harm)
+        self.mesh.set_store_fault(**harm)
         time.sleep(turns.uniform(0.5, 5))
-        self.mesh.store_fault(**heal)
+        self.mesh.set_store_fault(**heal)
 
     def cut_store(self, turns, data_centre):
-        self.mesh.fault(f"store/{data_centre}", freeze=True)
+        self.mesh.set_link_fault(f"store/{data_centre}", freeze=True)
         time.sleep(turns.uniform(0.5, 4))
-        self.mesh.fault(f"store/{data_centre}", freeze=False)
+        self.mesh.set_link_fault(f"store/{data_centre}", freeze=False)
 
     def change_text(self, turns):
         if turns.random() < 0.5:
@@ -220,7 +220,7 @@
         booked = [r for r in records if r["path"].startswith("/book") and not is_refused(r)]
         for most, picked in ((0, refused), (1, booked)):
             for record in picked[:: max(1, len(picked) // MOST_CHECKED)]:
-                ran = self.mesh.ran(record["number"], counted)
+                ran = self.mesh.run_count(record["number"], counted)
                 assert ran <= most, f"{record['number']} ran {ran} times: {record}"
 
     def check_healed(self):
@@ -228,9 +228,9 @@
         ready = self.mesh.wait_ready(READY_AGAIN_S)
         self.out, self.path_on = set(), True
         before = self.mesh.accepted_version()
-        wait_quietly(lambda: self.mesh.apply(self.text() + "# healed\n", check=False).returncode == 0,
+        wait_ignoring_errors(lambda: self.mesh.apply(self.text() + "# healed\n", check=False).returncode == 0,
                      IN_FORCE_S, "a text accepted")
-        wait_quietly(lambda: self.mesh.accepted_version() > before, IN_FORCE_S, "a newer version")
+        wait_ignoring_errors(lambda: self.mesh.accepted_version() > before, IN_FORCE_S, "a newer version")
         in_force = self.mesh.wait_version(self.mesh.accepted_version(), IN_FORCE_S)
         self.mesh.wait_members(READY_AGAIN_S)
 
@@ -242,7 +242,7 @@
             summary = self.mesh.summary(calls)
             return summary["answered"] == summary["sent"] > 0
 
-        wait_quietly(all_answered, CALLS_AGAIN_S, "every call answered")
+        wait_ignoring_errors(all_answered, CALLS_AGAIN_S, "every call answered")
         return f"ready after {ready:.1f} s, in force after {in_force:.1f} s"
 
 
