--- a/tests/integration/calls_test.py
+++ b/tests/integration/calls_test.py
@@ -6,12 +6,13 @@
 from mesh import Mesh, check_calls, mesh_text, wait_ignoring_errors
 
 READY_AGAIN_S = 18.0
-KEYS_READY_S = 12.5  # a name is a registrar of keys first sent 12 s after its first start
+KEYS_READY_S = 12.5  # a node registers keys first sent 12 s after the first start of its name
 
 
 def start_mesh(mesh, work, gates=1, service=None, **options):
-    """work instances of the service "work" and gates entry nodes that no test touches. Callers
-    enter at the gates, past the proxy, so that faults hit only the traffic between nodes."""
+    """Starts `work` instances of the service "work" and `gates` entry nodes without faults.
+    Callers reach the entry nodes directly, so that the proxy's faults affect only the traffic
+    between nodes."""
     mesh.text = mesh_text(
         ["east", "west"],
         {"work": {"version": "1", **(service or {})}, "gate": {"version": "1"}},
@@ -41,8 +42,8 @@
 
 
 def test_cold_start_and_cold_again():
-    """Guards against a cold backend server that gets the load of a warm one and falls over, at its
-    start and when it turns cold again without warning (guarantee 5)."""
+    """Guards against overload of a cold backend server, at its start and when it turns cold again
+    without notice (guarantee 5)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 3, service_ms=20, slots=12, cold_s=4)
         calls = load(mesh, "cold", "--path", "/read/a", "--rate", 200, "--duration-s", 17)
@@ -55,16 +56,16 @@
             time.sleep(4)
         summary = mesh.summary(calls)
         last = [mesh.executions(n) for n in work_names(mesh)]
-        # The first sign of new coldness is a slow or failed answer: one fall may show it, and a
-        # second one would mean that the sign was ignored.
+        # The first sign that a server is cold again is a slow or failed answer: one fall may be
+        # that sign, and a second one means that it was ignored.
         assert all(c["falls"] <= 1 for c in last), [c["falls"] for c in last]
         assert all(c["max_concurrency"] <= 12 for c in last), last
         return f"falls {[c['falls'] for c in last]}; {check_calls(summary)}; {mesh.finish()}"
 
 
 def test_truncated_and_late_answers():
-    """Guards against an answer that reaches the caller cut short, or that arrives late and is
-    taken for the answer of another request (guarantee 7)."""
+    """Guards against a truncated answer that is passed to the caller, and a late answer that is
+    matched to another request (guarantee 7)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 3, gates=2, service_ms=5)
         mesh.set_server_fault("work-0", truncate_permille=100)
@@ -81,7 +82,7 @@
             time.sleep(0.5)
         cut, slow = mesh.summary(cut_load), mesh.summary(late_load)
         figures = [check_calls(s, unknown=None) for s in (cut, slow)]
-        # The faults did bite: answers were refused as unknown instead of passed on in part.
+        # The faults took effect: truncated answers became unknown outcomes.
         assert cut["unknown"] > 0 and truncations > 5, cut
         assert slow["unknown"] + slow["deadline"] > 0, slow
         checked = sum(mesh.check_not_run(mesh.records(load_program)) for load_program in (cut_load, late_load))
@@ -89,8 +90,8 @@
 
 
 def test_killed_with_calls_under_way():
-    """Guards against a refusal "not run" of a call that a dying backend server or node had, and
-    against a second run of it (guarantees 8 and 9)."""
+    """Guards against reporting a call as "not run" that a killed backend server or node had
+    received, and against running it twice (guarantees 8 and 9)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 5, service_ms=60)
         calls = load(mesh, "book", "--path", "/book/b", "--rate", 100, "--duration-s", 10)
@@ -106,7 +107,7 @@
         mesh.set_link_fault("traffic/work-3", cut=False)
         summary = mesh.summary(calls)
         records = mesh.records(calls)
-        # The killed server took its counts with it: its calls are checked by the audit alone.
+        # The killed server's counts are lost, so only the audit checks its calls.
         killed = {"work-0"}
         alive = [n for n in work_names(mesh) if n not in killed]
         checked = mesh.check_not_run(records, alive)
@@ -120,8 +121,8 @@
 
 
 def test_keyed_requests_sent_again_while_nodes_restart():
-    """Guards against a booking that runs twice because its registrar or its executor restarted
-    between the first try and the next through another node (guarantee 9)."""
+    """Guards against running a keyed request twice when its registrar or executor restarts between
+    the first attempt and the next one through another node (guarantee 9)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 5, gates=3, service_ms=10)
         time.sleep(KEYS_READY_S)
@@ -149,8 +150,8 @@
 
 
 def test_overload_with_urgent_calls():
-    """Guards against a server that gets more than its slots, an urgent call that waits behind
-    polls, and a refusal in overload that was run after all (guarantees 5 and 8)."""
+    """Guards against exceeding the slots of a server, urgent calls that wait behind background
+    ones, and calls refused under overload that ran nevertheless (guarantees 5 and 8)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 2, service={"slots": 2, "queue": 8}, service_ms=40, slots=2)
         # Two servers with two slots and 40 ms serve 100 calls/s.
@@ -166,7 +167,7 @@
         assert answered_shares["/alarm/b"] > answered_shares["/poll/a"], answered_shares
         checked = mesh.check_not_run(mesh.records(calls))
         assert checked > 0, summary
-        # Calls that ended late were cancelled, so a server has no more starts than callers' calls.
+        # Late calls were cancelled, so a server starts no more calls than the callers sent.
         return f"answered: {answered_shares['/alarm/b']:.0%} of urgent calls, {answered_shares['/poll/a']:.0%} of " \
                f"polls; {checked} refusals true; {check_calls(summary, None)}; {mesh.finish()}"
 
--- a/tests/integration/config_faults_test.py
+++ b/tests/integration/config_faults_test.py
@@ -5,13 +5,13 @@
 from harness import HOST, request, run_tests
 from mesh import Mesh, check_calls, http, mesh_text, wait_ignoring_errors
 
-CONVERGENCE_S = 18.0  # the users' target for a change to be in force everywhere
+CONVERGENCE_S = 18.0  # the users' target until a change is in force everywhere
 DATA_CENTRES = ["east", "west"]
 READ_ROUTE = {"service": "alpha", "timeout": "2s", "idempotent": True}
 
 
 def text(slots=12, services=None, routes=None, out=()):
-    """A text of two services; slots makes it differ from others."""
+    """Returns a text with two services. Different values of slots make texts differ."""
     return mesh_text(
         DATA_CENTRES,
         {"alpha": {"version": "1", "slots": slots}, "beta": {"version": "1"}, **(services or {})},
@@ -21,7 +21,7 @@
 
 
 def start_mesh(mesh, count=6):
-    """Instances of both services in both data centres, with the first text in force."""
+    """Starts instances of both services in both data centres and applies the first text."""
     for i in range(count):
         mesh.add(f"{('alpha', 'beta')[i // 2 % 2]}-{i}", DATA_CENTRES[i % 2],
                  ("alpha", "beta")[i // 2 % 2], service_ms=3)
@@ -38,7 +38,7 @@
 
 
 def wait_accepted(mesh, version, timeout_s=15):
-    """Waits for an acceptance in the store; returns its time."""
+    """Waits until the store holds the accepted version; returns the monotonic time."""
     wait_ignoring_errors(lambda: mesh.accepted_version() >= version, timeout_s, f"accepted {version}")
     return time.monotonic()
 
@@ -50,8 +50,8 @@
 
 
 def test_store_fails_right_after_acceptance():
-    """Guards against an accepted text that only the store knows, against a node that goes back
-    while the store is away, and against calls that need the store (guarantees 1 and 12)."""
+    """Guards against an accepted text that only the store holds, a node that returns to an older
+    version while the store is unavailable, and calls that need the store (guarantees 1 and 12)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         load = start_load(mesh, "away", 11)
@@ -72,7 +72,7 @@
 
 
 def test_store_down_for_the_whole_load():
-    """Guards against calls that depend on the store: all are answered while it is down."""
+    """Guards against calls that depend on the store: all must be answered while it is down."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 4)
         mesh.set_store_fault(down=True)
@@ -85,8 +85,8 @@
 
 
 def test_accepter_and_readers_fail_during_a_change():
-    """Guards against a change that stops half-way when the process that carries it dies or is
-    paused past its lease, and against a late writer that brings an older version back."""
+    """Guards against a change that stops half-way when the accepter or a reader is killed or paused
+    past its lease, and against a late writer that restores an older version."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         elapsed_s = []
@@ -123,8 +123,8 @@
 
 
 def test_concurrent_edits_with_lost_answers_and_datagrams():
-    """Guards against a lost edit, a text applied out of order and a node left behind when the
-    store loses answers and watch events and UDP loses 5% (guarantees 1 and 12)."""
+    """Guards against a lost edit, a text applied out of order and a node that stays behind when
+    the store loses answers and watch events and UDP loses 5% (guarantees 1 and 12)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         mesh.set_link_fault("udp/*", loss_permille=50)
@@ -162,7 +162,7 @@
             assert count > 2 and f"queue = {first_queue[service] + count}\n" in final, \
                 (edits, final)
 
-        # The accepted text is stored packed; carawayctl restores it and compares it whole.
+        # The accepted text is stored compressed; carawayctl restores it and compares all of it.
         path = f"{mesh.dir}/final.toml"
         with open(path, "w") as out:
             out.write(final)
@@ -179,8 +179,8 @@
 
 
 def test_bad_text_is_refused_whole():
-    """Guards against a text that takes effect in part, and against a route to a service that is
-    not there (guarantees 2 and 3). The faulty texts also take a data centre out."""
+    """Guards against a text that takes effect in part, and against a route to a service that does
+    not exist (guarantees 2 and 3). The faulty texts also take a data centre out."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 4)
         load = start_load(mesh, "refused", 9)
@@ -196,7 +196,7 @@
             with open(path, "w") as out:
                 out.write(broken)
             assert mesh.ctl("apply", path, "--from", before, check=False).returncode == 1
-            # Another writer puts it past the operator's check.
+            # Another writer bypasses the operator's check.
             http_put(mesh, "caraway/text", broken)
 
             def refused():
@@ -210,7 +210,7 @@
         for name in mesh.instances:
             assert mesh.applied_versions(name) == [1], mesh.applied_versions(name)
             assert not mesh.log_lines(name, "data_centre_out")
-        # A service with its route comes without any instance, is called at once, and goes again.
+        # A service with its route is added without any instance, called at once, and removed again.
         since = time.monotonic()
         extra = mesh.load("gamma", "--path", "/gamma/z", "--rate", 100, "--duration-s", 3,
                           targets=["alpha-0"])
@@ -233,10 +233,10 @@
 
 
 def test_restarted_nodes_never_go_back():
-    """Guards against a restarted node that takes up an older version from a neighbour that is
+    """Guards against a restarted node that applies an older version from a member that lags
     behind: with the store up, with the store down, and behind a cut data centre (guarantee 1)."""
     with Mesh(proxied=True) as mesh:
-        # A restarted node asks three members, so the cut must leave it that many.
+        # A restarted node asks three members, so at least three must stay reachable.
         start_mesh(mesh, 8)
         east = [i.name for i in mesh.in_data_centre("east")]
         west = [i.name for i in mesh.in_data_centre("west")]
@@ -270,8 +270,8 @@
 
 
 def test_restart_among_nodes_that_are_behind():
-    """Guards against a restarted node that takes up what its first neighbours have while the store
-    is down: two paused nodes missed the change that it had applied (guarantee 1)."""
+    """Guards against a restarted node that applies an older version from the first members that answer
+    while the store is down: two paused nodes missed a change that it had applied (guarantee 1)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 8)
         names = list(mesh.instances)
--- a/tests/integration/ctl_test.py
+++ b/tests/integration/ctl_test.py
@@ -50,7 +50,7 @@
 
 
 def test_operators_edit_concurrently():
-    """Guards against an edit that undoes another one."""
+    """Guards against an edit that silently overwrites another one."""
     with Harness() as harness:
         store = Store(harness)
         first = store.write("first.toml", TEXT)
@@ -66,15 +66,15 @@
         expect(store.ctl("apply", copies[1], "--by", "bo"), 1, "applied by ana",
                "nothing was changed", "timeout 2s -> 3s")
         assert 'timeout = "2s"' in store.text()
-        # The winner goes on from its own write without fetching.
+        # The writer that won can apply again without fetching first.
         expect(store.ctl("apply", copies[0], "--by", "ana"), 0)
         expect(store.ctl("check", store.write("bad.toml", TEXT + "slots = 3\n")), 1, "bad.toml:11:1")
         expect(store.ctl("apply", harness.path("bad.toml"), "--from", "1"), 1, "unknown key")
 
 
 def test_store_faults():
-    """Guards against a write that is repeated or given up because its answer was lost, and
-    against a hanging command while the store is down."""
+    """Guards against repeating or abandoning a write whose answer was lost, and against a command
+    that hangs while the store is down."""
     with Harness() as harness:
         store = Store(harness)
         path = store.write("text.toml", TEXT)
@@ -93,7 +93,7 @@
 
 
 def test_follow_a_change_through_a_mesh():
-    """Guards against a verdict that carawayctl can't read from the nodes' records."""
+    """Guards against verdicts that carawayctl cannot read from the nodes' records."""
     with Mesh() as mesh:
         for name, data_centre in (("a1", "east"), ("a2", "west"), ("a3", "west")):
             mesh.add(name, data_centre, "alpha")
@@ -115,7 +115,7 @@
         assert status["verdict"]["in_force_everywhere"], status
         assert "accepter" in [lease["lease"] for lease in status["leases"]], status
 
-        # A text that another writer put past the checks is refused by the accepter.
+        # The accepter refuses an invalid text that another writer stored without a check.
         request(f"{HOST}:{mesh.store_port}", "PUT", "/v1/kv/caraway/text", "format = 1\nnmae = 1\n")
         refused = wait_until(lambda: (completed := mesh.ctl("status", check=False)).returncode == 1 and completed,
                              10, "refusal")
--- a/tests/integration/data_centre_test.py
+++ b/tests/integration/data_centre_test.py
@@ -1,4 +1,4 @@
-"""Data centres that leave, return, die and flap: guarantee 6 behind the fault-injecting proxy."""
+"""Data centres that are taken out, return, fail and flap: guarantee 6 behind the fault-injecting proxy."""
 import time
 
 from harness import run_tests
@@ -55,7 +55,7 @@
 
 def test_out_and_back():
     """Guards against new work in a data centre that was taken out, calls lost by the change, and
-    cold servers that fall over at its return. Callers enter in all data centres."""
+    overload of cold servers at its return. Callers enter in all data centres."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, cold_s=2)
         calls = load(mesh, 18, None)
@@ -77,8 +77,8 @@
 
 
 def test_killed_whole():
-    """Guards against calls that go on failing after a data centre died at once, and against a mesh
-    that no longer takes changes."""
+    """Guards against calls that keep failing after all processes of a data centre were killed, and
+    against a mesh that no longer accepts changes."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, service_ms=40)  # some calls are under way at the kill
         entries = names_in(mesh, "martin") + names_in(mesh, "thurlow")
@@ -97,7 +97,7 @@
         time.sleep(1)
         assert last_start_ms(mesh, "harris") == 0, "work in a data centre that is out"
         accept(mesh, text())
-        # Entries prefer their own data centre, so callers come back to this one, too.
+        # Entries prefer their own data centre, so this one gets calls from its own entries.
         inside = load(mesh, 30, names_in(mesh, "harris"), 60, "inside")
         return_s = wait_ignoring_errors(lambda: is_serving(mesh, "harris"), CONVERGENCE_S, "work again")
         inside.terminate()
@@ -114,8 +114,8 @@
 
 
 def test_cut_off():
-    """Guards against a cut off data centre that goes back to an older version or stays behind
-    after the cut, and against work there though the store told it that it is out."""
+    """Guards against a disconnected data centre that returns to an older version or stays behind
+    after the cut, and against work there although the store says that it is out."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         entries = names_in(mesh, "martin") + names_in(mesh, "thurlow")
@@ -150,7 +150,7 @@
 
 
 def test_flapping():
-    """Guards against a node that ends in an older standing when a data centre goes out and in
+    """Guards against a node that ends with an older configuration when data centres go out and in
     faster than the changes spread, with 5% of the datagrams lost."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
--- a/tests/integration/harness.py
+++ b/tests/integration/harness.py
@@ -21,7 +21,7 @@
 
 
 def bin_dir():
-    """The folder of programs, from the command line."""
+    """Returns the folder of programs: the first command-line argument, or build/bin."""
     return os.path.abspath(sys.argv[1] if len(sys.argv) > 1 else "build/bin")
 
 
@@ -29,7 +29,7 @@
 
 
 def seed():
-    """The seed of this run: CARAWAY_SEED, or a random one, which is printed for a replay."""
+    """Returns the seed of this run: CARAWAY_SEED, or a random one. Prints it for a replay."""
     global _seed
     if _seed is None:
         _seed = int(os.environ.get("CARAWAY_SEED") or random.randrange(1 << 31))
@@ -38,8 +38,8 @@
 
 
 def free_ports(count, kinds=(socket.SOCK_STREAM, socket.SOCK_DGRAM)):
-    """Returns ports that are free for each kind of socket. All are reserved before the first is
-    given back, so that they differ."""
+    """Returns ports that are free for each kind of socket. All sockets stay open until the last
+    port is found, so that the ports differ."""
     reserved, ports = [], []
     while len(ports) < count:
         primary_socket = socket.socket(socket.AF_INET, kinds[0])
@@ -68,7 +68,8 @@
 
 
 def wait_until(check, timeout_s=10, what="condition", interval_s=0.02):
-    """Calls check until it returns something true, and returns that; fails after the timeout."""
+    """Calls check until it returns a true value and returns that value. Raises AssertionError
+    after the timeout."""
     deadline = time.monotonic() + timeout_s
     while True:
         result = check()
@@ -80,8 +81,8 @@
 
 
 def request(address, method, path, body=b"", headers=None, timeout_s=10):
-    """One HTTP request on a new connection. Returns status, headers (lower case) and body.
-    Raises OSError or http.client.HTTPException when no whole answer comes."""
+    """Sends one HTTP request on a new connection. Returns status, headers (lower case) and body.
+    Raises OSError or http.client.HTTPException if no complete answer arrives."""
     connection = http.client.HTTPConnection(address, timeout=timeout_s)
     try:
         data = body.encode() if isinstance(body, str) else body
@@ -94,7 +95,8 @@
 
 
 def get_json(address, path, timeout_s=10):
-    """GET that must be answered with 200 and JSON."""
+    """Sends a GET and returns the JSON of the answer. Raises AssertionError unless its status is
+    200."""
     status, _, body = request(address, "GET", path, timeout_s=timeout_s)
     if status != 200:
         raise AssertionError(f"GET {path}: {status} {body[:200]!r}")
@@ -102,7 +104,8 @@
 
 
 def post_json(address, path, value, timeout_s=10):
-    """POST of a JSON value that must be answered with 200 and JSON."""
+    """Posts a JSON value and returns the JSON of the answer. Raises AssertionError unless its
+    status is 200."""
     status, _, body = request(address, "POST", path, json.dumps(value), timeout_s=timeout_s)
     if status != 200:
         raise AssertionError(f"POST {path} {value}: {status} {body[:200]!r}")
@@ -116,7 +119,8 @@
         self.name, self.process, self.log_path = name, process, log_path
 
     def log(self):
-        """The log lines written so far, as objects; lines that aren't JSON as {"text": ...}."""
+        """Returns the log lines written so far as objects. A line that is not JSON becomes
+        {"text": ...}."""
         lines = []
         with open(self.log_path, errors="replace") as file:
             for line in file:
@@ -132,7 +136,8 @@
         return [line for line in self.log() if line.get("event") == event]
 
     def wait_event(self, event, timeout_s=10):
-        """Waits for a log line with this event and returns it; fails if the program ends first."""
+        """Waits for a log line with this event and returns it. Raises AssertionError if the program
+        ends first."""
 
         def check():
             found = self.events(event)
@@ -149,16 +154,16 @@
         return self.process.poll() is None
 
     def wait(self, timeout_s=60):
-        """Waits for the end and returns the exit status."""
+        """Waits until the program ends and returns its exit status."""
         return self.process.wait(timeout_s)
 
     def terminate(self):
-        """SIGTERM, without waiting for the end."""
+        """Sends SIGTERM without waiting for the program to end."""
         if self.running():
             self.process.send_signal(signal.SIGTERM)
 
     def stop(self, timeout_s=40):
-        """SIGTERM, then the exit status."""
+        """Sends SIGTERM, waits for the end and returns the exit status."""
         self.terminate()
         return self.process.wait(timeout_s)
 
@@ -175,8 +180,8 @@
 
 
 class Harness:
-    """Starts programs in a temporary folder and ends those still running on exit. The folder is
-    kept, and named, when the test fails."""
+    """Starts programs in a temporary folder and ends those still running on exit. If the test
+    fails, the folder is kept and its path is printed."""
 
     def __init__(self, bins=None):
         self.bins = bins or bin_dir()
@@ -197,11 +202,11 @@
         os.rmdir(self.dir)
 
     def path(self, name):
-        """A file in the temporary folder."""
+        """Returns the path of a file in the temporary folder."""
         return os.path.join(self.dir, name)
 
     def start(self, program, *arguments, name=None, ready="listening", timeout_s=10, env=None):
-        """Starts a program and waits for its ready line (None: doesn't wait)."""
+        """Starts a program and waits for the log event ready, or does not wait if ready is None."""
         label = name or f"{program}-{len(self.programs)}"
         log_path = self.path(label + ".log")
         with open(log_path, "wb") as log:
@@ -215,14 +220,14 @@
         return started_program
 
     def load(self, *arguments, name="load"):
-        """Starts a load generator with the run's seed, unless --seed is given. Returns the program,
-        to be passed to load_result."""
+        """Starts a load generator with the run's seed, unless --seed is given. Returns the
+        program; load_result takes it."""
         return self.start("load_generator", "--out", self.path(name + ".json"), "--records",
                           self.path(name + ".records"), "--run-id", name, "--seed", seed(), *arguments,
                           name=name, ready="started")
 
     def load_result(self, program, timeout_s=120):
-        """Waits for a load generator's end. Returns its summary and its records."""
+        """Waits until a load generator ends. Returns its summary and its records."""
         status = program.wait(timeout_s)
         if status != 0:
             raise AssertionError(f"{program.name} ended with {status}: {program.log()[-3:]}")
@@ -233,8 +238,8 @@
 
 
 def run_tests(tests, max_parallel=1):
-    """Runs the test functions, up to at_once at the same time, and prints one line for each with
-    the figures that the test returns. Exits with 1 if one failed."""
+    """Runs the test functions, up to max_parallel at a time, and prints a line for each with the
+    figures that the test returns. Exits with 1 if a test failed."""
     seed()
     print_lock = threading.Lock()
 
@@ -243,7 +248,7 @@
         try:
             figures = test() or ""
             passed, result = True, "ok"
-        except Exception as error:  # every fault of a test is a failure of that test only
+        except Exception as error:  # an exception fails only its own test
             frames = traceback.extract_tb(error.__traceback__)
             location = " < ".join(f"{os.path.basename(f.filename)}:{f.lineno}" for f in frames[::-1])
             passed, result, figures = False, f"FAILED {type(error).__name__}: {error}", location
--- a/tests/integration/leave_test.py
+++ b/tests/integration/leave_test.py
@@ -9,7 +9,7 @@
 
 
 def start_mesh(mesh, work, **options):
-    """work instances, and two entry nodes that stay."""
+    """Starts `work` instances, and two entry nodes that are never stopped."""
     for i in range(2):
         mesh.add(f"gate-{i}", ("east", "west")[i], "gate")
     for i in range(work):
@@ -31,8 +31,8 @@
 
 
 def stop_instance(mesh, name):
-    """A planned stop of the node, then of its server; returns the seconds until the last new call
-    after the announcement."""
+    """Stops the node and then its server as planned. Returns the seconds from the announcement to
+    the last new call."""
     instance = mesh.instances[name]
     assert instance.node.stop() == 0, f"{name}: exit {instance.node.process.returncode}"
     leaving = mesh.log_lines(name, "leaving")[-1]["time"]
@@ -61,7 +61,7 @@
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 4, service_ms=200)
         calls = load(mesh, 14, rate=50)  # 10 calls under way at any time; two instances have 24 slots
-        time.sleep(7)  # in the 5 s of cold start they have 6, which 10 calls at a time exceed
+        time.sleep(7)  # during the 5 s cold start they have 6 slots, fewer than 10 concurrent calls need
         last_call_s = []
         for name in ("work-0", "work-1"):
             wait_ignoring_errors(lambda name=name: mesh.executions(name)["running"] > 0, 5, "calls under way")
@@ -132,8 +132,8 @@
 
 
 def test_simultaneous_restarts():
-    """Guards against a storm of joins after many instances were restarted at once, and against a
-    planned stop of many that is not graceful (guarantee 11)."""
+    """Guards against a burst of joins when many instances restart at the same time, and against
+    simultaneous planned stops that are not graceful (guarantee 11)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 6, service_ms=10)
         calls = load(mesh, 60)
--- a/tests/integration/mesh.py
+++ b/tests/integration/mesh.py
@@ -1,10 +1,10 @@
 """Starts a small mesh of real processes for tests, the demo and measurements.
 
-A Mesh holds one store stand-in and a set of instances; each instance is a backend server stand-in
-with a carawayd beside it. With proxied=True all traffic between nodes and to the store passes the
-fault-injecting proxy, so that links can be cut, delayed or frozen by name:
+A Mesh holds one store stand-in and a set of instances. Each instance is a backend server stand-in
+with a carawayd beside it. With proxied=True all traffic between nodes and to the store passes through
+the fault-injecting proxy, so that links can be cut, delayed or frozen by name:
 traffic/INSTANCE, udp/INSTANCE, bulk/INSTANCE, store/DATA_CENTRE. The nodes of each data centre send
-from an address of their own, by which the proxy can cut them off.
+from their own source address, by which the proxy can cut them off.
 """
 
 import http.client as http_client
@@ -18,7 +18,7 @@
 
 from harness import HOST, Harness, get_json, request, wait_until
 
-FIRST_PORT = 14400  # below the ephemeral range, so clients of other processes don't take them
+FIRST_PORT = 14400  # below the ephemeral range, so that other clients do not occupy them
 SLOT_PORTS = 2000
 # Test files that run at the same time take their ports from different slots, since a node that is
 # restarted must find its port still free.
@@ -26,13 +26,13 @@
 _next_port = [_first_port]
 _port_lock = threading.Lock()
 
-# Folder that gets the nodes' logs, with the inputs of their decisions, when the mesh ends.
+# Folder to which the nodes' logs, with the inputs of their decisions, are copied at the end.
 RECORD_DIR = os.environ.get("CARAWAY_RECORD_DIR")
-RECORD_LINES = 100_000  # far above what waits between two writes
+RECORD_LINES = 100_000  # far more than are queued between two writes
 
 
 def free_port():
-    """Returns a port that is free for TCP and UDP now."""
+    """Returns a port that is currently free for TCP and UDP."""
     while True:
         with _port_lock:
             port = _next_port[0]
@@ -48,7 +48,7 @@
 
 
 def http(method, port, path, body=None, timeout_s=5.0):
-    """One HTTP request; returns (status, headers, body bytes)."""
+    """Sends one HTTP request; returns (status, headers, body bytes)."""
     data = b"" if body is None else json.dumps(body).encode()
     return request(f"{HOST}:{port}", method, path, data, timeout_s=timeout_s)
 
@@ -58,7 +58,8 @@
 
 
 def wait_ignoring_errors(check, timeout_s, what):
-    """wait_until that takes a refused connection as "not yet"; returns the seconds it took."""
+    """Waits like wait_until, but treats connection errors and failed assertions of check as "not
+    yet". Returns the seconds waited."""
     started = time.monotonic()
 
     def attempt():
@@ -72,7 +73,7 @@
 
 
 class Instance:
-    """A backend server with its node."""
+    """A backend server and the node beside it."""
 
     def __init__(self, name, data_centre, service, version, options):
         self.name = name
@@ -119,7 +120,7 @@
         self.harness.__exit__(kind, value, trace)
 
     def run(self, program, name, *arguments, ready="listening", timeout_s=20):
-        """Starts a program whose log file carries the name; a restart gets a file of its own."""
+        """Starts a program whose log file is named after it. Each restart gets a new log file."""
         self.started_programs += 1
         return self.harness.start(
             program, *arguments, name=f"{name}.{self.started_programs}", ready=ready, timeout_s=timeout_s
@@ -173,19 +174,21 @@
         self.proxy = self.run("fault_proxy", "proxy", *arguments)
 
     def set_link_fault(self, link, **values):
-        """Changes a link of the proxy; a name ending in * means all links with the prefix."""
+        """Sets fault values of a link of the proxy. A name ending in * selects all links with that
+        prefix."""
         status, _, body = http("POST", self.proxy_control_port, "/control", {"link": link, **values})
         assert status == 200, (status, body)
 
     def cut_data_centre(self, data_centre, cut=True):
-        """Cuts the inbound links of all nodes in a data centre, also those from each other."""
+        """Cuts or restores the inbound links of all nodes in a data centre, also between
+        themselves."""
         for instance in self.in_data_centre(data_centre):
             for key in ("traffic", "udp", "bulk"):
                 self.set_link_fault(f"{key}/{instance.name}", cut=cut)
 
     def partition(self, data_centre, inbound=True, outbound=True):
-        """Cuts a data centre off from the others, both ways or one way; its nodes still reach each
-        other and, unless its link is cut, the store. With neither way the cut heals."""
+        """Cuts a data centre off from the others, in both directions or one. Its nodes still reach
+        each other and, unless that link is cut, the store. Without a direction the cut heals."""
         own_sources = [self.source_addresses[data_centre]]
         other_sources = [s for d, s in self.source_addresses.items() if d != data_centre]
         for instance in self.instances.values():
@@ -268,7 +271,7 @@
         return "\n".join(lines) + "\n"
 
     def ctl(self, *arguments, check=True, timeout=60):
-        """Runs carawayctl; returns the finished process."""
+        """Runs carawayctl and returns the completed process."""
         command = [f"{self.bin}/carawayctl", "--store", f"{HOST}:{self.store_port}"]
         completed = subprocess.run(
             command + list(arguments), capture_output=True, text=True, timeout=timeout
@@ -278,7 +281,7 @@
         return completed
 
     def apply(self, text, check=True):
-        """Applies a text against the current revision."""
+        """Applies a text on top of the current revision."""
         self.applied_texts += 1
         path = f"{self.dir}/text-{self.applied_texts}.toml"
         with open(path, "w") as out:
@@ -308,7 +311,8 @@
         )
 
     def wait_version(self, version, timeout=30, names=None):
-        """Waits until the nodes run the version; each is asked until it does, not longer."""
+        """Waits until the nodes run the version or a newer one. A node that does is not polled
+        again."""
         pending = list(names or [i.name for i in self.running()])
 
         def complete():
@@ -337,9 +341,9 @@
         return json.loads(body)["version"] if status == 200 else 0
 
     def move(self, service):
-        """The move record of a service as the store holds it, or None."""
+        """Returns the store's move record of a service, or None."""
         status, _, body = http("GET", self.store_port, f"/v1/kv/caraway/state/move/{service}")
-        assert status in (200, 404), f"the store answered {status}"  # down, or above its rate
+        assert status in (200, 404), f"the store answered {status}"  # other statuses: down, or above its rate
         return json.loads(body) if status == 200 else None
 
     def executions(self, name):
@@ -350,7 +354,7 @@
 
     def load(self, name, *options, targets=None, direct=False):
         """Starts a load generator on the given instances (all running ones by default). With
-        direct=True the faults of the proxy don't touch the callers' connections."""
+        direct=True the callers' connections bypass the proxy and its faults."""
         targets = targets or [i.name for i in self.running()]
         arguments = list(options)
         for target in targets:
@@ -360,7 +364,7 @@
         return self.harness.load(*arguments, name=name)
 
     def summary(self, load, timeout_s=180):
-        """Waits for a load generator and returns its summary."""
+        """Waits until a load generator ends and returns its summary."""
         load.wait(timeout_s)
         with open(self.harness.path(load.name + ".json")) as source:
             return json.load(source)
@@ -373,7 +377,7 @@
         return [path for i in self.instances.values() for path in i.node_logs]
 
     def log_lines(self, name, event):
-        """The log lines with the event name of all processes that the node has had."""
+        """Returns the log lines with the event name from all runs of the node."""
         matching = []
         for path in self.instances[name].node_logs:
             with open(path) as source:
@@ -382,7 +386,7 @@
         return matching
 
     def lease_holders(self, lease):
-        """Names of the running nodes that believe they hold a lease, as "accepter"."""
+        """Returns the names of the running nodes that report holding a lease, such as "accepter"."""
         holders = []
         for instance in self.running():
             try:
@@ -396,20 +400,21 @@
         return [line["version"] for line in self.log_lines(name, "config_applied")]
 
     def check_versions(self):
-        """Fails if a node ever applied an older version, also over its restarts (guarantee 1)."""
+        """Fails if a node ever applied an older version, also across restarts (guarantee 1)."""
         for name in self.instances:
             versions = self.applied_versions(name)
             assert versions == sorted(versions), f"{name} went back: {versions}"
 
     def run_count(self, number, names=None):
-        """How many times the backend servers ran a request, by their own counts."""
+        """Returns how often the backend servers ran a request, by their own counts."""
         names = names or [i.name for i in self.instances.values() if i.server.running()]
         ports = [self.instances[name].ports["server_control"] for name in names]
         return sum(http_json(port, f"/control/ran?request={number}")["ran"] for port in ports)
 
     def check_not_run(self, records, names=None, max_checked=150):
-        """Fails if a backend server ran a request whose caller was told "not run" (guarantee 8);
-        returns how many requests were checked: evenly spaced ones if there are many."""
+        """Fails if a backend server ran a request that was answered as not run (guarantee 8).
+        Checks about max_checked requests, evenly spaced, if there are more; returns how many were
+        checked."""
         refused = [r["number"] for r in records if is_refused(r)]
         sample = refused[:: max(1, len(refused) // max_checked)]
         for number in sample:
@@ -418,9 +423,9 @@
         return len(sample)
 
     def check_run_once(self, records, names):
-        """Fails unless the named backend servers, which got no other requests, ran each answered
-        request once, each refused one never and each other one at most once (guarantee 9): the
-        sum holds only if no refused one ran and no answered one ran twice.
+        """Fails unless the named backend servers ran each answered request once, each refused one
+        never and each other one at most once (guarantee 9). They must have got no other requests:
+        the sum holds only if no refused request ran and no answered one ran twice.
         Returns the number of starts by the servers' own counts."""
         others = [r for r in records if r["outcome"] != "answered" and not is_refused(r)]
         run_counts = [self.run_count(r["number"], names) for r in others]
@@ -434,7 +439,7 @@
         return started
 
     def audit(self, check=True):
-        """Checks the guarantees on the logs of all nodes."""
+        """Runs carawayctl audit, which checks the guarantees, on the logs of all nodes."""
         completed = subprocess.run(
             [f"{self.bin}/carawayctl", "audit", *self.node_logs()], capture_output=True, text=True
         )
@@ -443,16 +448,16 @@
         return completed
 
     def stop_nodes(self, timeout_s=40):
-        """Stops all nodes at once with SIGTERM; returns their exit statuses."""
+        """Stops all nodes at the same time with SIGTERM and returns their exit statuses."""
         nodes = [i.node for i in self.running()]
         for node in nodes:
             node.process.terminate()
         return [node.wait(timeout_s) for node in nodes]
 
     def finish(self, allowed=None):
-        """Ends every test: planned stops are graceful (guarantee 11), the versions never fall, and
-        the audit of all logs finds no breach but those that allowed(line) takes. Returns its last
-        line."""
+        """Ends a test: checks that planned stops are graceful (guarantee 11), that versions never
+        decrease and that the audit of all logs finds only breaches for which allowed(line) is
+        true. Returns the end of the audit's last line."""
         statuses = self.stop_nodes()
         assert set(statuses) <= {0}, f"exit statuses {statuses}"
         self.check_versions()
@@ -467,7 +472,7 @@
 
 
 def mesh_text(data_centres, services, routes, out=(), name="proof"):
-    """Writes an operators' text. services: name -> dict of TOML values; routes: path -> dict."""
+    """Returns an operators' text. services: name -> dict of TOML values; routes: path -> dict."""
     lines = ["format = 1", f'name = "{name}"']
     for data_centre in data_centres:
         lines += [f"[data_centre.{data_centre}]", f"out = {json.dumps(data_centre in out)}"]
@@ -481,14 +486,14 @@
 
 
 def is_refused(record):
-    """True if the caller may take the request as not run. The refusal of a request that was sent
-    again says nothing of the earlier tries."""
+    """Returns whether the answer guarantees that the request did not run. The refusal of a resent
+    request does not cover its earlier attempts."""
     return record["outcome"] == "not-run" and record["attempts"] == 1
 
 
 def check_calls(summary, unknown=0):
-    """Fails if a caller's call was lost, crossed or cut, or more had an unknown outcome. Returns
-    the figures."""
+    """Fails if a call was lost, crossed or cut, or if more than unknown calls had an unknown
+    outcome (None: no limit). Returns the figures."""
     for what in ("lost", "crossed", "cut"):
         assert summary[what] == 0, f"{what}: {summary[what]}, {summary['other_reasons']}"
     assert unknown is None or summary["unknown"] <= unknown, summary["other_reasons"]
--- a/tests/integration/move_faults_test.py
+++ b/tests/integration/move_faults_test.py
@@ -14,7 +14,7 @@
 
 
 def text(move=None, queue=48):
-    """One service with a route that must not run twice and one that may; move: (to, deadline)."""
+    """Returns a text of one service with an idempotent route and one that must not run twice; move: (to, deadline)."""
     result = mesh_text(
         ["east", "west"], {"pour": {"version": "1", "queue": queue}},
         {"/read": {"service": "pour", "timeout": "2s", "idempotent": True},
@@ -53,8 +53,8 @@
 
 
 def wait_second_stage(mesh, timeout_s):
-    """Waits for the last stage that stays below 5% of the calls. A later stage has more, whatever the
-    system does."""
+    """Waits for the last stage whose share stays below 5% of the calls. Later stages always exceed
+    it."""
     wait_ignoring_errors(lambda: mesh.move("pour")["stage"] >= 1, timeout_s, "the second stage")
     assert mesh.move("pour")["stage"] == 1, mesh.move("pour")
 
@@ -69,7 +69,7 @@
 
 
 def backend_call_starts(mesh):
-    """(time in ms, version) of each call started at a backend server, from all nodes' logs."""
+    """Returns (time in ms, version) of each call started at a backend server, from all nodes' logs."""
     return sorted((line["time"], mesh.instances[name].version)
                   for name in mesh.instances
                   for line in mesh.log_lines(name, "backend_call_started"))
@@ -89,7 +89,7 @@
     share = before.count(to) / max(1, len(before))
     new_starts = [t for t, version in all_starts if version == to]
     last = (max(new_starts) - suspended_ms) / 1000 if new_starts else -1.0
-    # The backend servers' own counts agree with the nodes' logs, so no call passed by unlogged.
+    # The backend servers' own counts agree with the nodes' logs, so no call is missing from the logs.
     servers = [mesh.executions(i.name) for i in mesh.of_service("pour", to)]
     assert sum(s["started"] for s in servers) == len(new_starts), (servers, len(new_starts))
     last_own = (max(s["last_started_ms"] for s in servers) - suspended_ms) / 1000 if new_starts else -1.0
@@ -109,7 +109,7 @@
 
 
 def bad_version(name, **new_version_options):
-    """Makes a test that a bad version is taken back."""
+    """Returns a test that checks that a bad version is taken back."""
 
     def test():
         with Mesh(proxied=True) as mesh:
@@ -121,7 +121,7 @@
     return test
 
 
-# Each guards against a bad version of one kind that goes unnoticed or is noticed too late.
+# Each guards against one kind of defect that is detected too late or not at all.
 BAD_VERSIONS = [
     bad_version("fails", behaviour="fails"),
     bad_version("fails_later", behaviour="fails_later", behaviour_after_s=4,
@@ -132,8 +132,8 @@
 
 
 def test_bad_version_slow_under_load():
-    """Guards against a defect that no small share of calls can show. Here the defect becomes
-    visible with the first slow call, so the share counts until then, from the move's begin."""
+    """Guards against a version that is slow only under load, which a small share of calls cannot
+    show. The share is counted from the move's start to the first slow call."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, behaviour="slow_under_load", slots=2, service_ms=15)
         load, _ = start_move(mesh, 30, 40)
@@ -153,13 +153,13 @@
 
 
 def holder_fails(kind):
-    """The holder is killed or paused past its lease while a version turns bad."""
+    """Kills the holder or pauses it past its lease when a version turns bad."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         load, _ = start_move(mesh, 30, 45)
         wait_second_stage(mesh, 20)
-        # Callers enter at the old instances: a holder among them is paused, too, with its callers'
-        # calls, so the load goes to the other ones.
+        # Callers enter at the old instances: pausing a holder among them also
+        # pauses its callers' calls, so the load goes to the other instances.
         holder = mesh.move("pour")["holder"]
         for i in mesh.of_service("pour", "2"):
             mesh.set_server_fault(i.name, behaviour="fails", behaviour_permille=800)
@@ -186,12 +186,12 @@
 
 def test_holder_paused_past_its_lease():
     """Guards against a resumed holder that writes over its successor's decision, or that starts
-    calls on the suspended version before it has learnt of the suspension."""
+    calls on the suspended version before it has received the suspension."""
     return holder_fails("pause")
 
 
 def test_holder_killed_when_the_version_turns_bad():
-    """Guards against a suspension that dies with the holder."""
+    """Guards against a suspension that is lost when the holder is killed."""
     return holder_fails("kill")
 
 
@@ -216,8 +216,8 @@
 
 
 def test_store_down_as_the_deadline_passes():
-    """Guards against a weight that is raised after the deadline, and against a version that is
-    called done although it never had all traffic in time."""
+    """Guards against raising the weight after the deadline, and against a move recorded as done
+    although the version did not get all traffic in time."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         load, deadline = start_move(mesh, 16, 45)
@@ -264,12 +264,12 @@
 
 
 def test_good_version_with_an_early_outage():
-    """Guards against a good version that is taken back because the store was away early."""
+    """Guards against a good version that is taken back because the store was unavailable early."""
     return good_version(0.15, 30)
 
 
 def test_good_version_with_a_late_outage():
-    """Guards against a good version that is taken back because the store was away while the last
+    """Guards against a good version that is taken back because the store was unavailable while the last
     stage was due."""
     return good_version(0.45, 30)
 
--- a/tests/integration/partition_test.py
+++ b/tests/integration/partition_test.py
@@ -10,8 +10,8 @@
 CONVERGENCE_S = 18.0
 DATA_CENTRES = ["harris", "martin", "thurlow"]
 CUT = "harris"
-KEYS_READY_S = 12.5  # a name is a registrar of keys first sent 12 s after its first start
-MIN_NODE_AGE_S = 76  # registrars from before a loss are first started 75 s before it
+KEYS_READY_S = 12.5  # a node registers keys first sent 12 s after the first start of its name
+MIN_NODE_AGE_S = 76  # after a loss, only nodes first started 75 s before it stay registrars
 
 
 def text(out=()):
@@ -36,7 +36,8 @@
 
 
 def load(mesh, name, targets, seconds):
-    """Requests that must run at most once each, so that the servers' counts check every answer."""
+    """Starts a load of requests that must run at most once, so that the servers' counts check
+    every answer."""
     return mesh.load(name, "--path", "/cycle/b", "--rate", 80, "--duration-s", seconds,
                      targets=targets, direct=True)
 
@@ -57,14 +58,14 @@
 
 def out_during_cut(store_inside, inbound=True, outbound=True):
     """Cuts harris off, takes it out by a text while the store is reachable from one side only, and
-    heals the cut. A node fetches texts itself, so harris can know of the text before the cut heals
+    heals the cut. A node fetches texts itself, so harris can get the text before the cut heals
     only if it reaches the store or, by an outbound connection, a node that does."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
 
         def is_uninformed_work(line):
-            """Work that the audit finds, since it knows of the text: only what ran in the cut off
-            data centre, whose last start is checked below against the end of the cut."""
+            """Returns whether a breach is work in the disconnected data centre, which could not
+            know the text. Its last start is checked below against the end of the cut."""
             return "work-in-data-centre-out: " in line and any(f" on {n} " in line for n in inside)
 
         inside, outside = names_on_side(mesh, True), names_on_side(mesh, False)
@@ -74,7 +75,7 @@
         for data_centre in DATA_CENTRES:
             mesh.set_link_fault(f"store/{data_centre}", cut=(data_centre == CUT) != store_inside)
         both = inbound and outbound
-        if both:  # each side holds the other as dead
+        if both:  # each side considers the other dead
             wait_ignoring_errors(lambda: not alive_members(mesh, inside[0]) & set(outside)
                          and not alive_members(mesh, outside[0]) & set(inside), CONVERGENCE_S, "cut")
         apply_during_cut(mesh, 2)
@@ -87,7 +88,7 @@
             last_call_s = (last_start_ms(mesh, inside) - accepted_ms) / 1000
             assert last_call_s <= STOP_LIMIT_S, f"last call {last_call_s:.2f} s after acceptance"
         else:
-            # What isn't known can't be followed: work goes on in the cut data centre.
+            # Without the text, the disconnected data centre keeps working.
             assert {mesh.status(n)["config_version"] for n in uninformed} == {1}
             assert last_start_ms(mesh, inside) > accepted_ms + 1000, "the cut off side stopped serving"
         mesh.partition(CUT, False, False)
@@ -119,14 +120,14 @@
 
 
 def test_inbound_cut():
-    """Guards against a data centre that the others can't reach and that doesn't learn by its own
-    probes, which are answered, that it is out."""
+    """Guards against a data centre that the others can't reach and that gets answers to its own
+    probes, so that it does not detect from them that it is out."""
     return out_during_cut(store_inside=False, outbound=False)
 
 
 def test_outbound_cut():
-    """Guards against an older version or a false answer when a data centre hears of a text that it
-    can't fetch."""
+    """Guards against an older version or a false answer when a data centre is told of a text that
+    it cannot fetch."""
     return out_during_cut(store_inside=False, inbound=False)
 
 
--- a/tests/integration/platform_standins.py
+++ b/tests/integration/platform_standins.py
@@ -1,7 +1,7 @@
 """Stand-ins of the platform: its key-value store and backend servers that report themselves.
 
-Both run as threads of the test. The store keeps items with revisions, answers watches, writes under
-conditions and leases; it can be told to refuse every call.
+Both run as threads of the test. The store keeps items with revisions, and supports watches,
+conditional writes and leases; with down set it refuses every call.
 """
 import base64
 import http.server
@@ -45,12 +45,12 @@
 
 
 class PlatformStore:
-    """The store; the test is its operator."""
+    """The key-value store. The test acts as its operator."""
 
     def __init__(self):
         self.items, self.events, self.leases = {}, [], {}
         self.revision, self.calls, self.down = 1, 0, False
-        self.hidden_key_parts = ()  # parts of keys that lists leave out
+        self.hidden_key_parts = ()  # lists omit keys that contain one of these parts
         self.changed = threading.Condition()
         store = self
 
@@ -66,7 +66,7 @@
         self.server, self.address = _serve(Handler)
 
     def put(self, key, value):
-        """Writes as the operator. Returns the revision."""
+        """Writes a value as the operator does. Returns the revision."""
         with self.changed:
             return self._write(key, value.encode(), 0)
 
@@ -121,7 +121,7 @@
                 rows = [self.items[k] for k in sorted(self.items)
                         if k.startswith(prefix) and k > query.get("after", "")
                         and not any(part in k for part in self.hidden_key_parts)]
-                # Two rows a page, so that every list has to read several.
+                # Two rows a page, so that lists have to read several pages.
                 return handler.reply(200, {"items": rows[:2], "has_more": len(rows) > 2,
                                         "current_rev": self.revision})
 
@@ -202,7 +202,7 @@
                            "X-Carawaytray-Server-Seal": self.instance_id})
 
     def report(self):
-        """Sends one report. Returns the status of the answer, None without one."""
+        """Sends one report. Returns the status of the answer, or None if there is no answer."""
         self.sequence += 1
         value = {"address": self.address, "born": self.started_ms,
                  "info": {"service": self.service, "version": self.version,
--- a/tests/integration/platform_test.py
+++ b/tests/integration/platform_test.py
@@ -1,5 +1,5 @@
-"""Nodes on the platform: a small calm day through the adapter, with real processes, a stand-in of the
-platform's store and backend servers that report themselves."""
+"""Nodes on the platform, reached through its adapter: real processes, a stand-in of the platform's
+store and backend servers that report themselves."""
 import json
 import time
 import uuid
@@ -10,7 +10,7 @@
 READY_S = 10
 APPLY_S = 2        # an accepted configuration is in force
 JOINED_S = 1.2     # nodes that start together have joined; they look for others after 2 s
-EVACUATE_S = 3     # a data centre that was taken out gets nothing
+EVACUATE_S = 3     # a data centre that was taken out gets no new calls
 
 SETTINGS = """
 [instance]
@@ -127,7 +127,7 @@
 
 def test_calls_and_configuration_change():
     """Guards against a path through the adapter that loses, changes or misroutes a call, against a
-    configuration that is not in force in time, and against 404 for a route that is there."""
+    configuration that is not in force in time, and against 404 for an existing route."""
     with Platform() as platform:
         entry = platform.instances[0]
         body = bytes(range(256)) * 40
@@ -180,8 +180,8 @@
 
 
 def test_store_unavailable():
-    """Guards against calls that fail while the store is away, and against a node that can't start
-    then although members know the configuration."""
+    """Guards against calls that fail while the store is unavailable, and against a node that then
+    cannot start although members hold the configuration."""
     with Platform() as platform:
         platform.store.down = True
         with platform.store.changed:
@@ -201,8 +201,8 @@
 
 
 def test_groups_that_started_apart():
-    """Guards against nodes that started together, joined only each other and stay apart from the
-    rest for good: after a loss of power in 3 of 8 runs of a day a fifth of its calls was refused."""
+    """Guards against nodes that started together, joined only each other and never join the
+    rest: in 3 of 8 runs of a day with a power loss, a fifth of its calls was refused after it."""
     with Platform(separate_groups=True) as platform:
         for instance in platform.instances:
             wait_until(lambda: all(instance.call(path)[0] == 200 for path in ("/orders/x", "/stock/x")),
--- a/tests/integration/standins_test.py
+++ b/tests/integration/standins_test.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-ins themselves: a fault in them would hide or imitate a fault of the system."""
+"""Tests of the stand-ins: a fault in them could hide or imitate a fault of the system."""
 import http.client
 import json
 import socket
@@ -38,7 +38,7 @@
 def test_load_straight_to_a_backend_server():
     """Guards against a generator that loses or miscounts requests without any fault."""
     with Harness() as harness:
-        # Slots enough that a busy machine's stalls don't shed.
+        # Enough slots that stalls of a busy machine do not cause shedding.
         listen, control, backend = start_backend(harness, "--service-ms", 2, "--slots", 200)
         load = harness.load("--target", listen, "--path", "/a:3", "--path", "/b", "--rate", 1000,
                             "--duration-s", 1.5, "--body-bytes", 300, "--response-bytes", 5000)
@@ -79,7 +79,7 @@
 
 
 def test_proxy_delays_freezes_and_forwards_datagrams():
-    """Guards against faults that don't take effect or reach the wrong sender."""
+    """Guards against faults without effect and datagrams that reach the wrong sender."""
     with Harness() as harness:
         target = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         target.bind((HOST, 0))
@@ -139,7 +139,7 @@
 
 
 def test_compare_and_swap_has_one_winner():
-    """Guards against two writers that both believe they won."""
+    """Guards against two writers whose conditional writes both succeed."""
     with Harness() as harness:
         store, _ = start_store(harness, "--writes-per-s", 10_000)
         revision, value = 0, ""
@@ -168,7 +168,7 @@
 
 
 def test_lease_expiry_deletes_its_keys():
-    """Guards against keys that outlive their lease, or leases that renewal doesn't keep."""
+    """Guards against keys that outlive their lease, or leases that expire despite renewal."""
     with Harness() as harness:
         store, control = start_store(harness)
 
@@ -259,7 +259,7 @@
 
 
 def test_backend_server_sheds_falls_over_and_drains():
-    """Guards against a shed call that ran, and against a cold start that load can't break."""
+    """Guards against a shed call that ran, and against a cold server that no load overloads."""
     with Harness() as harness:
         listen, control, backend = start_backend(harness, "--service-ms", 50, "--slots", 2)
         load = harness.load("--target", listen, "--concurrency", 20, "--requests", 100)
@@ -295,7 +295,7 @@
 
 
 def test_bad_versions_deadline_cancellation_and_truncation():
-    """Guards against defects that a test sets but that callers never see."""
+    """Guards against configured defects that callers never observe."""
     with Harness() as harness:
         listen, control, _ = start_backend(harness, "--service-ms", 2, "--behaviour", "route_bad",
                                            "--behaviour-route", "/bad", "--behaviour-permille",
@@ -320,7 +320,8 @@
 
 
 def test_slow_versions_health_connections_and_pauses():
-    """Guards against a slow version that is fast, honest health, and limits that don't hold."""
+    """Guards against a slow version that answers fast, health that does not lag as configured,
+    and limits that are not enforced."""
     with Harness() as harness:
         listen, control, _ = start_backend(harness, "--service-ms", 10, "--slots", 8, "--behaviour",
                                            "slow_under_load", "--connections", 9, "--health",
@@ -344,7 +345,7 @@
         busy.request("GET", "/x")
         wait_until(lambda: get_json(control, "/control/executions")["running"] == 1)
         start = time.monotonic()
-        assert get_json(listen, "/healthz")["running"] == 0  # as it was before
+        assert get_json(listen, "/healthz")["running"] == 0  # the lagging health shows the earlier state
         assert time.monotonic() - start >= 0.006
         post_json(control, "/control", {"freeze_ms": 1500})
         start = time.monotonic()
--- a/tests/integration/stored_text_test.py
+++ b/tests/integration/stored_text_test.py
@@ -1,4 +1,4 @@
-"""The submitted and accepted texts in the store: packed, restored, and removed, under faults."""
+"""The submitted and accepted texts in the store: compressed, restored and removed under faults."""
 import json
 import random
 import time
@@ -33,7 +33,7 @@
 
 
 def put_raw(mesh, value):
-    """Writes a text as another tool does; writes it again when the answer was lost."""
+    """Writes an uncompressed text as another tool does, again if the answer was lost."""
     def put():
         return request(f"{HOST}:{mesh.store_port}", "PUT", "/v1/kv/caraway/text", value)[0] == 200
 
@@ -41,7 +41,7 @@
 
 
 def is_accepted_text(mesh, value):
-    """Whether the accepted text, restored from the store, says the same as the given one."""
+    """Returns whether the accepted text, restored from the store, is equivalent to the given one."""
     path = f"{mesh.dir}/expected.toml"
     with open(path, "w") as out:
         out.write(value)
@@ -50,7 +50,7 @@
 
 
 def restart_all(mesh):
-    """Restarts every node at once, so that the store alone has the text."""
+    """Restarts every node at once, so that only the store holds the text."""
     for name, instance in mesh.instances.items():
         if instance.node.running():
             instance.node.kill()
@@ -61,8 +61,8 @@
 
 def test_text_is_restored_at_every_distance_from_a_whole_one():
     """Guards against a version that no node can restore once all of them have restarted, against
-    values that are removed too soon or never, and against a raw text that is not judged or judged
-    by the difference of another text."""
+    values that are removed too soon or never, and against a raw text that is not checked or is
+    checked with the delta of another text."""
     with Mesh() as mesh:
         start_mesh(mesh)
         store = f"{HOST}:{mesh.store_port}"
@@ -72,7 +72,7 @@
             if version % 5 == 0:
                 late_delta = request(store, "GET", "/v1/kv/caraway/text-delta")[2]
                 put_raw(mesh, value)
-                # The former text's difference arrives late.
+                # The previous text's delta arrives late.
                 assert request(store, "PUT", "/v1/kv/caraway/text-delta", late_delta)[0] == 200
             else:
                 mesh.apply(value)
@@ -91,7 +91,8 @@
 def test_accepter_ends_between_two_writes():
     """Guards against a text that is lost, accepted in part or can't be restored when the accepter
     is killed, paused past its lease or cut off from the store between any two of its writes, while
-    answers are lost and raw texts come between. Store calls take 20 ms more, to hit each step."""
+    answers are lost and raw texts are written. Store calls take 20 ms more, so that faults hit
+    each step."""
     rng = random.Random(seed())
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 5)
