--- a/tests/integration/standins_test.py
+++ b/tests/integration/standins_test.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-ins themselves: a fault in them would hide or imitate a fault of the system."""
+"""Tests of the stand-ins: a fault in them could hide or imitate a fault of the system."""
 import http.client
 import json
 import socket
@@ -27,7 +27,7 @@
     return status, int(headers.get("x-revision", 0))
 
 
-def gives_no_answer(call):
+def fails_without_answer(call):
     try:
         call()
     except (OSError, http.client.HTTPException):
@@ -38,7 +38,7 @@
 def test_load_straight_to_a_backend_server():
     """Guards against a generator that loses or miscounts requests without any fault."""
     with Harness() as harness:
-        # Slots enough that a busy machine's stalls don't shed.
+        # Enough slots that stalls of a busy machine do not cause shedding.
         listen, control, backend = start_backend(harness, "--service-ms", 2, "--slots", 200)
         load = harness.load("--target", listen, "--path", "/a:3", "--path", "/b", "--rate", 1000,
                             "--duration-s", 1.5, "--body-bytes", 300, "--response-bytes", 5000)
@@ -79,7 +79,7 @@
 
 
 def test_proxy_delays_freezes_and_forwards_datagrams():
-    """Guards against faults that don't take effect or reach the wrong sender."""
+    """Guards against faults without effect and datagrams that reach the wrong sender."""
     with Harness() as harness:
         target = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         target.bind((HOST, 0))
@@ -88,10 +88,10 @@
         harness.start("fault_proxy", "--link", f"u=udp,{link},{HOST}:{target.getsockname()[1]}",
                       "--control", faults)
         senders = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(5)]
-        to = (HOST, int(link.split(":")[1]))
+        destination = (HOST, int(link.split(":")[1]))
         for i, sender in enumerate(senders):
             sender.settimeout(2)
-            sender.sendto(b"ping%d" % i, to)
+            sender.sendto(b"ping%d" % i, destination)
         for _ in senders:
             data, source = target.recvfrom(100)
             target.sendto(data.replace(b"ping", b"pong"), source)
@@ -99,20 +99,20 @@
             assert sender.recv(100) == b"pong%d" % i
         post_json(faults, "/control", {"link": "u", "delay_ms": 100})
         start = time.monotonic()
-        senders[0].sendto(b"late", to)
+        senders[0].sendto(b"late", destination)
         assert target.recv(100) == b"late" and time.monotonic() - start >= 0.1
         post_json(faults, "/control", {"link": "u", "delay_ms": 0, "freeze": True})
-        senders[0].sendto(b"held", to)
+        senders[0].sendto(b"held", destination)
         target.settimeout(0.1)
-        assert gives_no_answer(lambda: target.recv(100))
+        assert fails_without_answer(lambda: target.recv(100))
         post_json(faults, "/control", {"link": "u", "freeze": False})
         target.settimeout(2)
         assert target.recv(100) == b"held"
         post_json(faults, "/control", {"link": "u", "loss_permille": 1000})
-        senders[0].sendto(b"lost", to)
+        senders[0].sendto(b"lost", destination)
         wait_until(lambda: get_json(faults, "/control")["u"]["lost"] == 1)
-        for each in [target, *senders]:
-            each.close()
+        for open_socket in [target, *senders]:
+            open_socket.close()
 
 
 def test_proxy_limits_tcp():
@@ -133,13 +133,13 @@
         post_json(faults, "/control", {"link": "t", "delay_ms": 0, "bandwidth_kbps": 4000})
         assert 0.4 <= timed(200_000)
         post_json(faults, "/control", {"link": "t", "bandwidth_kbps": 0, "freeze": True})
-        assert gives_no_answer(lambda: request(link, "GET", "/x", timeout_s=0.2))
+        assert fails_without_answer(lambda: request(link, "GET", "/x", timeout_s=0.2))
         post_json(faults, "/control", {"link": "t", "freeze": False})
         assert timed(200_000) < 0.4
 
 
 def test_compare_and_swap_has_one_winner():
-    """Guards against two writers that both believe they won."""
+    """Guards against two writers whose conditional writes both succeed."""
     with Harness() as harness:
         store, _ = start_store(harness, "--writes-per-s", 10_000)
         revision, value = 0, ""
@@ -168,7 +168,7 @@
 
 
 def test_lease_expiry_deletes_its_keys():
-    """Guards against keys that outlive their lease, or leases that renewal doesn't keep."""
+    """Guards against keys that outlive their lease, or leases that expire despite renewal."""
     with Harness() as harness:
         store, control = start_store(harness)
 
@@ -200,7 +200,7 @@
     with Harness() as harness:
         store, control = start_store(harness, "--writes-per-s", 50)
         post_json(control, "/control", {"lose_answers_permille": 1000})
-        assert gives_no_answer(lambda: put(store, "k", "kept"))
+        assert fails_without_answer(lambda: put(store, "k", "kept"))
         post_json(control, "/control", {"lose_answers_permille": 0})
         assert request(store, "GET", "/v1/kv/k")[2] == b"kept"
 
@@ -208,13 +208,13 @@
         held.request("GET", "/v1/watch?prefix=k&after=1&wait_ms=5000")
         wait_until(lambda: get_json(control, "/control")["waiting_watches"] == 1)
         post_json(control, "/control", {"down": True})
-        assert gives_no_answer(held.getresponse)
-        assert gives_no_answer(lambda: request(store, "GET", "/v1/kv/k"))
+        assert fails_without_answer(held.getresponse)
+        assert fails_without_answer(lambda: request(store, "GET", "/v1/kv/k"))
         post_json(control, "/control", {"down": False})
         assert request(store, "GET", "/v1/kv/k")[0] == 200
 
         post_json(control, "/control", {"stall": True})
-        assert gives_no_answer(lambda: request(store, "GET", "/v1/kv/k", timeout_s=0.2))
+        assert fails_without_answer(lambda: request(store, "GET", "/v1/kv/k", timeout_s=0.2))
         waiting = http.client.HTTPConnection(store, timeout=5)
         waiting.request("GET", "/v1/kv/k")
         time.sleep(0.1)
@@ -259,7 +259,7 @@
 
 
 def test_backend_server_sheds_falls_over_and_drains():
-    """Guards against a shed call that ran, and against a cold start that load can't break."""
+    """Guards against a shed call that ran, and against a cold server that no load overloads."""
     with Harness() as harness:
         listen, control, backend = start_backend(harness, "--service-ms", 50, "--slots", 2)
         load = harness.load("--target", listen, "--concurrency", 20, "--requests", 100)
@@ -295,7 +295,7 @@
 
 
 def test_bad_versions_deadline_cancellation_and_truncation():
-    """Guards against defects that a test sets but that callers never see."""
+    """Guards against configured defects that callers never observe."""
     with Harness() as harness:
         listen, control, _ = start_backend(harness, "--service-ms", 2, "--behaviour", "route_bad",
                                            "--behaviour-route", "/bad", "--behaviour-permille",
@@ -307,7 +307,7 @@
         wait_until(lambda: request(listen, "GET", "/good")[0] == 500, 3)
         post_json(control, "/control", {"behaviour": "good", "service_ms": 1000})
         assert request(listen, "GET", "/x", headers={"x-caraway-deadline-ms": "50"})[0] == 504
-        assert gives_no_answer(lambda: request(listen, "GET", "/x", timeout_s=0.1))
+        assert fails_without_answer(lambda: request(listen, "GET", "/x", timeout_s=0.1))
         wait_until(lambda: get_json(control, "/control/executions")["cancelled"] == 1, 3)
         post_json(control, "/control", {"service_ms": 1, "truncate_permille": 1000})
         load = harness.load("--target", listen, "--concurrency", 1, "--requests", 5,
@@ -320,7 +320,8 @@
 
 
 def test_slow_versions_health_connections_and_pauses():
-    """Guards against a slow version that is fast, honest health, and limits that don't hold."""
+    """Guards against a slow version that answers fast, health that does not lag as configured,
+    and limits that are not enforced."""
     with Harness() as harness:
         listen, control, _ = start_backend(harness, "--service-ms", 10, "--slots", 8, "--behaviour",
                                            "slow_under_load", "--connections", 9, "--health",
@@ -334,9 +335,9 @@
         assert p50(8, "loaded") > 2 * p50(4, "light")
         held = [socket.create_connection((HOST, int(listen.split(":")[1]))) for _ in range(9)]
         wait_until(lambda: get_json(control, "/control/executions")["connections"] == 9)
-        assert gives_no_answer(lambda: request(listen, "GET", "/x"))
-        for each in held:
-            each.close()
+        assert fails_without_answer(lambda: request(listen, "GET", "/x"))
+        for connection in held:
+            connection.close()
         wait_until(lambda: get_json(control, "/control/executions")["connections"] == 0)
 
         post_json(control, "/control", {"service_ms": 1000, "behaviour": "good"})
@@ -344,7 +345,7 @@
         busy.request("GET", "/x")
         wait_until(lambda: get_json(control, "/control/executions")["running"] == 1)
         start = time.monotonic()
-        assert get_json(listen, "/healthz")["running"] == 0  # as it was before
+        assert get_json(listen, "/healthz")["running"] == 0  # the lagging health shows the earlier state
         assert time.monotonic() - start >= 0.006
         post_json(control, "/control", {"freeze_ms": 1500})
         start = time.monotonic()
