--- a/standins/common.cpp
+++ b/standins/common.cpp
@@ -22,7 +22,7 @@
 }
 
 // Stores one option's value; false if it isn't a number where one is needed.
-bool assign(const option_spec& option, const char* text) {
+bool store_option_value(const option_spec& option, const char* text) {
     if (auto* const* flag = std::get_if<bool*>(&option.m_value)) {
         **flag = true;
         return true;
@@ -60,13 +60,14 @@
 bool parse_command_line(int argc, const char** argv, std::span<const option_spec> options,
                         error& reason) {
     std::vector<poptOption> table;
-    std::deque<std::string> help; // popt keeps pointers, a deque keeps them valid
+    std::deque<std::string> help_texts; // popt keeps pointers, a deque keeps them valid
     for (std::size_t i = 0; i < options.size(); ++i) {
         const bool flag = std::holds_alternative<bool*>(options[i].m_value);
-        help.push_back(help_text(options[i]));
+        help_texts.push_back(help_text(options[i]));
         table.push_back({options[i].m_name, '\0',
                          static_cast<unsigned>(flag ? POPT_ARG_NONE : POPT_ARG_STRING), nullptr,
-                         static_cast<int>(i + 1), help.back().c_str(), flag ? nullptr : "VALUE"});
+                         static_cast<int>(i + 1), help_texts.back().c_str(),
+                         flag ? nullptr : "VALUE"});
     }
     table.push_back({nullptr, '\0', POPT_ARG_INCLUDE_TABLE, poptHelpOptions, 0, "Help:", nullptr});
     table.push_back({nullptr, '\0', 0, nullptr, 0, nullptr, nullptr});
@@ -76,7 +77,7 @@
     while ((index = poptGetNextOpt(context.get())) > 0) {
         const option_spec& option = options[static_cast<std::size_t>(index) - 1];
         const std::unique_ptr<char, void (*)(void*)> text(poptGetOptArg(context.get()), std::free);
-        if (!assign(option, text.get())) {
+        if (!store_option_value(option, text.get())) {
             fail(reason, error_kind::usage, fmt::format("--{}: bad value", option.m_name));
             return false;
         }
@@ -86,8 +87,8 @@
              fmt::format("{}: {}", poptBadOption(context.get(), 0), poptStrerror(index)));
         return false;
     }
-    if (const char* extra = poptGetArg(context.get())) {
-        fail(reason, error_kind::usage, fmt::format("unexpected argument {}", extra));
+    if (const char* unexpected_argument = poptGetArg(context.get())) {
+        fail(reason, error_kind::usage, fmt::format("unexpected argument {}", unexpected_argument));
         return false;
     }
     return true;
@@ -96,7 +97,7 @@
 void parse_command_line_or_exit(int argc, const char** argv, std::span<const option_spec> options) {
     error reason;
     if (!parse_command_line(argc, argv, options, reason)) {
-        exit_with(reason);
+        exit_with_error(reason);
     }
 }
 
@@ -119,12 +120,12 @@
     error reason;
     const auto endpoint = parse_endpoint(text, reason);
     if (!endpoint) {
-        exit_with(reason);
+        exit_with_error(reason);
     }
     return *endpoint;
 }
 
-void exit_with(const error& reason) {
+void exit_with_error(const error& reason) {
     const error_answer& answer = answer_for(reason.m_kind);
     log_line("error", "failed", {{"reason", answer.m_name}, {"text", reason.m_text}});
     std::exit(answer.m_exit_code);
@@ -139,11 +140,11 @@
     std::fwrite(text.data(), 1, text.size(), stderr);
 }
 
-void run_until_signal(boost::asio::io_context& context, std::function<void()> on_stop) {
+void run_until_signal(boost::asio::io_context& context, std::function<void()> on_signal) {
     boost::asio::signal_set signals(context, SIGTERM, SIGINT);
     signals.async_wait([&](boost::system::error_code ec, int) {
         if (!ec) {
-            on_stop();
+            on_signal();
         }
     });
     context.run();
--- a/standins/common.hpp
+++ b/standins/common.hpp
@@ -43,14 +43,15 @@
 boost::asio::ip::tcp::endpoint endpoint_or_exit(std::string_view text);
 
 // Prints the reason as a JSON line and exits with the exit code of its kind.
-[[noreturn]] void exit_with(const error& reason);
+[[noreturn]] void exit_with_error(const error& reason);
 
 // Writes one JSON line to standard error: time, level, event and the fields.
 void log_line(std::string_view level, std::string_view event, boost::json::object fields = {});
 
 // Runs the context until it is stopped, then exits the process with 0. On SIGTERM or SIGINT calls
 // on_stop, which stops the context when the program's work is finished. Does not return.
-[[noreturn]] void run_until_signal(boost::asio::io_context& context, std::function<void()> on_stop);
+[[noreturn]] void run_until_signal(boost::asio::io_context& context,
+                                   std::function<void()> on_signal);
 
 // Milliseconds since the Unix epoch, now.
 std::int64_t now_unix_ms();
--- a/standins/fault_proxy_main.cpp
+++ b/standins/fault_proxy_main.cpp
@@ -53,37 +53,38 @@
 };
 
 struct chunk {
-    time_point m_due;
+    time_point m_delivery_time;
     std::string m_bytes;
 };
 
 // One direction of a TCP connection: the reader queues chunks, the writer sends them when due.
-struct pump {
-    pump(asio::io_context& context, tcp::socket& from, tcp::socket& to)
-        : m_from(from), m_to(to), m_reader(context), m_writer(context) {}
+struct tcp_flow {
+    tcp_flow(asio::io_context& context, tcp::socket& from, tcp::socket& to)
+        : m_from(from), m_to(to), m_reader_timer(context), m_writer_timer(context) {}
 
     tcp::socket& m_from;
     tcp::socket& m_to;
     std::deque<chunk> m_queue;
     std::size_t m_queued_bytes = 0;
-    bool m_ended = false; // the source closed its side
-    std::optional<std::size_t> m_truncate_left;
-    asio::steady_timer m_reader;
-    asio::steady_timer m_writer;
+    bool m_source_ended = false; // the source closed its side
+    std::optional<std::size_t> m_bytes_until_truncation;
+    asio::steady_timer m_reader_timer;
+    asio::steady_timer m_writer_timer;
 };
 
 struct tcp_pair {
     tcp_pair(asio::io_context& context, tcp::socket client)
-        : m_client(std::move(client)), m_target(context), m_up(context, m_client, m_target),
-          m_down(context, m_target, m_client) {
+        : m_client(std::move(client)), m_target(context),
+          m_upstream_flow(context, m_client, m_target),
+          m_downstream_flow(context, m_target, m_client) {
         error_code ec;
         m_address = m_client.remote_endpoint(ec).address();
     }
 
     tcp::socket m_client;
     tcp::socket m_target;
-    pump m_up;
-    pump m_down;
+    tcp_flow m_upstream_flow;
+    tcp_flow m_downstream_flow;
     asio::ip::address m_address; // of the client
     bool m_closed = false;
 };
@@ -95,7 +96,7 @@
 
     udp::endpoint m_client;
     udp::socket m_upstream;
-    time_point m_used;
+    time_point m_last_used;
 };
 
 struct network_link {
@@ -104,7 +105,7 @@
 
     asio::io_context& m_context;
     std::string m_name;
-    bool m_udp = false;
+    bool m_is_udp = false;
     tcp::endpoint m_listen; // also the UDP address
     tcp::endpoint m_target;
     link_faults m_faults;
@@ -113,45 +114,46 @@
     std::list<std::shared_ptr<tcp_pair>> m_pairs;
     udp::socket m_socket;
     std::map<udp::endpoint, std::shared_ptr<udp_sender>> m_senders;
-    std::deque<std::function<void()>> m_held;
-    std::array<time_point, 2> m_line_free{}; // when the last byte leaves at the limited bandwidth
+    std::deque<std::function<void()>> m_held_datagrams;
+    std::array<time_point, 2>
+        m_line_free_at{}; // when the last byte leaves at the limited bandwidth
     std::array<std::uint64_t, 2> m_bytes{};
     std::array<std::uint64_t, 2> m_datagrams{};
     std::uint64_t m_connections = 0;
     std::uint64_t m_resets = 0;
-    std::uint64_t m_lost = 0;
+    std::uint64_t m_lost_datagrams = 0;
     std::uint64_t m_truncated = 0;
 };
 
 // When bytes that arrive now reach the other end, with bandwidth and delay.
-time_point due_time(network_link& l, direction way, std::size_t bytes) {
+time_point delivery_time(network_link& link, direction flow_direction, std::size_t bytes) {
     const time_point now = steady_clock::now();
-    if (l.m_faults.m_bandwidth_kbps == 0) {
-        return now + l.m_faults.m_delay;
+    if (link.m_faults.m_bandwidth_kbps == 0) {
+        return now + link.m_faults.m_delay;
     }
-    time_point& line_free = l.m_line_free[way];
-    line_free = std::max(now, line_free) +
-                std::chrono::microseconds(bytes * 8 * 1000 / l.m_faults.m_bandwidth_kbps);
-    return line_free + l.m_faults.m_delay;
+    time_point& line_free_at = link.m_line_free_at[flow_direction];
+    line_free_at = std::max(now, line_free_at) +
+                   std::chrono::microseconds(bytes * 8 * 1000 / link.m_faults.m_bandwidth_kbps);
+    return line_free_at + link.m_faults.m_delay;
 }
 
-bool loses(network_link& l) {
-    return l.m_random.below(1000) < l.m_faults.m_loss_permille;
+bool draw_loss(network_link& link) {
+    return link.m_random.below(1000) < link.m_faults.m_loss_permille;
 }
 
-bool is_cut_off(const network_link& l, const asio::ip::address& client) {
-    return l.m_faults.m_cut || l.m_faults.m_cut_sources.contains(client);
+bool is_cut_off(const network_link& link, const asio::ip::address& client) {
+    return link.m_faults.m_cut || link.m_faults.m_cut_sources.contains(client);
 }
 
-void wake(tcp_pair& pair) {
-    for (pump* p : {&pair.m_up, &pair.m_down}) {
-        p->m_reader.cancel();
-        p->m_writer.cancel();
+void wake_flows(tcp_pair& pair) {
+    for (tcp_flow* flow : {&pair.m_upstream_flow, &pair.m_downstream_flow}) {
+        flow->m_reader_timer.cancel();
+        flow->m_writer_timer.cancel();
     }
 }
 
 // Ends a connection: by reset, so that both ends see an error, or in order.
-void close(tcp_pair& pair, bool by_reset) {
+void close_pair(tcp_pair& pair, bool by_reset) {
     if (pair.m_closed) {
         return;
     }
@@ -163,229 +165,239 @@
         }
         socket->close(ec);
     }
-    wake(pair);
+    wake_flows(pair);
 }
 
-void wait(asio::steady_timer& timer, time_point until, asio::yield_context yield) {
+void wait_until(asio::steady_timer& timer, time_point deadline, asio::yield_context yield) {
     error_code ec;
-    timer.expires_at(until);
+    timer.expires_at(deadline);
     timer.async_wait(yield[ec]);
 }
 
 // Reads one direction until its end and queues the chunks with the time at which they are due.
-void read_loop(network_link& l, tcp_pair& pair, pump& p, direction way, asio::yield_context yield) {
+void read_loop(network_link& link, tcp_pair& pair, tcp_flow& flow, direction flow_direction,
+               asio::yield_context yield) {
     std::string buffer(chunk_bytes, '\0');
     while (!pair.m_closed) {
-        if (p.m_queued_bytes >= max_queued_bytes) {
-            wait(p.m_reader, time_point::max(), yield);
+        if (flow.m_queued_bytes >= max_queued_bytes) {
+            wait_until(flow.m_reader_timer, time_point::max(), yield);
             continue;
         }
         error_code ec;
-        const std::size_t got = p.m_from.async_read_some(asio::buffer(buffer), yield[ec]);
+        const std::size_t received_bytes =
+            flow.m_from.async_read_some(asio::buffer(buffer), yield[ec]);
         if (pair.m_closed) {
             return;
         }
         if (ec && ec != asio::error::eof) {
-            close(pair, true);
+            close_pair(pair, true);
             return;
         }
         if (ec) {
-            p.m_ended = true;
-            p.m_writer.cancel();
+            flow.m_source_ended = true;
+            flow.m_writer_timer.cancel();
             return;
         }
-        if (loses(l)) {
-            ++l.m_resets;
-            close(pair, true);
+        if (draw_loss(link)) {
+            ++link.m_resets;
+            close_pair(pair, true);
             return;
         }
-        p.m_queue.push_back({due_time(l, way, got), buffer.substr(0, got)});
-        p.m_queued_bytes += got;
-        p.m_writer.cancel();
+        flow.m_queue.push_back({delivery_time(link, flow_direction, received_bytes),
+                                buffer.substr(0, received_bytes)});
+        flow.m_queued_bytes += received_bytes;
+        flow.m_writer_timer.cancel();
     }
 }
 
 // Limits a chunk of an answer that is to be truncated. Returns true when the answer ends with it.
-bool truncate(network_link& l, pump& p, std::string& bytes) {
-    if (l.m_faults.m_truncate_after && !p.m_truncate_left) {
-        p.m_truncate_left = std::exchange(l.m_faults.m_truncate_after, std::nullopt);
+bool truncate(network_link& link, tcp_flow& flow, std::string& bytes) {
+    if (link.m_faults.m_truncate_after && !flow.m_bytes_until_truncation) {
+        flow.m_bytes_until_truncation = std::exchange(link.m_faults.m_truncate_after, std::nullopt);
     }
-    if (!p.m_truncate_left) {
+    if (!flow.m_bytes_until_truncation) {
         return false;
     }
-    if (bytes.size() < *p.m_truncate_left) {
-        *p.m_truncate_left -= bytes.size();
+    if (bytes.size() < *flow.m_bytes_until_truncation) {
+        *flow.m_bytes_until_truncation -= bytes.size();
         return false;
     }
-    bytes.resize(*p.m_truncate_left);
+    bytes.resize(*flow.m_bytes_until_truncation);
     return true;
 }
 
 // Sends the queued chunks of one direction when they are due and the link isn't frozen.
-void write_loop(network_link& l, tcp_pair& pair, pump& p, direction way,
+void write_loop(network_link& link, tcp_pair& pair, tcp_flow& flow, direction flow_direction,
                 asio::yield_context yield) {
     while (!pair.m_closed) {
-        if (l.m_faults.m_freeze || (p.m_queue.empty() && !p.m_ended)) {
-            wait(p.m_writer, time_point::max(), yield);
+        if (link.m_faults.m_freeze || (flow.m_queue.empty() && !flow.m_source_ended)) {
+            wait_until(flow.m_writer_timer, time_point::max(), yield);
             continue;
         }
         error_code ec;
-        if (p.m_queue.empty()) {
-            p.m_to.shutdown(tcp::socket::shutdown_send, ec);
-            if (pair.m_up.m_ended && pair.m_down.m_ended && pair.m_up.m_queue.empty() &&
-                pair.m_down.m_queue.empty()) {
-                close(pair, false);
+        if (flow.m_queue.empty()) {
+            flow.m_to.shutdown(tcp::socket::shutdown_send, ec);
+            if (pair.m_upstream_flow.m_source_ended && pair.m_downstream_flow.m_source_ended &&
+                pair.m_upstream_flow.m_queue.empty() && pair.m_downstream_flow.m_queue.empty()) {
+                close_pair(pair, false);
             }
             return;
         }
-        if (p.m_queue.front().m_due > steady_clock::now()) {
-            wait(p.m_writer, p.m_queue.front().m_due, yield);
+        if (flow.m_queue.front().m_delivery_time > steady_clock::now()) {
+            wait_until(flow.m_writer_timer, flow.m_queue.front().m_delivery_time, yield);
             continue;
         }
-        chunk next = std::move(p.m_queue.front());
-        p.m_queue.pop_front();
-        p.m_queued_bytes -= next.m_bytes.size();
-        p.m_reader.cancel();
-        const bool last = way == to_client && truncate(l, p, next.m_bytes);
-        l.m_bytes[way] += asio::async_write(p.m_to, asio::buffer(next.m_bytes), yield[ec]);
-        if (last) {
-            ++l.m_truncated;
+        chunk next = std::move(flow.m_queue.front());
+        flow.m_queue.pop_front();
+        flow.m_queued_bytes -= next.m_bytes.size();
+        flow.m_reader_timer.cancel();
+        const bool truncated = flow_direction == to_client && truncate(link, flow, next.m_bytes);
+        link.m_bytes[flow_direction] +=
+            asio::async_write(flow.m_to, asio::buffer(next.m_bytes), yield[ec]);
+        if (truncated) {
+            ++link.m_truncated;
         }
-        if (ec || last) {
-            close(pair, !last);
+        if (ec || truncated) {
+            close_pair(pair, !truncated);
             return;
         }
     }
 }
 
 // Connects to the target and runs both directions of a connection.
-void run_pair(network_link& l, const std::shared_ptr<tcp_pair>& pair, asio::yield_context yield) {
+void run_pair(network_link& link, const std::shared_ptr<tcp_pair>& pair,
+              asio::yield_context yield) {
     error_code ec;
-    l.m_pairs.push_back(pair);
-    const auto place = std::prev(l.m_pairs.end());
-    pair->m_target.async_connect(l.m_target, yield[ec]);
+    link.m_pairs.push_back(pair);
+    const auto position = std::prev(link.m_pairs.end());
+    pair->m_target.async_connect(link.m_target, yield[ec]);
     if (ec) {
-        close(*pair, true);
-        l.m_pairs.erase(place);
+        close_pair(*pair, true);
+        link.m_pairs.erase(position);
         return;
     }
     pair->m_client.set_option(tcp::no_delay(true), ec);
     pair->m_target.set_option(tcp::no_delay(true), ec);
     // The place in the list is given back when the last of the four loops has ended.
-    const std::shared_ptr<void> ended(nullptr, [&l, place](void*) { l.m_pairs.erase(place); });
-    const auto run = [&](auto loop, pump& p, direction way) {
+    const std::shared_ptr<void> erase_on_end(
+        nullptr, [&link, position](void*) { link.m_pairs.erase(position); });
+    const auto spawn_loop = [&](auto loop, tcp_flow& flow, direction flow_direction) {
         asio::spawn(
-            l.m_context,
-            [&l, pair, &p, way, ended, loop](asio::yield_context inner) {
-                loop(l, *pair, p, way, inner);
+            link.m_context,
+            [&link, pair, &flow, flow_direction, erase_on_end,
+             loop](asio::yield_context inner_yield) {
+                loop(link, *pair, flow, flow_direction, inner_yield);
             },
             asio::detached);
     };
-    run(read_loop, pair->m_up, to_target);
-    run(write_loop, pair->m_up, to_target);
-    run(read_loop, pair->m_down, to_client);
-    run(write_loop, pair->m_down, to_client);
+    spawn_loop(read_loop, pair->m_upstream_flow, to_target);
+    spawn_loop(write_loop, pair->m_upstream_flow, to_target);
+    spawn_loop(read_loop, pair->m_downstream_flow, to_client);
+    spawn_loop(write_loop, pair->m_downstream_flow, to_client);
 }
 
-void accept_loop(network_link& l, asio::yield_context yield) {
-    while (l.m_acceptor.is_open()) {
+void accept_loop(network_link& link, asio::yield_context yield) {
+    while (link.m_acceptor.is_open()) {
         error_code ec;
-        tcp::socket socket(l.m_context);
-        l.m_acceptor.async_accept(socket, yield[ec]);
+        tcp::socket socket(link.m_context);
+        link.m_acceptor.async_accept(socket, yield[ec]);
         if (ec == asio::error::operation_aborted) {
             return;
         }
         if (ec) {
-            asio::steady_timer timer(l.m_context);
-            wait(timer, steady_clock::now() + milliseconds(10), yield); // out of descriptors
+            asio::steady_timer timer(link.m_context);
+            wait_until(timer, steady_clock::now() + milliseconds(10), yield); // out of descriptors
             continue;
         }
-        if (is_cut_off(l, socket.remote_endpoint(ec).address())) {
+        if (is_cut_off(link, socket.remote_endpoint(ec).address())) {
             socket.set_option(asio::socket_base::linger(true, 0), ec); // resets the connection
-            ++l.m_resets;
+            ++link.m_resets;
             continue;
         }
-        ++l.m_connections;
-        auto pair = std::make_shared<tcp_pair>(l.m_context, std::move(socket));
+        ++link.m_connections;
+        auto pair = std::make_shared<tcp_pair>(link.m_context, std::move(socket));
         asio::spawn(
-            l.m_context, [&l, pair](asio::yield_context inner) { run_pair(l, pair, inner); },
+            link.m_context,
+            [&link, pair](asio::yield_context inner_yield) { run_pair(link, pair, inner_yield); },
             asio::detached);
     }
 }
 
 // Opens the listening socket of a TCP link and starts to accept.
-error_code open_tcp(network_link& l) {
+error_code open_tcp(network_link& link) {
     error_code ec;
-    l.m_acceptor.open(l.m_listen.protocol(), ec);
-    l.m_acceptor.set_option(tcp::acceptor::reuse_address(true), ec);
-    l.m_acceptor.bind(l.m_listen, ec);
+    link.m_acceptor.open(link.m_listen.protocol(), ec);
+    link.m_acceptor.set_option(tcp::acceptor::reuse_address(true), ec);
+    link.m_acceptor.bind(link.m_listen, ec);
     if (!ec) {
-        l.m_acceptor.listen(asio::socket_base::max_listen_connections, ec);
+        link.m_acceptor.listen(asio::socket_base::max_listen_connections, ec);
     }
     if (!ec) {
         asio::spawn(
-            l.m_context, [&l](asio::yield_context yield) { accept_loop(l, yield); },
+            link.m_context, [&link](asio::yield_context yield) { accept_loop(link, yield); },
             asio::detached);
     }
     return ec;
 }
 
 // Delivers a datagram after the link's delay, holds it while the link is frozen, or loses it.
-void forward(network_link& l, direction way, const asio::ip::address& client, std::size_t bytes,
-             std::function<void()> deliver) {
-    if (is_cut_off(l, client) || loses(l)) {
-        ++l.m_lost;
+void forward_datagram(network_link& link, direction flow_direction, const asio::ip::address& client,
+                      std::size_t bytes, std::function<void()> deliver) {
+    if (is_cut_off(link, client) || draw_loss(link)) {
+        ++link.m_lost_datagrams;
         return;
     }
-    const auto arrive = [&l, way, bytes, deliver = std::move(deliver)] {
-        if (!l.m_faults.m_freeze) {
-            l.m_bytes[way] += bytes;
-            ++l.m_datagrams[way];
+    const auto deliver_or_hold = [&link, flow_direction, bytes, deliver = std::move(deliver)] {
+        if (!link.m_faults.m_freeze) {
+            link.m_bytes[flow_direction] += bytes;
+            ++link.m_datagrams[flow_direction];
             deliver();
-        } else if (l.m_held.size() < max_held_datagrams) {
-            l.m_held.push_back(deliver);
+        } else if (link.m_held_datagrams.size() < max_held_datagrams) {
+            link.m_held_datagrams.push_back(deliver);
         } else {
-            ++l.m_lost;
+            ++link.m_lost_datagrams;
         }
     };
-    if (l.m_faults.m_delay.count() == 0 && l.m_faults.m_bandwidth_kbps == 0) {
-        arrive();
+    if (link.m_faults.m_delay.count() == 0 && link.m_faults.m_bandwidth_kbps == 0) {
+        deliver_or_hold();
         return;
     }
-    auto timer = std::make_shared<asio::steady_timer>(l.m_context, due_time(l, way, bytes));
-    timer->async_wait([timer, arrive](error_code) { arrive(); });
+    auto timer = std::make_shared<asio::steady_timer>(link.m_context,
+                                                      delivery_time(link, flow_direction, bytes));
+    timer->async_wait([timer, deliver_or_hold](error_code) { deliver_or_hold(); });
 }
 
 // Passes the target's datagrams back to one sender, until its socket is closed.
-void answer_loop(network_link& l, const std::shared_ptr<udp_sender>& sender,
-                 asio::yield_context yield) {
+void reply_loop(network_link& link, const std::shared_ptr<udp_sender>& sender,
+                asio::yield_context yield) {
     std::string buffer(datagram_bytes, '\0');
     while (sender->m_upstream.is_open()) {
         error_code ec;
-        const std::size_t got = sender->m_upstream.async_receive(asio::buffer(buffer), yield[ec]);
+        const std::size_t received_bytes =
+            sender->m_upstream.async_receive(asio::buffer(buffer), yield[ec]);
         if (ec == asio::error::operation_aborted) {
             return;
         }
         if (ec) {
             continue; // the target's port is closed: ICMP error of an earlier datagram
         }
-        if (got == datagram_bytes) {
-            ++l.m_lost;
+        if (received_bytes == datagram_bytes) {
+            ++link.m_lost_datagrams;
             continue;
         }
-        forward(l, to_client, sender->m_client.address(), got,
-                [&l, to = sender->m_client, bytes = buffer.substr(0, got)] {
-                    error_code ignored;
-                    l.m_socket.send_to(asio::buffer(bytes), to, 0, ignored);
-                });
+        forward_datagram(link, to_client, sender->m_client.address(), received_bytes,
+                         [&link, to = sender->m_client, bytes = buffer.substr(0, received_bytes)] {
+                             error_code ignored;
+                             link.m_socket.send_to(asio::buffer(bytes), to, 0, ignored);
+                         });
     }
 }
 
 // Closes the sockets of senders that have been idle.
-void forget_idle_senders(network_link& l) {
-    const time_point oldest = steady_clock::now() - udp_sender_idle;
-    std::erase_if(l.m_senders, [&](const auto& item) {
-        if (item.second->m_used >= oldest) {
+void close_idle_senders(network_link& link) {
+    const time_point idle_cutoff = steady_clock::now() - udp_sender_idle;
+    std::erase_if(link.m_senders, [&](const auto& item) {
+        if (item.second->m_last_used >= idle_cutoff) {
             return false;
         }
         error_code ec;
@@ -395,58 +407,60 @@
 }
 
 // Returns the sender's own socket towards the target, opened when needed; null if it can't be.
-std::shared_ptr<udp_sender> sender_for(network_link& l, const udp::endpoint& client) {
-    const auto found = l.m_senders.find(client);
-    if (found != l.m_senders.end()) {
-        found->second->m_used = steady_clock::now();
+std::shared_ptr<udp_sender> sender_for(network_link& link, const udp::endpoint& client) {
+    const auto found = link.m_senders.find(client);
+    if (found != link.m_senders.end()) {
+        found->second->m_last_used = steady_clock::now();
         return found->second;
     }
-    forget_idle_senders(l);
-    auto sender = std::make_shared<udp_sender>(l.m_context, client);
+    close_idle_senders(link);
+    auto sender = std::make_shared<udp_sender>(link.m_context, client);
     error_code ec;
-    sender->m_upstream.connect(udp::endpoint(l.m_target.address(), l.m_target.port()), ec);
-    if (ec || l.m_senders.size() >= max_udp_senders) {
+    sender->m_upstream.connect(udp::endpoint(link.m_target.address(), link.m_target.port()), ec);
+    if (ec || link.m_senders.size() >= max_udp_senders) {
         return nullptr;
     }
     sender->m_upstream.non_blocking(true, ec);
-    sender->m_used = steady_clock::now();
-    l.m_senders.emplace(client, sender);
+    sender->m_last_used = steady_clock::now();
+    link.m_senders.emplace(client, sender);
     asio::spawn(
-        l.m_context, [&l, sender](asio::yield_context yield) { answer_loop(l, sender, yield); },
+        link.m_context,
+        [&link, sender](asio::yield_context yield) { reply_loop(link, sender, yield); },
         asio::detached);
     return sender;
 }
 
-void datagram_loop(network_link& l, asio::yield_context yield) {
+void datagram_loop(network_link& link, asio::yield_context yield) {
     std::string buffer(datagram_bytes, '\0');
     for (;;) {
         error_code ec;
         udp::endpoint client;
-        const std::size_t got =
-            l.m_socket.async_receive_from(asio::buffer(buffer), client, yield[ec]);
+        const std::size_t received_bytes =
+            link.m_socket.async_receive_from(asio::buffer(buffer), client, yield[ec]);
         if (ec) {
             continue; // ICMP error of an earlier datagram
         }
-        const auto sender = sender_for(l, client);
-        if (sender == nullptr || got == datagram_bytes) {
-            ++l.m_lost;
+        const auto sender = sender_for(link, client);
+        if (sender == nullptr || received_bytes == datagram_bytes) {
+            ++link.m_lost_datagrams;
             continue;
         }
-        forward(l, to_target, client.address(), got, [sender, bytes = buffer.substr(0, got)] {
-            error_code ignored;
-            sender->m_upstream.send(asio::buffer(bytes), 0, ignored);
-        });
+        forward_datagram(link, to_target, client.address(), received_bytes,
+                         [sender, bytes = buffer.substr(0, received_bytes)] {
+                             error_code ignored;
+                             sender->m_upstream.send(asio::buffer(bytes), 0, ignored);
+                         });
     }
 }
 
-error_code open_udp(network_link& l) {
+error_code open_udp(network_link& link) {
     error_code ec;
-    l.m_socket.open(l.m_listen.address().is_v4() ? udp::v4() : udp::v6(), ec);
-    l.m_socket.bind(udp::endpoint(l.m_listen.address(), l.m_listen.port()), ec);
+    link.m_socket.open(link.m_listen.address().is_v4() ? udp::v4() : udp::v6(), ec);
+    link.m_socket.bind(udp::endpoint(link.m_listen.address(), link.m_listen.port()), ec);
     if (!ec) {
-        l.m_socket.non_blocking(true, ec);
+        link.m_socket.non_blocking(true, ec);
         asio::spawn(
-            l.m_context, [&l](asio::yield_context yield) { datagram_loop(l, yield); },
+            link.m_context, [&link](asio::yield_context yield) { datagram_loop(link, yield); },
             asio::detached);
     }
     return ec;
@@ -456,46 +470,48 @@
 std::unique_ptr<network_link> open_link_or_exit(asio::io_context& context,
                                                 const std::string& text) {
     const std::size_t equals = text.find('=');
-    const std::size_t first = text.find(',', equals);
-    const std::size_t second = text.find(',', first + 1);
-    if (equals == std::string::npos || first == std::string::npos || second == std::string::npos) {
-        exit_with({error_kind::usage, "'" + text + "' is not NAME=tcp|udp,LISTEN,TARGET"});
+    const std::size_t first_comma = text.find(',', equals);
+    const std::size_t second_comma = text.find(',', first_comma + 1);
+    if (equals == std::string::npos || first_comma == std::string::npos ||
+        second_comma == std::string::npos) {
+        exit_with_error({error_kind::usage, "'" + text + "' is not NAME=tcp|udp,LISTEN,TARGET"});
     }
-    const std::string protocol = text.substr(equals + 1, first - equals - 1);
+    const std::string protocol = text.substr(equals + 1, first_comma - equals - 1);
     if (protocol != "tcp" && protocol != "udp") {
-        exit_with({error_kind::usage, "'" + protocol + "' is neither tcp nor udp"});
+        exit_with_error({error_kind::usage, "'" + protocol + "' is neither tcp nor udp"});
     }
     auto opened = std::make_unique<network_link>(context);
     opened->m_name = text.substr(0, equals);
-    opened->m_udp = protocol == "udp";
-    opened->m_listen = endpoint_or_exit(text.substr(first + 1, second - first - 1));
-    opened->m_target = endpoint_or_exit(text.substr(second + 1));
-    if (const error_code ec = opened->m_udp ? open_udp(*opened) : open_tcp(*opened)) {
-        exit_with({error_kind::invalid_settings, opened->m_name + ": " + ec.message()});
+    opened->m_is_udp = protocol == "udp";
+    opened->m_listen =
+        endpoint_or_exit(text.substr(first_comma + 1, second_comma - first_comma - 1));
+    opened->m_target = endpoint_or_exit(text.substr(second_comma + 1));
+    if (const error_code ec = opened->m_is_udp ? open_udp(*opened) : open_tcp(*opened)) {
+        exit_with_error({error_kind::invalid_settings, opened->m_name + ": " + ec.message()});
     }
     return opened;
 }
 
 // Brings sockets and waiting bytes in line with changed faults. Returns false if the listening
 // socket can't be opened again.
-bool faults_changed(network_link& l) {
-    if (!l.m_udp && l.m_faults.m_cut) {
+bool apply_faults(network_link& link) {
+    if (!link.m_is_udp && link.m_faults.m_cut) {
         error_code ec;
-        l.m_acceptor.close(ec);
-    } else if (!l.m_udp && !l.m_acceptor.is_open() && open_tcp(l)) {
+        link.m_acceptor.close(ec);
+    } else if (!link.m_is_udp && !link.m_acceptor.is_open() && open_tcp(link)) {
         return false;
     }
-    for (const auto& pair : l.m_pairs) {
-        if (!l.m_udp && !pair->m_closed && is_cut_off(l, pair->m_address)) {
-            ++l.m_resets;
-            close(*pair, true);
+    for (const auto& pair : link.m_pairs) {
+        if (!link.m_is_udp && !pair->m_closed && is_cut_off(link, pair->m_address)) {
+            ++link.m_resets;
+            close_pair(*pair, true);
         }
     }
-    if (!l.m_faults.m_freeze) {
-        for (const auto& pair : l.m_pairs) {
-            wake(*pair);
+    if (!link.m_faults.m_freeze) {
+        for (const auto& pair : link.m_pairs) {
+            wake_flows(*pair);
         }
-        for (const auto& deliver : std::exchange(l.m_held, {})) {
+        for (const auto& deliver : std::exchange(link.m_held_datagrams, {})) {
             deliver();
         }
     }
@@ -503,15 +519,15 @@
 }
 
 // Reads an array of IP addresses. Returns false on any other value.
-bool read_addresses(const json::value& value, std::set<asio::ip::address>& result) {
+bool parse_addresses(const json::value& value, std::set<asio::ip::address>& result) {
     if (!value.is_array()) {
         return false;
     }
     result.clear();
-    for (const json::value& each : value.get_array()) {
+    for (const json::value& element : value.get_array()) {
         error_code ec;
         const auto address =
-            asio::ip::make_address(each.is_string() ? each.get_string().c_str() : "", ec);
+            asio::ip::make_address(element.is_string() ? element.get_string().c_str() : "", ec);
         if (ec) {
             return false;
         }
@@ -521,13 +537,13 @@
 }
 
 // Applies one named fault. Returns false for an unknown name or a wrong type.
-bool apply(link_faults& faults, std::string_view key, const json::value& value) {
+bool set_fault(link_faults& faults, std::string_view key, const json::value& value) {
     if (value.is_bool() && (key == "cut" || key == "freeze")) {
         (key == "cut" ? faults.m_cut : faults.m_freeze) = value.get_bool();
         return true;
     }
     if (key == "cut_sources") {
-        return read_addresses(value, faults.m_cut_sources);
+        return parse_addresses(value, faults.m_cut_sources);
     }
     if (!value.is_int64() || value.get_int64() < 0) {
         return false;
@@ -547,30 +563,31 @@
     return true;
 }
 
-bool matches(const std::string& pattern, const std::string& name) {
+bool matches_pattern(const std::string& pattern, const std::string& name) {
     return pattern.ends_with('*') ? name.starts_with(pattern.substr(0, pattern.size() - 1))
                                   : name == pattern;
 }
 
-json::object status(const std::vector<std::unique_ptr<network_link>>& links) {
-    json::object all;
-    for (const auto& l : links) {
-        all[l->m_name] = {{"bytes_to_target", l->m_bytes[to_target]},
-                          {"bytes_to_client", l->m_bytes[to_client]},
-                          {"datagrams_to_target", l->m_datagrams[to_target]},
-                          {"datagrams_to_client", l->m_datagrams[to_client]},
-                          {"connections", l->m_connections},
-                          {"open_connections", l->m_pairs.size()},
-                          {"resets", l->m_resets},
-                          {"lost", l->m_lost},
-                          {"truncated", l->m_truncated}};
-    }
-    return all;
+json::object status_report(const std::vector<std::unique_ptr<network_link>>& links) {
+    json::object report;
+    for (const auto& link : links) {
+        report[link->m_name] = {{"bytes_to_target", link->m_bytes[to_target]},
+                                {"bytes_to_client", link->m_bytes[to_client]},
+                                {"datagrams_to_target", link->m_datagrams[to_target]},
+                                {"datagrams_to_client", link->m_datagrams[to_client]},
+                                {"connections", link->m_connections},
+                                {"open_connections", link->m_pairs.size()},
+                                {"resets", link->m_resets},
+                                {"lost", link->m_lost_datagrams},
+                                {"truncated", link->m_truncated}};
+    }
+    return report;
 }
 
-http_answer control(std::vector<std::unique_ptr<network_link>>& links, const http_call& call) {
+http_answer handle_control(std::vector<std::unique_ptr<network_link>>& links,
+                           const http_call& call) {
     if (call.m_method != "POST") {
-        return json_answer(status(links));
+        return json_answer(status_report(links));
     }
     json::error_code ec;
     const json::value body = json::parse(call.m_body, ec);
@@ -580,17 +597,17 @@
         return json_answer(json::object{{"error", "bad control request"}}, 400);
     }
     std::uint64_t matched = 0;
-    for (const auto& l : links) {
-        if (!matches(std::string(pattern->get_string()), l->m_name)) {
+    for (const auto& link : links) {
+        if (!matches_pattern(std::string(pattern->get_string()), link->m_name)) {
             continue;
         }
         ++matched;
         for (const auto& [key, value] : body.as_object()) {
-            if (key != "link" && !apply(l->m_faults, key, value)) {
+            if (key != "link" && !set_fault(link->m_faults, key, value)) {
                 return json_answer(json::object{{"unknown", key}}, 400);
             }
         }
-        if (!faults_changed(*l)) {
+        if (!apply_faults(*link)) {
             return json_answer(json::object{{"error", "can't listen again"}}, 500);
         }
     }
@@ -603,23 +620,24 @@
 int main(int argc, const char** argv) {
     using namespace caraway::standins;
     std::string control_address;
-    std::vector<std::string> names;
+    std::vector<std::string> link_specs;
     parse_command_line_or_exit(
         argc, argv,
         std::vector<option_spec>{
-            {"link", &names, "NAME=tcp|udp,LISTEN_IP:PORT,TARGET_IP:PORT, repeated"},
+            {"link", &link_specs, "NAME=tcp|udp,LISTEN_IP:PORT,TARGET_IP:PORT, repeated"},
             {"control", &control_address, "IP:PORT for faults and counts"}});
     boost::asio::io_context context(1);
     std::vector<std::unique_ptr<network_link>> links;
-    links.reserve(names.size());
-    for (const std::string& name : names) {
+    links.reserve(link_specs.size());
+    for (const std::string& name : link_specs) {
         links.push_back(open_link_or_exit(context, name));
     }
     std::unique_ptr<http_server> control_server;
     if (!control_address.empty()) {
-        control_server = start_server_or_exit(
-            context, endpoint_or_exit(control_address), {},
-            [&](http_call& call, boost::asio::yield_context) { return control(links, call); });
+        control_server = start_server_or_exit(context, endpoint_or_exit(control_address), {},
+                                              [&](http_call& call, boost::asio::yield_context) {
+                                                  return handle_control(links, call);
+                                              });
     }
     log_line("info", "listening", {{"program", "fault_proxy"}, {"links", links.size()}});
     run_until_signal(context, [&] { context.stop(); });
--- a/standins/http_client.cpp
+++ b/standins/http_client.cpp
@@ -22,10 +22,10 @@
 };
 
 // Tells whether an idle connection is still open with nothing to read.
-bool still_open(connection& idle) {
+bool is_reusable(connection& idle_connection) {
     char byte = 0;
     error_code ec;
-    idle.m_stream.socket().receive(asio::buffer(&byte, 1), MSG_PEEK, ec);
+    idle_connection.m_stream.socket().receive(asio::buffer(&byte, 1), MSG_PEEK, ec);
     return ec == asio::error::would_block;
 }
 
@@ -40,12 +40,12 @@
     std::vector<std::shared_ptr<connection>> m_idle;
 
     // Returns an idle connection, or null when a new one is needed.
-    std::shared_ptr<connection> take_idle() {
+    std::shared_ptr<connection> take_idle_connection() {
         while (!m_idle.empty()) {
-            auto idle = std::move(m_idle.back());
+            auto idle_connection = std::move(m_idle.back());
             m_idle.pop_back();
-            if (still_open(*idle)) {
-                return idle;
+            if (is_reusable(*idle_connection)) {
+                return idle_connection;
             }
         }
         return nullptr;
@@ -56,55 +56,57 @@
     : m_impl(std::make_unique<impl>(context, endpoint)) {}
 http_client::~http_client() = default;
 
-exchange_end http_client::exchange(const client_request& request, client_answer& answer,
-                                   time_point until, asio::yield_context yield,
-                                   std::function<void()>* cancel) {
+exchange_result http_client::exchange(const client_request& request, client_answer& answer,
+                                      time_point deadline, asio::yield_context yield,
+                                      std::function<void()>* cancel) {
     error_code ec;
-    auto used = m_impl->take_idle();
-    const bool fresh = used == nullptr;
-    if (fresh) {
-        used = std::make_shared<connection>(m_impl->m_context);
+    auto active_connection = m_impl->take_idle_connection();
+    const bool is_new = active_connection == nullptr;
+    if (is_new) {
+        active_connection = std::make_shared<connection>(m_impl->m_context);
     }
-    used->m_stream.expires_at(until);
+    active_connection->m_stream.expires_at(deadline);
     if (cancel != nullptr) {
-        *cancel = [used] { used->m_stream.close(); };
+        *cancel = [active_connection] { active_connection->m_stream.close(); };
     }
     // Clears the caller's function on every way out.
-    const std::shared_ptr<void> clear(nullptr, [cancel](void*) {
+    const std::shared_ptr<void> clear_cancel(nullptr, [cancel](void*) {
         if (cancel != nullptr) {
             *cancel = nullptr;
         }
     });
-    if (fresh) {
-        used->m_stream.async_connect(m_impl->m_endpoint, yield[ec]);
+    if (is_new) {
+        active_connection->m_stream.async_connect(m_impl->m_endpoint, yield[ec]);
         if (ec) {
-            return exchange_end::connect_failed;
+            return exchange_result::connect_failed;
         }
-        used->m_stream.socket().set_option(asio::ip::tcp::no_delay(true), ec);
-        used->m_stream.socket().non_blocking(true, ec);
+        active_connection->m_stream.socket().set_option(asio::ip::tcp::no_delay(true), ec);
+        active_connection->m_stream.socket().non_blocking(true, ec);
     }
-    http::request<http::string_body> message;
-    message.method_string(request.m_method);
-    message.target(request.m_target);
-    message.set(http::field::host, m_impl->m_endpoint.address().to_string());
+    http::request<http::string_body> http_request;
+    http_request.method_string(request.m_method);
+    http_request.target(request.m_target);
+    http_request.set(http::field::host, m_impl->m_endpoint.address().to_string());
     for (const auto& [key, value] : request.m_headers) {
-        message.set(key, value);
+        http_request.set(key, value);
     }
-    message.body() = request.m_body;
-    message.prepare_payload();
-    http::async_write(used->m_stream, message, yield[ec]);
+    http_request.body() = request.m_body;
+    http_request.prepare_payload();
+    http::async_write(active_connection->m_stream, http_request, yield[ec]);
     if (ec) {
-        return ec == beast::error::timeout ? exchange_end::timed_out : exchange_end::lost;
+        return ec == beast::error::timeout ? exchange_result::timed_out
+                                           : exchange_result::closed_before_answer;
     }
     http::response_parser<http::string_body> parser;
     parser.body_limit(max_answer_bytes);
-    http::async_read(used->m_stream, used->m_buffer, parser, yield[ec]);
+    http::async_read(active_connection->m_stream, active_connection->m_buffer, parser, yield[ec]);
     if (ec == beast::error::timeout) {
-        return exchange_end::timed_out;
+        return exchange_result::timed_out;
     }
     if (ec) {
-        return parser.got_some() || used->m_buffer.size() > 0 ? exchange_end::cut
-                                                              : exchange_end::lost;
+        return parser.got_some() || active_connection->m_buffer.size() > 0
+                   ? exchange_result::closed_within_answer
+                   : exchange_result::closed_before_answer;
     }
     auto& response = parser.get();
     answer.m_status = response.result_int();
@@ -114,10 +116,10 @@
     }
     answer.m_body = std::move(response.body());
     if (response.keep_alive() && m_impl->m_idle.size() < max_idle_connections) {
-        used->m_stream.expires_never();
-        m_impl->m_idle.push_back(std::move(used));
+        active_connection->m_stream.expires_never();
+        m_impl->m_idle.push_back(std::move(active_connection));
     }
-    return exchange_end::answered;
+    return exchange_result::answered;
 }
 
 } // namespace caraway::standins
--- a/standins/http_client.hpp
+++ b/standins/http_client.hpp
@@ -15,11 +15,11 @@
 namespace caraway::standins {
 
 // How an exchange ended, from the view of its caller.
-enum class exchange_end {
-    answered,       // a whole answer
-    connect_failed, // no byte was sent
-    lost,           // the connection ended before the first byte of the answer
-    cut,            // the connection ended within the answer
+enum class exchange_result {
+    answered,             // a whole answer
+    connect_failed,       // no byte was sent
+    closed_before_answer, // the connection ended before the first byte of the answer
+    closed_within_answer, // the connection ended within the answer
     timed_out,
 };
 
@@ -48,9 +48,9 @@
 
     // Sends the request and reads the whole answer, until a time. While the exchange runs, cancel
     // (if given) holds a function that closes its connection.
-    exchange_end exchange(const client_request& request, client_answer& answer, time_point until,
-                          boost::asio::yield_context yield,
-                          std::function<void()>* cancel = nullptr);
+    exchange_result exchange(const client_request& request, client_answer& answer,
+                             time_point deadline, boost::asio::yield_context yield,
+                             std::function<void()>* cancel = nullptr);
 
 private:
     struct impl;
--- a/standins/http_server.cpp
+++ b/standins/http_server.cpp
@@ -27,33 +27,35 @@
 };
 
 // Closes a connection so that the peer sees a reset instead of an orderly end.
-void reset(tcp::socket& socket) {
+void reset_socket(tcp::socket& socket) {
     error_code ec;
     socket.set_option(asio::socket_base::linger(true, 0), ec);
     socket.close(ec);
 }
 
 // Marks the call as closed once its connection is readable and at its end.
-void watch_for_close(const std::shared_ptr<session>& owner,
+void watch_for_close(const std::shared_ptr<session>& active_session,
                      const std::shared_ptr<http_call>& call) {
-    owner->m_socket.async_wait(tcp::socket::wait_read, [owner, call](error_code ec) {
-        if (ec) {
-            return;
-        }
-        char byte = 0;
-        const std::size_t got = owner->m_socket.receive(asio::buffer(&byte, 1), MSG_PEEK, ec);
-        if (ec || got == 0) {
-            call->m_closed = true;
-            call->m_timer.cancel();
-            if (call->m_on_close) {
-                call->m_on_close();
+    active_session->m_socket.async_wait(
+        tcp::socket::wait_read, [active_session, call](error_code ec) {
+            if (ec) {
+                return;
             }
-        }
-    });
+            char byte = 0;
+            const std::size_t received_bytes =
+                active_session->m_socket.receive(asio::buffer(&byte, 1), MSG_PEEK, ec);
+            if (ec || received_bytes == 0) {
+                call->m_caller_closed = true;
+                call->m_timer.cancel();
+                if (call->m_on_close) {
+                    call->m_on_close();
+                }
+            }
+        });
 }
 
 // Fills the call from the parsed request. Returns false for a malformed target.
-bool fill(http_call& call, http::request<http::string_body>& request) {
+bool fill_call(http_call& call, http::request<http::string_body>& request) {
     const auto target =
         boost::urls::parse_origin_form({request.target().data(), request.target().size()});
     if (!target) {
@@ -96,14 +98,14 @@
     return found == m_query.end() ? std::nullopt : std::optional(found->second);
 }
 
-bool http_call::wait_until(time_point at, asio::yield_context yield) {
-    if (m_closed) {
+bool http_call::wait_until(time_point deadline, asio::yield_context yield) {
+    if (m_caller_closed) {
         return false;
     }
     error_code ec;
-    m_timer.expires_at(at);
+    m_timer.expires_at(deadline);
     m_timer.async_wait(yield[ec]);
-    return !m_closed;
+    return !m_caller_closed;
 }
 
 http_answer json_answer(const boost::json::value& body, unsigned status) {
@@ -125,12 +127,12 @@
     http_server_options m_options;
     http_handler m_handler;
     tcp::acceptor m_acceptor;
-    std::uint64_t m_generation = 0; // counts openings, so that an old accept loop ends
+    std::uint64_t m_accept_generation = 0; // counts openings, so that an old accept loop ends
     std::set<std::shared_ptr<session>> m_sessions;
-    std::uint64_t m_accepted = 0;
-    std::size_t m_in_progress = 0;
+    std::uint64_t m_accepted_connections = 0;
+    std::size_t m_calls_in_progress = 0;
 
-    error_code open() {
+    error_code start_listening() {
         error_code ec;
         m_acceptor.open(m_endpoint.protocol(), ec);
         if (!ec) {
@@ -153,13 +155,13 @@
     }
 
     void accept_loop(asio::yield_context yield) {
-        const std::uint64_t generation = ++m_generation;
+        const std::uint64_t accept_generation = ++m_accept_generation;
         asio::steady_timer timer(m_context);
-        while (generation == m_generation && m_acceptor.is_open()) {
+        while (accept_generation == m_accept_generation && m_acceptor.is_open()) {
             error_code ec;
             tcp::socket socket(m_context);
             m_acceptor.async_accept(socket, yield[ec]);
-            if (generation != m_generation || !m_acceptor.is_open()) {
+            if (accept_generation != m_accept_generation || !m_acceptor.is_open()) {
                 return;
             }
             if (ec) {
@@ -167,70 +169,70 @@
                 timer.async_wait(yield[ec]);
                 continue;
             }
-            if (m_options.m_accept_cost.count() > 0) {
-                timer.expires_after(m_options.m_accept_cost);
+            if (m_options.m_accept_delay.count() > 0) {
+                timer.expires_after(m_options.m_accept_delay);
                 timer.async_wait(yield[ec]);
             }
-            ++m_accepted;
+            ++m_accepted_connections;
             if (m_sessions.size() >= m_options.m_connection_limit) {
-                reset(socket);
+                reset_socket(socket);
                 continue;
             }
             socket.set_option(tcp::no_delay(true), ec);
             socket.non_blocking(true, ec);
-            auto owner = std::make_shared<session>(std::move(socket));
-            m_sessions.insert(owner);
+            auto active_session = std::make_shared<session>(std::move(socket));
+            m_sessions.insert(active_session);
             asio::spawn(
                 m_context,
-                [this, owner](asio::yield_context inner) {
-                    serve(owner, inner);
+                [this, active_session](asio::yield_context inner_yield) {
+                    serve_session(active_session, inner_yield);
                     error_code ignored;
-                    owner->m_socket.close(ignored);
-                    m_sessions.erase(owner);
+                    active_session->m_socket.close(ignored);
+                    m_sessions.erase(active_session);
                 },
                 asio::detached);
         }
     }
 
     // Answers the requests of one connection in order.
-    void serve(const std::shared_ptr<session>& owner, asio::yield_context yield) {
+    void serve_session(const std::shared_ptr<session>& active_session, asio::yield_context yield) {
         boost::beast::flat_buffer buffer;
         error_code ec;
         for (;;) {
             http::request_parser<http::string_body> parser;
             parser.body_limit(m_options.m_body_limit_bytes);
-            http::async_read(owner->m_socket, buffer, parser, yield[ec]);
+            http::async_read(active_session->m_socket, buffer, parser, yield[ec]);
             if (ec && ec != http::error::body_limit) {
                 return;
             }
             http_answer answer;
             auto call = std::make_shared<http_call>(m_context);
             auto& request = parser.get();
-            ++m_in_progress;
+            ++m_calls_in_progress;
             if (ec) {
                 answer.m_status = 413;
-                answer.m_close = true;
-            } else if (!fill(*call, request)) {
+                answer.m_close_connection = true;
+            } else if (!fill_call(*call, request)) {
                 answer.m_status = 400;
             } else {
                 if (m_options.m_watch_for_close) {
-                    watch_for_close(owner, call);
+                    watch_for_close(active_session, call);
                 }
                 answer = m_handler(*call, yield);
                 if (m_options.m_watch_for_close) {
-                    owner->m_socket.cancel(ec);
+                    active_session->m_socket.cancel(ec);
                 }
             }
-            if (answer.m_cut || call->m_closed) {
-                --m_in_progress;
-                reset(owner->m_socket);
+            if (answer.m_reset_connection || call->m_caller_closed) {
+                --m_calls_in_progress;
+                reset_socket(active_session->m_socket);
                 return;
             }
-            const bool keep = request.keep_alive() && !answer.m_close;
-            const bool written =
-                write(*owner, answer, request.version(), keep, call->m_method == "HEAD", yield);
-            --m_in_progress;
-            if (!written || !keep) {
+            const bool keep_alive = request.keep_alive() && !answer.m_close_connection;
+            const bool written = write_answer(*active_session, answer, request.version(),
+                                              keep_alive, call->m_method == "HEAD", yield);
+            --m_calls_in_progress;
+            if (!written || !keep_alive) {
                 return;
             }
         }
@@ -238,26 +240,27 @@
 
     // Writes the answer, or its beginning if it is to be cut. Returns false at the connection's
     // end.
-    bool write(session& owner, http_answer& answer, unsigned version, bool keep, bool head,
-               asio::yield_context yield) {
+    bool write_answer(session& active_session, http_answer& answer, unsigned version,
+                      bool keep_alive, bool is_head_request, asio::yield_context yield) {
         error_code ec;
         http::response<http::string_body> response(static_cast<http::status>(answer.m_status),
                                                    version);
         for (const auto& [key, value] : answer.m_headers) {
             response.set(key, value);
         }
-        response.keep_alive(keep);
+        response.keep_alive(keep_alive);
         response.content_length(answer.m_body.size());
-        if (answer.m_cut_after && !head) {
+        if (answer.m_truncate_body_after && !is_head_request) {
             http::response_serializer<http::string_body> serializer(response);
-            http::async_write_header(owner.m_socket, serializer, yield[ec]);
-            const std::size_t bytes = std::min(*answer.m_cut_after, answer.m_body.size());
-            asio::async_write(owner.m_socket, asio::buffer(answer.m_body.data(), bytes), yield[ec]);
+            http::async_write_header(active_session.m_socket, serializer, yield[ec]);
+            const std::size_t bytes = std::min(*answer.m_truncate_body_after, answer.m_body.size());
+            asio::async_write(active_session.m_socket, asio::buffer(answer.m_body.data(), bytes),
+                              yield[ec]);
             return false;
         }
-        if (head) {
+        if (is_head_request) {
             http::response_serializer<http::string_body> serializer(response);
-            http::async_write_header(owner.m_socket, serializer, yield[ec]);
+            http::async_write_header(active_session.m_socket, serializer, yield[ec]);
             return !ec;
         }
         if (answer.m_status != 204) {
@@ -265,7 +268,7 @@
         } else {
             response.erase(http::field::content_length);
         }
-        http::async_write(owner.m_socket, response, yield[ec]);
+        http::async_write(active_session.m_socket, response, yield[ec]);
         return !ec;
     }
 };
@@ -278,7 +281,7 @@
                                                 http_server_options options, http_handler handler,
                                                 error& reason) {
     auto implementation = std::make_unique<impl>(context, endpoint, options, std::move(handler));
-    if (const error_code ec = implementation->open()) {
+    if (const error_code ec = implementation->start_listening()) {
         fail(reason, error_kind::invalid_settings, "can't listen: " + ec.message());
         return nullptr;
     }
@@ -287,18 +290,18 @@
 
 void http_server::stop_accepting() {
     error_code ec;
-    ++m_impl->m_generation;
+    ++m_impl->m_accept_generation;
     m_impl->m_acceptor.close(ec);
 }
 
 void http_server::reset_connections() {
-    for (const auto& owner : m_impl->m_sessions) {
-        reset(owner->m_socket);
+    for (const auto& active_session : m_impl->m_sessions) {
+        reset_socket(active_session->m_socket);
     }
 }
 
 bool http_server::resume_accepting() {
-    return m_impl->m_acceptor.is_open() || !m_impl->open();
+    return m_impl->m_acceptor.is_open() || !m_impl->start_listening();
 }
 
 std::size_t http_server::connections() const {
@@ -306,11 +309,11 @@
 }
 
 std::size_t http_server::calls_in_progress() const {
-    return m_impl->m_in_progress;
+    return m_impl->m_calls_in_progress;
 }
 
-std::uint64_t http_server::accepted() const {
-    return m_impl->m_accepted;
+std::uint64_t http_server::accepted_connections() const {
+    return m_impl->m_accepted_connections;
 }
 
 std::unique_ptr<http_server> start_server_or_exit(asio::io_context& context, tcp::endpoint endpoint,
@@ -319,7 +322,7 @@
     error reason;
     auto server = http_server::start(context, endpoint, options, std::move(handler), reason);
     if (!server) {
-        exit_with(reason);
+        exit_with_error(reason);
     }
     return server;
 }
--- a/standins/http_server.hpp
+++ b/standins/http_server.hpp
@@ -38,7 +38,7 @@
     std::map<std::string, std::string> m_query;
     http_headers m_headers;
     std::string m_body;
-    bool m_closed = false; // the caller closed its connection
+    bool m_caller_closed = false; // the caller closed its connection
     boost::asio::steady_timer m_timer;
     std::function<void()> m_on_close; // called once when the caller closes its connection
 
@@ -46,7 +46,7 @@
     std::optional<std::string> query(const std::string& name) const;
     // Waits; returns early with false when the caller closes its connection (only if the server
     // watches for that). Cancelling m_timer also ends the wait early, with true.
-    bool wait_until(time_point at, boost::asio::yield_context yield);
+    bool wait_until(time_point deadline, boost::asio::yield_context yield);
 };
 
 // The answer to one call.
@@ -54,9 +54,9 @@
     unsigned m_status = 200;
     std::string m_body;
     http_headers m_headers;
-    bool m_cut = false;                          // reset the connection instead of answering
-    std::optional<std::size_t> m_cut_after = {}; // close after so many bytes of the body
-    bool m_close = false;                        // last answer of the connection
+    bool m_reset_connection = false; // reset the connection instead of answering
+    std::optional<std::size_t> m_truncate_body_after = {}; // close after so many bytes of the body
+    bool m_close_connection = false;                       // last answer of the connection
 };
 
 // An answer with a JSON body.
@@ -68,7 +68,7 @@
 struct http_server_options {
     std::size_t m_body_limit_bytes = 4 << 20;
     std::size_t m_connection_limit = 20'000; // above it new connections are reset
-    milliseconds m_accept_cost{0};           // time that one new connection takes to accept
+    milliseconds m_accept_delay{0};          // time that one new connection takes to accept
     bool m_watch_for_close = false;          // end waits of a call when its caller goes away
 };
 
@@ -94,8 +94,8 @@
     bool resume_accepting();
 
     std::size_t connections() const;
-    std::size_t calls_in_progress() const; // requests read whose answers aren't written yet
-    std::uint64_t accepted() const;        // connections since the start
+    std::size_t calls_in_progress() const;      // requests read whose answers aren't written yet
+    std::uint64_t accepted_connections() const; // connections since the start
 
 private:
     struct impl;
--- a/standins/kv_store_main.cpp
+++ b/standins/kv_store_main.cpp
@@ -28,12 +28,12 @@
 struct token_bucket {
     double m_rate_per_s = 0;
     double m_tokens = 0;
-    time_point m_filled{}; // long ago, so that the first call finds a full bucket
+    time_point m_last_refill{}; // long ago, so that the first call finds a full bucket
 
     bool take() {
         const time_point now = steady_clock::now();
-        const double elapsed_s = std::chrono::duration<double>(now - m_filled).count();
-        m_filled = now;
+        const double elapsed_s = std::chrono::duration<double>(now - m_last_refill).count();
+        m_last_refill = now;
         m_tokens =
             std::min(std::max(1.0, m_rate_per_s * burst_s), m_tokens + m_rate_per_s * elapsed_s);
         if (m_tokens < 1) {
@@ -45,7 +45,7 @@
 };
 
 // A key's latest state. A deleted key stays as a mark for watches.
-struct entry {
+struct key_state {
     std::string m_value;
     std::uint64_t m_revision = 0;
     std::string m_lease;
@@ -81,11 +81,11 @@
     std::uint64_t m_drop_watch_events_permille = 0;
 };
 
-struct store {
-    explicit store(asio::io_context& context) : m_context(context) {}
+struct store_state {
+    explicit store_state(asio::io_context& context) : m_context(context) {}
 
     asio::io_context& m_context;
-    std::map<std::string, entry> m_entries;
+    std::map<std::string, key_state> m_entries;
     std::map<std::string, lease> m_leases;
     std::uint64_t m_revision = 0;
     std::uint64_t m_next_lease = 1;
@@ -98,7 +98,7 @@
     random_source m_random{1};
 };
 
-http_answer with_revision(unsigned status, std::uint64_t revision, std::string body = {}) {
+http_answer revision_answer(unsigned status, std::uint64_t revision, std::string body = {}) {
     http_answer answer;
     answer.m_status = status;
     answer.m_body = std::move(body);
@@ -106,17 +106,17 @@
     return answer;
 }
 
-http_answer plain(unsigned status) {
+http_answer status_answer(unsigned status) {
     http_answer answer;
     answer.m_status = status;
     return answer;
 }
 
 // Gives the key the next revision and wakes the watches of its prefixes.
-entry& change(store& s, const std::string& key) {
-    entry& changed = s.m_entries[key];
-    changed.m_revision = ++s.m_revision;
-    for (const waiting_watch& watch : s.m_watches) {
+key_state& advance_revision(store_state& store, const std::string& key) {
+    key_state& changed = store.m_entries[key];
+    changed.m_revision = ++store.m_revision;
+    for (const waiting_watch& watch : store.m_watches) {
         if (key.starts_with(watch.m_prefix)) {
             watch.m_timer->cancel();
         }
@@ -124,140 +124,142 @@
     return changed;
 }
 
-void detach(store& s, const std::string& key, entry& of) {
-    if (const auto found = s.m_leases.find(of.m_lease); found != s.m_leases.end()) {
+void detach_from_lease(store_state& store, const std::string& key, key_state& attached) {
+    if (const auto found = store.m_leases.find(attached.m_lease); found != store.m_leases.end()) {
         found->second.m_keys.erase(key);
     }
-    of.m_lease.clear();
+    attached.m_lease.clear();
 }
 
-void remove(store& s, const std::string& key) {
-    entry& changed = change(s, key);
-    detach(s, key, changed);
+void delete_key(store_state& store, const std::string& key) {
+    key_state& changed = advance_revision(store, key);
+    detach_from_lease(store, key, changed);
     changed.m_value.clear();
     changed.m_deleted = true;
 }
 
-void end_lease(store& s, const std::string& id) {
-    const auto found = s.m_leases.find(id);
-    if (found == s.m_leases.end()) {
+void end_lease(store_state& store, const std::string& id) {
+    const auto found = store.m_leases.find(id);
+    if (found == store.m_leases.end()) {
         return;
     }
     const std::set<std::string> keys = std::move(found->second.m_keys);
-    s.m_leases.erase(found);
+    store.m_leases.erase(found);
     for (const std::string& key : keys) {
-        remove(s, key);
+        delete_key(store, key);
     }
 }
 
 // Lets the lease end after its period, counted from now.
-void arm_lease(store& s, const std::string& id) {
-    lease& armed = s.m_leases.at(id);
-    armed.m_timer.expires_after(armed.m_ttl);
-    armed.m_timer.async_wait([&s, id](boost::system::error_code ec) {
-        const auto found = s.m_leases.find(id);
-        if (!ec && found != s.m_leases.end() &&
+void restart_lease_timer(store_state& store, const std::string& id) {
+    lease& restarted = store.m_leases.at(id);
+    restarted.m_timer.expires_after(restarted.m_ttl);
+    restarted.m_timer.async_wait([&store, id](boost::system::error_code ec) {
+        const auto found = store.m_leases.find(id);
+        if (!ec && found != store.m_leases.end() &&
             found->second.m_timer.expiry() <= steady_clock::now()) {
-            end_lease(s, id);
+            end_lease(store, id);
         }
     });
 }
 
-http_answer get(store& s, const std::string& key) {
-    ++s.m_counters.m_reads;
-    const auto found = s.m_entries.find(key);
-    if (found == s.m_entries.end() || found->second.m_deleted) {
-        return plain(404);
+http_answer get_key(store_state& store, const std::string& key) {
+    ++store.m_counters.m_reads;
+    const auto found = store.m_entries.find(key);
+    if (found == store.m_entries.end() || found->second.m_deleted) {
+        return status_answer(404);
     }
-    return with_revision(200, found->second.m_revision, found->second.m_value);
+    return revision_answer(200, found->second.m_revision, found->second.m_value);
 }
 
 // The revision for compare-and-swap: 0 when the key is absent.
-std::uint64_t current_revision(const store& s, const std::string& key) {
-    const auto found = s.m_entries.find(key);
-    return found == s.m_entries.end() || found->second.m_deleted ? 0 : found->second.m_revision;
+std::uint64_t current_revision(const store_state& store, const std::string& key) {
+    const auto found = store.m_entries.find(key);
+    return found == store.m_entries.end() || found->second.m_deleted ? 0 : found->second.m_revision;
 }
 
 // Checks if_revision. Returns the refusal, or nothing if the write may go on.
-std::optional<http_answer> compare(const store& s, const std::string& key, const http_call& call) {
+std::optional<http_answer> check_if_revision(const store_state& store, const std::string& key,
+                                             const http_call& call) {
     const auto text = call.query("if_revision");
     if (!text) {
         return std::nullopt;
     }
-    const auto wanted = to_number(*text);
-    if (!wanted || *wanted < 0) {
-        return plain(400);
+    const auto expected_revision = to_number(*text);
+    if (!expected_revision || *expected_revision < 0) {
+        return status_answer(400);
     }
-    const std::uint64_t current = current_revision(s, key);
-    if (static_cast<std::uint64_t>(*wanted) != current) {
-        return with_revision(409, current);
+    const std::uint64_t current = current_revision(store, key);
+    if (static_cast<std::uint64_t>(*expected_revision) != current) {
+        return revision_answer(409, current);
     }
     return std::nullopt;
 }
 
-http_answer put(store& s, const std::string& key, const http_call& call) {
-    ++s.m_counters.m_writes;
+http_answer put_key(store_state& store, const std::string& key, const http_call& call) {
+    ++store.m_counters.m_writes;
     if (call.m_body.size() > max_value_bytes) {
-        return plain(413);
+        return status_answer(413);
     }
     const std::string lease_id = call.query("lease").value_or("");
-    if (!lease_id.empty() && !s.m_leases.contains(lease_id)) {
-        return plain(410);
+    if (!lease_id.empty() && !store.m_leases.contains(lease_id)) {
+        return status_answer(410);
     }
-    if (auto refusal = compare(s, key, call)) {
+    if (auto refusal = check_if_revision(store, key, call)) {
         return *refusal;
     }
-    if (s.m_entries.size() >= max_keys && !s.m_entries.contains(key)) {
-        return plain(507);
+    if (store.m_entries.size() >= max_keys && !store.m_entries.contains(key)) {
+        return status_answer(507);
     }
-    entry& changed = change(s, key);
-    detach(s, key, changed);
+    key_state& changed = advance_revision(store, key);
+    detach_from_lease(store, key, changed);
     changed.m_value = call.m_body;
     changed.m_deleted = false;
     if (!lease_id.empty()) {
         changed.m_lease = lease_id;
-        s.m_leases.at(lease_id).m_keys.insert(key);
+        store.m_leases.at(lease_id).m_keys.insert(key);
     }
-    return with_revision(200, changed.m_revision);
+    return revision_answer(200, changed.m_revision);
 }
 
-http_answer erase(store& s, const std::string& key, const http_call& call) {
-    ++s.m_counters.m_writes;
-    if (auto refusal = compare(s, key, call)) {
+http_answer erase_key(store_state& store, const std::string& key, const http_call& call) {
+    ++store.m_counters.m_writes;
+    if (auto refusal = check_if_revision(store, key, call)) {
         return *refusal;
     }
-    if (current_revision(s, key) == 0) {
-        return plain(404);
+    if (current_revision(store, key) == 0) {
+        return status_answer(404);
     }
-    remove(s, key);
-    return with_revision(200, s.m_revision);
+    delete_key(store, key);
+    return revision_answer(200, store.m_revision);
 }
 
 // What a list or watch asks for.
 struct change_query {
     std::string m_prefix;
-    std::uint64_t m_after = 0;
+    std::uint64_t m_after_revision = 0;
     bool m_with_deleted = false;
     bool m_keys_only = false;
 };
 
 // The keys below the prefix that changed after a revision; without deleted ones for a list.
-json::array changes(const store& s, const change_query& query,
-                    const std::set<std::uint64_t>& dropped) {
+json::array changed_keys(const store_state& store, const change_query& query,
+                         const std::set<std::uint64_t>& dropped) {
     const std::string& prefix = query.m_prefix;
     json::array found;
-    for (auto it = s.m_entries.lower_bound(prefix);
-         it != s.m_entries.end() && it->first.starts_with(prefix); ++it) {
-        const entry& at = it->second;
-        if (at.m_revision <= query.m_after || dropped.contains(at.m_revision) ||
-            (at.m_deleted && !query.m_with_deleted)) {
+    for (auto it = store.m_entries.lower_bound(prefix);
+         it != store.m_entries.end() && it->first.starts_with(prefix); ++it) {
+        const key_state& candidate = it->second;
+        if (candidate.m_revision <= query.m_after_revision ||
+            dropped.contains(candidate.m_revision) ||
+            (candidate.m_deleted && !query.m_with_deleted)) {
             continue;
         }
-        json::object row{{"key", it->first}, {"revision", at.m_revision}};
+        json::object row{{"key", it->first}, {"revision", candidate.m_revision}};
         if (!query.m_keys_only) {
-            row["value"] = at.m_value;
+            row["value"] = candidate.m_value;
         }
-        if (at.m_deleted) {
+        if (candidate.m_deleted) {
             row["deleted"] = true;
         }
         found.push_back(std::move(row));
@@ -265,198 +267,204 @@
     return found;
 }
 
-http_answer list(store& s, const http_call& call) {
-    ++s.m_counters.m_reads;
+http_answer list_keys(store_state& store, const http_call& call) {
+    ++store.m_counters.m_reads;
     const change_query query{call.query("prefix").value_or(""), 0, false,
                              call.query("keys_only").value_or("") == "1"};
-    return with_revision(200, s.m_revision, json::serialize(changes(s, query, {})));
+    return revision_answer(200, store.m_revision, json::serialize(changed_keys(store, query, {})));
 }
 
 // Decides which of the new changes this watch doesn't see.
-void drop_events(store& s, const std::string& prefix, std::uint64_t after,
-                 std::set<std::uint64_t>& seen, std::set<std::uint64_t>& dropped) {
-    for (auto it = s.m_entries.lower_bound(prefix);
-         it != s.m_entries.end() && it->first.starts_with(prefix); ++it) {
+void choose_dropped_events(store_state& store, const std::string& prefix,
+                           std::uint64_t after_revision_text, std::set<std::uint64_t>& considered,
+                           std::set<std::uint64_t>& dropped) {
+    for (auto it = store.m_entries.lower_bound(prefix);
+         it != store.m_entries.end() && it->first.starts_with(prefix); ++it) {
         const std::uint64_t revision = it->second.m_revision;
-        if (revision > after && seen.insert(revision).second &&
-            s.m_random.below(1000) < s.m_faults.m_drop_watch_events_permille) {
+        if (revision > after_revision_text && considered.insert(revision).second &&
+            store.m_random.below(1000) < store.m_faults.m_drop_watch_events_permille) {
             dropped.insert(revision);
-            ++s.m_counters.m_dropped_watch_events;
+            ++store.m_counters.m_dropped_watch_events;
         }
     }
 }
 
-http_answer watch(store& s, http_call& call, asio::yield_context yield) {
-    ++s.m_counters.m_watches;
+http_answer watch(store_state& store, http_call& call, asio::yield_context yield) {
+    ++store.m_counters.m_watches;
     const std::string prefix = call.query("prefix").value_or("");
-    const auto after = to_number(call.query("after").value_or("0"));
+    const auto after_revision_text = to_number(call.query("after").value_or("0"));
     const auto wait_ms = to_number(call.query("wait_ms").value_or("0"));
-    if (!after || *after < 0 || !wait_ms || *wait_ms < 0) {
-        return plain(400);
+    if (!after_revision_text || *after_revision_text < 0 || !wait_ms || *wait_ms < 0) {
+        return status_answer(400);
     }
-    const auto since = static_cast<std::uint64_t>(*after);
+    const auto after_revision = static_cast<std::uint64_t>(*after_revision_text);
     const bool keys_only = call.query("keys_only").value_or("") == "1";
-    const time_point until = steady_clock::now() + milliseconds(std::min(*wait_ms, max_watch_ms));
-    std::set<std::uint64_t> seen;
+    const time_point wait_end =
+        steady_clock::now() + milliseconds(std::min(*wait_ms, max_watch_ms));
+    std::set<std::uint64_t> considered;
     std::set<std::uint64_t> dropped;
     for (;;) {
-        if (s.m_faults.m_drop_watch_events_permille > 0) {
-            drop_events(s, prefix, since, seen, dropped);
+        if (store.m_faults.m_drop_watch_events_permille > 0) {
+            choose_dropped_events(store, prefix, after_revision, considered, dropped);
         }
-        const json::array found = changes(s, {prefix, since, true, keys_only}, dropped);
+        const json::array found =
+            changed_keys(store, {prefix, after_revision, true, keys_only}, dropped);
         if (!found.empty()) {
-            return with_revision(200, s.m_revision, json::serialize(found));
+            return revision_answer(200, store.m_revision, json::serialize(found));
         }
-        if (steady_clock::now() >= until) {
-            return with_revision(204, since);
+        if (steady_clock::now() >= wait_end) {
+            return revision_answer(204, after_revision);
         }
-        const auto place = s.m_watches.insert(s.m_watches.end(), {prefix, &call.m_timer});
-        const bool open = call.wait_until(until, yield);
-        s.m_watches.erase(place);
-        if (!open) {
-            return plain(499);
+        const auto position =
+            store.m_watches.insert(store.m_watches.end(), {prefix, &call.m_timer});
+        const bool still_connected = call.wait_until(wait_end, yield);
+        store.m_watches.erase(position);
+        if (!still_connected) {
+            return status_answer(499);
         }
     }
 }
 
-http_answer lease_call(store& s, const http_call& call, std::string_view rest) {
-    ++s.m_counters.m_lease_calls;
-    if (rest.empty() && call.m_method == "POST") {
+http_answer handle_lease_call(store_state& store, const http_call& call, std::string_view subpath) {
+    ++store.m_counters.m_lease_calls;
+    if (subpath.empty() && call.m_method == "POST") {
         const auto ttl_ms = to_number(call.query("ttl_ms").value_or(""));
         if (!ttl_ms || *ttl_ms <= 0) {
-            return plain(400);
+            return status_answer(400);
         }
-        const std::string id = "lease-" + std::to_string(s.m_next_lease++);
-        s.m_leases.emplace(id, lease{milliseconds(*ttl_ms), asio::steady_timer(s.m_context), {}});
-        arm_lease(s, id);
+        const std::string id = "lease-" + std::to_string(store.m_next_lease++);
+        store.m_leases.emplace(
+            id, lease{milliseconds(*ttl_ms), asio::steady_timer(store.m_context), {}});
+        restart_lease_timer(store, id);
         return json_answer({{"lease", id}});
     }
-    if (rest.empty()) {
-        return plain(405);
+    if (subpath.empty()) {
+        return status_answer(405);
     }
-    rest.remove_prefix(1);
-    const std::size_t slash = rest.find('/');
-    const std::string id(rest.substr(0, slash));
-    const bool renew = slash != std::string_view::npos && rest.substr(slash) == "/renew";
-    if (!s.m_leases.contains(id)) {
-        return plain(410);
+    subpath.remove_prefix(1);
+    const std::size_t slash = subpath.find('/');
+    const std::string id(subpath.substr(0, slash));
+    const bool renew = slash != std::string_view::npos && subpath.substr(slash) == "/renew";
+    if (!store.m_leases.contains(id)) {
+        return status_answer(410);
     }
     if (renew && call.m_method == "POST") {
-        arm_lease(s, id);
+        restart_lease_timer(store, id);
     } else if (slash == std::string_view::npos && call.m_method == "DELETE") {
-        end_lease(s, id);
+        end_lease(store, id);
     } else {
-        return plain(404);
+        return status_answer(404);
     }
     return json_answer({{"lease", id}});
 }
 
 // Waits while the stall fault is on, also when the caller has given up meanwhile.
-void wait_for_stall(store& s, asio::yield_context yield) {
-    while (s.m_faults.m_stall) {
-        asio::steady_timer timer(s.m_context, time_point::max());
-        const auto place = s.m_stalled.insert(s.m_stalled.end(), &timer);
+void wait_while_stalled(store_state& store, asio::yield_context yield) {
+    while (store.m_faults.m_stall) {
+        asio::steady_timer timer(store.m_context, time_point::max());
+        const auto position = store.m_stalled.insert(store.m_stalled.end(), &timer);
         boost::system::error_code ec;
         timer.async_wait(yield[ec]);
-        s.m_stalled.erase(place);
+        store.m_stalled.erase(position);
     }
 }
 
 // Answers one call of the service, with rate limit, latency and faults. A call that was stalled
 // takes effect when the stall ends, even if its caller has given up.
-http_answer handle(store& s, http_call& call, asio::yield_context yield) {
+http_answer handle_call(store_state& store, http_call& call, asio::yield_context yield) {
     constexpr std::string_view key_path = "/v1/kv/";
     constexpr std::string_view lease_path = "/v1/lease";
     const bool read_only = call.m_method == "GET" || call.m_method == "HEAD";
-    if (!(read_only ? s.m_read_bucket : s.m_write_bucket).take()) {
-        ++s.m_counters.m_throttled;
-        return plain(429);
+    if (!(read_only ? store.m_read_bucket : store.m_write_bucket).take()) {
+        ++store.m_counters.m_throttled;
+        return status_answer(429);
     }
-    call.wait_until(steady_clock::now() + s.m_faults.m_latency, yield);
-    wait_for_stall(s, yield);
-    http_answer answer = plain(404);
+    call.wait_until(steady_clock::now() + store.m_faults.m_latency, yield);
+    wait_while_stalled(store, yield);
+    http_answer answer = status_answer(404);
     if (call.m_path.starts_with(key_path) && call.m_path.size() > key_path.size()) {
         const std::string key = call.m_path.substr(key_path.size());
         if (read_only) {
-            answer = get(s, key);
+            answer = get_key(store, key);
         } else if (call.m_method == "PUT") {
-            answer = put(s, key, call);
+            answer = put_key(store, key, call);
         } else if (call.m_method == "DELETE") {
-            answer = erase(s, key, call);
+            answer = erase_key(store, key, call);
         } else {
-            answer = plain(405);
+            answer = status_answer(405);
         }
     } else if (call.m_path == "/v1/list") {
-        answer = list(s, call);
+        answer = list_keys(store, call);
     } else if (call.m_path == "/v1/watch") {
-        answer = watch(s, call, yield);
+        answer = watch(store, call, yield);
     } else if (call.m_path == lease_path || call.m_path.starts_with("/v1/lease/")) {
-        answer = lease_call(s, call, std::string_view(call.m_path).substr(lease_path.size()));
+        answer =
+            handle_lease_call(store, call, std::string_view(call.m_path).substr(lease_path.size()));
     }
-    wait_for_stall(s, yield);
-    if (!read_only && s.m_random.below(1000) < s.m_faults.m_lose_answers_permille) {
-        ++s.m_counters.m_lost_answers;
-        answer.m_cut = true;
+    wait_while_stalled(store, yield);
+    if (!read_only && store.m_random.below(1000) < store.m_faults.m_lose_answers_permille) {
+        ++store.m_counters.m_lost_answers;
+        answer.m_reset_connection = true;
     }
     return answer;
 }
 
-json::object status(const store& s, const http_server& server) {
-    return {{"reads", s.m_counters.m_reads},
-            {"writes", s.m_counters.m_writes},
-            {"watches", s.m_counters.m_watches},
-            {"waiting_watches", s.m_watches.size()},
-            {"lease_calls", s.m_counters.m_lease_calls},
-            {"throttled", s.m_counters.m_throttled},
-            {"lost_answers", s.m_counters.m_lost_answers},
-            {"dropped_watch_events", s.m_counters.m_dropped_watch_events},
-            {"leases", s.m_leases.size()},
+json::object status(const store_state& store, const http_server& server) {
+    return {{"reads", store.m_counters.m_reads},
+            {"writes", store.m_counters.m_writes},
+            {"watches", store.m_counters.m_watches},
+            {"waiting_watches", store.m_watches.size()},
+            {"lease_calls", store.m_counters.m_lease_calls},
+            {"throttled", store.m_counters.m_throttled},
+            {"lost_answers", store.m_counters.m_lost_answers},
+            {"dropped_watch_events", store.m_counters.m_dropped_watch_events},
+            {"leases", store.m_leases.size()},
             {"connections", server.connections()},
-            {"accepted_connections", server.accepted()},
-            {"revision", s.m_revision},
-            {"down", s.m_faults.m_down},
-            {"stall", s.m_faults.m_stall}};
+            {"accepted_connections", server.accepted_connections()},
+            {"revision", store.m_revision},
+            {"down", store.m_faults.m_down},
+            {"stall", store.m_faults.m_stall}};
 }
 
 // Applies the faults named in a control request.
-http_answer control(store& s, http_server& server, const http_call& call) {
+http_answer handle_control(store_state& store, http_server& server, const http_call& call) {
     if (call.m_method != "POST") {
-        return json_answer(status(s, server));
+        return json_answer(status(store, server));
     }
     json::error_code ec;
     const json::value body = json::parse(call.m_body, ec);
     if (ec || !body.is_object()) {
-        return plain(400);
+        return status_answer(400);
     }
     for (const auto& [key, value] : body.as_object()) {
-        const bool on = value.is_bool() && value.get_bool();
+        const bool enabled = value.is_bool() && value.get_bool();
         const std::int64_t number = value.is_int64() ? value.get_int64() : 0;
         if (key == "down") {
-            s.m_faults.m_down = on;
+            store.m_faults.m_down = enabled;
         } else if (key == "stall") {
-            s.m_faults.m_stall = on;
+            store.m_faults.m_stall = enabled;
         } else if (key == "latency_ms") {
-            s.m_faults.m_latency = milliseconds(number);
+            store.m_faults.m_latency = milliseconds(number);
         } else if (key == "lose_answers_permille") {
-            s.m_faults.m_lose_answers_permille = static_cast<std::uint64_t>(number);
+            store.m_faults.m_lose_answers_permille = static_cast<std::uint64_t>(number);
         } else if (key == "drop_watch_events_permille") {
-            s.m_faults.m_drop_watch_events_permille = static_cast<std::uint64_t>(number);
+            store.m_faults.m_drop_watch_events_permille = static_cast<std::uint64_t>(number);
         } else {
             return json_answer({{"unknown", key}}, 400);
         }
     }
-    if (s.m_faults.m_down) {
+    if (store.m_faults.m_down) {
         server.stop_accepting();
         server.reset_connections();
     } else if (!server.resume_accepting()) {
-        return plain(500);
+        return status_answer(500);
     }
-    if (!s.m_faults.m_stall) {
-        for (asio::steady_timer* timer : s.m_stalled) {
+    if (!store.m_faults.m_stall) {
+        for (asio::steady_timer* timer : store.m_stalled) {
             timer->cancel();
         }
     }
-    return json_answer(status(s, server));
+    return json_answer(status(store, server));
 }
 
 } // namespace
@@ -479,20 +487,22 @@
                                  {"latency-ms", &latency_ms, "time before a call takes effect"}});
     const auto service_endpoint = endpoint_or_exit(listen);
     boost::asio::io_context context(1);
-    store s(context);
-    s.m_faults.m_latency = milliseconds(latency_ms);
-    s.m_read_bucket.m_rate_per_s = static_cast<double>(reads_per_s);
-    s.m_write_bucket.m_rate_per_s = static_cast<double>(writes_per_s);
+    store_state store(context);
+    store.m_faults.m_latency = milliseconds(latency_ms);
+    store.m_read_bucket.m_rate_per_s = static_cast<double>(reads_per_s);
+    store.m_write_bucket.m_rate_per_s = static_cast<double>(writes_per_s);
     http_server_options options;
     options.m_watch_for_close = true;
     const auto server = start_server_or_exit(
-        context, service_endpoint, options,
-        [&](http_call& call, boost::asio::yield_context yield) { return handle(s, call, yield); });
+        context, service_endpoint, options, [&](http_call& call, boost::asio::yield_context yield) {
+            return handle_call(store, call, yield);
+        });
     std::unique_ptr<http_server> control_server;
     if (!control_address.empty()) {
-        control_server = start_server_or_exit(
-            context, endpoint_or_exit(control_address), {},
-            [&](http_call& call, boost::asio::yield_context) { return control(s, *server, call); });
+        control_server = start_server_or_exit(context, endpoint_or_exit(control_address), {},
+                                              [&](http_call& call, boost::asio::yield_context) {
+                                                  return handle_control(store, *server, call);
+                                              });
     }
     log_line("info", "listening", {{"program", "kv_store"}, {"address", listen}});
     run_until_signal(context, [&] { context.stop(); });
--- a/standins/load_generator_main.cpp
+++ b/standins/load_generator_main.cpp
@@ -24,11 +24,11 @@
 namespace json = boost::json;
 using std::chrono::steady_clock;
 
-constexpr std::int64_t max_in_flight = 20'000; // open loop; more are counted as not sent
-constexpr milliseconds answer_timeout{30'000}; // of a request without a deadline
-constexpr milliseconds deadline_grace{1'000};  // for the answer that the deadline has passed
+constexpr std::int64_t max_in_flight = 20'000;         // open loop; more are counted as not sent
+constexpr milliseconds default_answer_timeout{30'000}; // of a request without a deadline
+constexpr milliseconds deadline_grace{1'000}; // for the answer that the deadline has passed
 constexpr int max_resends = 3;
-constexpr std::size_t max_groups = 256; // versions, reasons and statuses counted by name
+constexpr std::size_t max_counted_names = 256; // versions, reasons and statuses counted by name
 
 // Latency histogram with 64 buckets per power of two, so a percentile is at most 1.6% too high.
 class histogram {
@@ -45,45 +45,45 @@
     }
 
 private:
-    static constexpr std::size_t exact = 64;
+    static constexpr std::size_t exact_buckets = 64;
 
     static std::size_t index(std::uint64_t us) {
-        if (us < exact) {
+        if (us < exact_buckets) {
             return us;
         }
         const auto shift = static_cast<std::size_t>(std::bit_width(us)) - 7;
-        return std::min(s_size - 1, shift * exact + (us >> shift));
+        return std::min(s_size - 1, shift * exact_buckets + (us >> shift));
     }
 
     static std::uint64_t upper_bound(std::size_t bucket) {
-        if (bucket < 2 * exact) {
+        if (bucket < 2 * exact_buckets) {
             return bucket;
         }
-        const std::size_t shift = bucket / exact - 1;
-        return ((bucket - shift * exact + 1) << shift) - 1;
+        const std::size_t shift = bucket / exact_buckets - 1;
+        return ((bucket - shift * exact_buckets + 1) << shift) - 1;
     }
 
-    std::uint64_t quantile(double share) const {
-        const auto wanted =
-            static_cast<std::uint64_t>(std::ceil(share * static_cast<double>(m_total)));
-        std::uint64_t seen = 0;
+    std::uint64_t quantile(double fraction) const {
+        const auto requested_bytes =
+            static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(m_total)));
+        std::uint64_t cumulative = 0;
         for (std::size_t i = 0; i < s_size; ++i) {
-            seen += m_counts[i];
-            if (seen >= wanted && seen > 0) {
+            cumulative += m_counts[i];
+            if (cumulative >= requested_bytes && cumulative > 0) {
                 return std::min(upper_bound(i), m_max);
             }
         }
         return m_max;
     }
 
-    static constexpr std::size_t s_size = exact * 36; // up to 2^41 us
+    static constexpr std::size_t s_size = exact_buckets * 36; // up to 2^41 us
     std::array<std::uint64_t, s_size> m_counts{};
     std::uint64_t m_total = 0;
     std::uint64_t m_max = 0;
 };
 
 struct generator_options {
-    std::string m_out;
+    std::string m_summary_path;
     std::string m_records;
     std::string m_run_id = "run";
     std::string m_chain;
@@ -106,12 +106,12 @@
 };
 
 // Counts by name, bounded: names above the limit are counted as "other".
-struct tally {
+struct bounded_counter {
     std::map<std::string, std::uint64_t> m_counts;
 
     void add(const std::string& name) {
-        const bool room = m_counts.size() < max_groups || m_counts.contains(name);
-        ++m_counts[room ? name : "other"];
+        const bool has_capacity = m_counts.size() < max_counted_names || m_counts.contains(name);
+        ++m_counts[has_capacity ? name : "other"];
     }
     json::object summary() const {
         json::object all;
@@ -122,9 +122,9 @@
     }
 };
 
-struct group {
-    tally m_outcomes;
-    tally m_statuses;
+struct result_group {
+    bounded_counter m_outcomes;
+    bounded_counter m_statuses;
     histogram m_latency; // of answered requests
 
     json::object summary() const {
@@ -153,8 +153,8 @@
     std::uint64_t m_latency_us = 0;
 };
 
-struct generator {
-    generator(asio::io_context& context, const generator_options& options)
+struct generator_state {
+    generator_state(asio::io_context& context, const generator_options& options)
         : m_context(context), m_options(options),
           m_random(static_cast<std::uint64_t>(options.m_seed)) {}
 
@@ -174,340 +174,354 @@
     std::uint64_t m_keyed = 0;
     std::int64_t m_in_flight = 0;
     std::int64_t m_max_in_flight = 0;
-    group m_all;
-    tally m_not_run_reasons;
-    tally m_other_reasons;
-    std::map<std::string, group> m_by_path;
-    std::map<std::string, group> m_by_version;
+    result_group m_totals;
+    bounded_counter m_not_run_reasons;
+    bounded_counter m_other_reasons;
+    std::map<std::string, result_group> m_by_path;
+    std::map<std::string, result_group> m_by_version;
 };
 
-request_record next_request(generator& g) {
-    request_record r;
-    r.m_number = fmt::format("{}-{}", g.m_options.m_run_id, g.m_issued++);
-    std::uint64_t place = g.m_random.below(g.m_total_weight);
-    for (const weighted_path& path : g.m_paths) {
-        if (place < path.m_weight) {
-            r.m_path = path.m_path;
+request_record make_request(generator_state& generator) {
+    request_record record;
+    record.m_number = fmt::format("{}-{}", generator.m_options.m_run_id, generator.m_issued++);
+    std::uint64_t remaining_weight = generator.m_random.below(generator.m_total_weight);
+    for (const weighted_path& path : generator.m_paths) {
+        if (remaining_weight < path.m_weight) {
+            record.m_path = path.m_path;
             break;
         }
-        place -= path.m_weight;
+        remaining_weight -= path.m_weight;
     }
-    r.m_body.resize(static_cast<std::size_t>(g.m_options.m_body_bytes));
-    for (char& c : r.m_body) {
-        c = static_cast<char>('a' + g.m_random.below(26));
+    record.m_body.resize(static_cast<std::size_t>(generator.m_options.m_body_bytes));
+    for (char& c : record.m_body) {
+        c = static_cast<char>('a' + generator.m_random.below(26));
     }
-    r.m_body_hash = xxh64_hex(r.m_body);
-    r.m_keyed = g.m_random.below(1000) < static_cast<std::uint64_t>(g.m_options.m_keyed_permille);
-    g.m_keyed += r.m_keyed ? 1 : 0;
-    return r;
+    record.m_body_hash = xxh64_hex(record.m_body);
+    record.m_keyed = generator.m_random.below(1000) <
+                     static_cast<std::uint64_t>(generator.m_options.m_keyed_permille);
+    generator.m_keyed += record.m_keyed ? 1 : 0;
+    return record;
 }
 
-client_request to_http(const generator& g, const request_record& r) {
-    const generator_options& o = g.m_options;
+client_request to_http_request(const generator_state& generator, const request_record& record) {
+    const generator_options& options = generator.m_options;
     client_request request;
-    request.m_method = r.m_body.empty() && !r.m_keyed ? "GET" : "POST";
-    request.m_target = r.m_path;
-    request.m_body = r.m_body;
-    request.m_headers.emplace_back("x-request-number", r.m_number);
-    if (r.m_keyed) {
-        request.m_headers.emplace_back("idempotency-key", r.m_number);
-        request.m_headers.emplace_back("x-caraway-first-sent", std::to_string(r.m_sent_ms));
+    request.m_method = record.m_body.empty() && !record.m_keyed ? "GET" : "POST";
+    request.m_target = record.m_path;
+    request.m_body = record.m_body;
+    request.m_headers.emplace_back("x-request-number", record.m_number);
+    if (record.m_keyed) {
+        request.m_headers.emplace_back("idempotency-key", record.m_number);
+        request.m_headers.emplace_back("x-caraway-first-sent", std::to_string(record.m_sent_ms));
     }
-    if (o.m_deadline_ms > 0) {
-        request.m_headers.emplace_back("x-caraway-deadline-ms", std::to_string(o.m_deadline_ms));
+    if (options.m_deadline_ms > 0) {
+        request.m_headers.emplace_back("x-caraway-deadline-ms",
+                                       std::to_string(options.m_deadline_ms));
     }
-    if (o.m_response_bytes > 0) {
-        request.m_headers.emplace_back("x-response-bytes", std::to_string(o.m_response_bytes));
+    if (options.m_response_bytes > 0) {
+        request.m_headers.emplace_back("x-response-bytes",
+                                       std::to_string(options.m_response_bytes));
     }
-    if (!o.m_chain.empty()) {
-        request.m_headers.emplace_back("x-chain", o.m_chain);
+    if (!options.m_chain.empty()) {
+        request.m_headers.emplace_back("x-chain", options.m_chain);
     }
     return request;
 }
 
-std::string text_of(const json::object& body, std::string_view key) {
+std::string string_field(const json::object& body, std::string_view key) {
     const json::value* value = body.if_contains(key);
     return value != nullptr && value->is_string() ? std::string(value->get_string()) : "";
 }
 
 // Compares a backend server's answer with the request: a mismatch counts as crossed, a short
 // answer as cut.
-void check_answer(const generator& g, request_record& r, const client_answer& answer) {
+void check_answer(const generator_state& generator, request_record& record,
+                  const client_answer& answer) {
     json::error_code ec;
     const json::value parsed = json::parse(answer.m_body, ec);
     const bool from_handler = !ec && parsed.is_object() && parsed.as_object().contains("request");
-    const auto wanted = static_cast<std::size_t>(g.m_options.m_response_bytes);
-    if (answer.m_status == 200 && answer.m_body.size() < wanted) {
-        r.m_outcome = "cut";
-        r.m_reason = "short-body";
+    const auto requested_bytes = static_cast<std::size_t>(generator.m_options.m_response_bytes);
+    if (answer.m_status == 200 && answer.m_body.size() < requested_bytes) {
+        record.m_outcome = "cut";
+        record.m_reason = "short-body";
         return;
     }
     if (!from_handler) {
         if (answer.m_status == 200) {
-            r.m_outcome = "crossed";
-            r.m_reason = "not-an-answer";
+            record.m_outcome = "crossed";
+            record.m_reason = "not-an-answer";
         }
         return;
     }
     const json::object& body = parsed.as_object();
-    r.m_instance = text_of(body, "instance");
-    r.m_version = text_of(body, "version");
-    if (text_of(body, "request") != r.m_number) {
-        r.m_outcome = "crossed";
-        r.m_reason = "request-number";
-    } else if (text_of(body, "body_hash") != r.m_body_hash) {
-        r.m_outcome = "crossed";
-        r.m_reason = "body-hash";
-    } else if (text_of(body, "path") != r.m_path.substr(0, r.m_path.find('?'))) {
-        r.m_outcome = "crossed";
-        r.m_reason = "path";
-    } else if (answer.m_status == 200 && wanted > 0 && answer.m_body.size() > wanted &&
-               !text_of(body, "padding").empty()) {
-        r.m_outcome = "crossed";
-        r.m_reason = "length";
+    record.m_instance = string_field(body, "instance");
+    record.m_version = string_field(body, "version");
+    if (string_field(body, "request") != record.m_number) {
+        record.m_outcome = "crossed";
+        record.m_reason = "request-number";
+    } else if (string_field(body, "body_hash") != record.m_body_hash) {
+        record.m_outcome = "crossed";
+        record.m_reason = "body-hash";
+    } else if (string_field(body, "path") != record.m_path.substr(0, record.m_path.find('?'))) {
+        record.m_outcome = "crossed";
+        record.m_reason = "path";
+    } else if (answer.m_status == 200 && requested_bytes > 0 &&
+               answer.m_body.size() > requested_bytes && !string_field(body, "padding").empty()) {
+        record.m_outcome = "crossed";
+        record.m_reason = "length";
     }
 }
 
 // Fills the record's outcome from the end of one attempt.
-void judge(const generator& g, request_record& r, exchange_end end, const client_answer& answer) {
-    r.m_status = end == exchange_end::answered ? answer.m_status : 0;
-    r.m_instance = find_header(answer.m_headers, "x-caraway-instance");
-    r.m_version = find_header(answer.m_headers, "x-caraway-backend-version");
-    r.m_config_version = find_header(answer.m_headers, "x-caraway-config-version");
-    r.m_reason.clear();
-    switch (end) {
-    case exchange_end::connect_failed:
-        r.m_outcome = "not-run";
-        r.m_reason = "connect-failed";
+void classify_attempt(const generator_state& generator, request_record& record,
+                      exchange_result result, const client_answer& answer) {
+    record.m_status = result == exchange_result::answered ? answer.m_status : 0;
+    record.m_instance = find_header(answer.m_headers, "x-caraway-instance");
+    record.m_version = find_header(answer.m_headers, "x-caraway-backend-version");
+    record.m_config_version = find_header(answer.m_headers, "x-caraway-config-version");
+    record.m_reason.clear();
+    switch (result) {
+    case exchange_result::connect_failed:
+        record.m_outcome = "not-run";
+        record.m_reason = "connect-failed";
         return;
-    case exchange_end::cut:
-        r.m_outcome = "cut";
-        r.m_reason = "connection-cut";
+    case exchange_result::closed_within_answer:
+        record.m_outcome = "cut";
+        record.m_reason = "connection-cut";
         return;
-    case exchange_end::lost:
-        r.m_outcome = "lost";
-        r.m_reason = "connection-closed";
+    case exchange_result::closed_before_answer:
+        record.m_outcome = "lost";
+        record.m_reason = "connection-closed";
         return;
-    case exchange_end::timed_out:
-        r.m_outcome = "lost";
-        r.m_reason = "timed-out";
+    case exchange_result::timed_out:
+        record.m_outcome = "lost";
+        record.m_reason = "timed-out";
         return;
-    case exchange_end::answered:
+    case exchange_result::answered:
         break;
     }
-    r.m_outcome = find_header(answer.m_headers, "x-caraway-outcome");
-    r.m_reason = find_header(answer.m_headers, "x-caraway-reason");
-    if (r.m_outcome.empty() && !find_header(answer.m_headers, "x-caraway-backend-shed").empty()) {
-        r.m_outcome = "not-run"; // straight from a backend server
-        r.m_reason = "backend-shed";
-    } else if (r.m_outcome.empty()) {
-        r.m_outcome = "answered";
+    record.m_outcome = find_header(answer.m_headers, "x-caraway-outcome");
+    record.m_reason = find_header(answer.m_headers, "x-caraway-reason");
+    if (record.m_outcome.empty() &&
+        !find_header(answer.m_headers, "x-caraway-backend-shed").empty()) {
+        record.m_outcome = "not-run"; // straight from a backend server
+        record.m_reason = "backend-shed";
+    } else if (record.m_outcome.empty()) {
+        record.m_outcome = "answered";
     }
-    if (r.m_outcome == "answered") {
-        check_answer(g, r, answer);
+    if (record.m_outcome == "answered") {
+        check_answer(generator, record, answer);
     }
 }
 
-bool wants_resend(const generator& g, const request_record& r) {
-    return g.m_options.m_resend && r.m_keyed && r.m_attempts <= max_resends &&
-           (r.m_outcome == "unknown" || r.m_outcome == "cut" || r.m_outcome == "lost");
+bool should_resend(const generator_state& generator, const request_record& record) {
+    return generator.m_options.m_resend && record.m_keyed && record.m_attempts <= max_resends &&
+           (record.m_outcome == "unknown" || record.m_outcome == "cut" ||
+            record.m_outcome == "lost");
 }
 
-void count(group& into, const request_record& r) {
-    into.m_outcomes.add(r.m_outcome);
-    into.m_statuses.add(std::to_string(r.m_status));
-    if (r.m_outcome == "answered") {
-        into.m_latency.add(r.m_latency_us);
+void add_result(result_group& results, const request_record& record) {
+    results.m_outcomes.add(record.m_outcome);
+    results.m_statuses.add(std::to_string(record.m_status));
+    if (record.m_outcome == "answered") {
+        results.m_latency.add(record.m_latency_us);
     }
 }
 
-void write_record(generator& g, const request_record& r) {
-    if (g.m_records == nullptr) {
+void write_record(generator_state& generator, const request_record& record) {
+    if (generator.m_records == nullptr) {
         return;
     }
-    const json::object row{{"number", r.m_number},
-                           {"path", r.m_path},
-                           {"keyed", r.m_keyed},
-                           {"sent_ms", r.m_sent_ms},
-                           {"ended_ms", r.m_ended_ms},
-                           {"outcome", r.m_outcome},
-                           {"reason", r.m_reason},
-                           {"status", r.m_status},
-                           {"instance", r.m_instance},
-                           {"version", r.m_version},
-                           {"attempts", r.m_attempts},
-                           {"latency_us", r.m_latency_us},
-                           {"config_version", r.m_config_version}};
+    const json::object row{{"number", record.m_number},
+                           {"path", record.m_path},
+                           {"keyed", record.m_keyed},
+                           {"sent_ms", record.m_sent_ms},
+                           {"ended_ms", record.m_ended_ms},
+                           {"outcome", record.m_outcome},
+                           {"reason", record.m_reason},
+                           {"status", record.m_status},
+                           {"instance", record.m_instance},
+                           {"version", record.m_version},
+                           {"attempts", record.m_attempts},
+                           {"latency_us", record.m_latency_us},
+                           {"config_version", record.m_config_version}};
     const std::string line = json::serialize(row) + "\n";
-    std::fwrite(line.data(), 1, line.size(), g.m_records);
+    std::fwrite(line.data(), 1, line.size(), generator.m_records);
 }
 
-void finish(generator& g, request_record& r) {
-    count(g.m_all, r);
-    count(g.m_by_path[r.m_path], r);
-    const std::string version = r.m_version.empty() ? "none" : r.m_version;
-    const bool room = g.m_by_version.size() < max_groups || g.m_by_version.contains(version);
-    count(g.m_by_version[room ? version : "other"], r);
-    if (r.m_outcome == "not-run") {
-        g.m_not_run_reasons.add(r.m_reason);
-    } else if (!r.m_reason.empty()) {
-        g.m_other_reasons.add(r.m_outcome + ": " + r.m_reason);
-    }
-    write_record(g, r);
+void record_result(generator_state& generator, request_record& record) {
+    add_result(generator.m_totals, record);
+    add_result(generator.m_by_path[record.m_path], record);
+    const std::string version = record.m_version.empty() ? "none" : record.m_version;
+    const bool has_capacity = generator.m_by_version.size() < max_counted_names ||
+                              generator.m_by_version.contains(version);
+    add_result(generator.m_by_version[has_capacity ? version : "other"], record);
+    if (record.m_outcome == "not-run") {
+        generator.m_not_run_reasons.add(record.m_reason);
+    } else if (!record.m_reason.empty()) {
+        generator.m_other_reasons.add(record.m_outcome + ": " + record.m_reason);
+    }
+    write_record(generator, record);
 }
 
-void pause(generator& g, milliseconds time, asio::yield_context yield) {
+void wait_for(generator_state& generator, milliseconds time, asio::yield_context yield) {
     if (time.count() == 0) {
         return;
     }
     boost::system::error_code ec;
-    asio::steady_timer timer(g.m_context, time);
+    asio::steady_timer timer(generator.m_context, time);
     timer.async_wait(yield[ec]);
 }
 
 // Sends one request to a random target and, where wanted, again to others; then counts it.
-void run_request(generator& g, asio::yield_context yield) {
-    request_record r = next_request(g);
+void run_request(generator_state& generator, asio::yield_context yield) {
+    request_record record = make_request(generator);
     const time_point start = steady_clock::now();
-    const milliseconds client_delay(g.m_options.m_client_delay_ms);
-    const milliseconds timeout = g.m_options.m_deadline_ms > 0
-                                     ? milliseconds(g.m_options.m_deadline_ms) + deadline_grace
-                                     : answer_timeout;
-    r.m_sent_ms = now_unix_ms();
-    g.m_last_sent = start;
-    ++g.m_in_flight;
-    g.m_max_in_flight = std::max(g.m_max_in_flight, g.m_in_flight);
-    const client_request request = to_http(g, r);
-    std::uint64_t target = g.m_random.below(g.m_targets.size());
+    const milliseconds client_delay(generator.m_options.m_client_delay_ms);
+    const milliseconds timeout =
+        generator.m_options.m_deadline_ms > 0
+            ? milliseconds(generator.m_options.m_deadline_ms) + deadline_grace
+            : default_answer_timeout;
+    record.m_sent_ms = now_unix_ms();
+    generator.m_last_sent = start;
+    ++generator.m_in_flight;
+    generator.m_max_in_flight = std::max(generator.m_max_in_flight, generator.m_in_flight);
+    const client_request request = to_http_request(generator, record);
+    std::uint64_t target = generator.m_random.below(generator.m_targets.size());
     do {
-        if (r.m_attempts > 0) {
-            ++g.m_resent;
-            target = (target + 1) % g.m_targets.size();
+        if (record.m_attempts > 0) {
+            ++generator.m_resent;
+            target = (target + 1) % generator.m_targets.size();
         }
-        ++r.m_attempts;
+        ++record.m_attempts;
         client_answer answer;
-        pause(g, client_delay, yield);
-        const exchange_end end =
-            g.m_targets[target]->exchange(request, answer, steady_clock::now() + timeout, yield);
-        pause(g, client_delay, yield);
-        judge(g, r, end, answer);
-    } while (wants_resend(g, r));
-    r.m_ended_ms = now_unix_ms();
-    r.m_latency_us = static_cast<std::uint64_t>(
+        wait_for(generator, client_delay, yield);
+        const exchange_result result = generator.m_targets[target]->exchange(
+            request, answer, steady_clock::now() + timeout, yield);
+        wait_for(generator, client_delay, yield);
+        classify_attempt(generator, record, result, answer);
+    } while (should_resend(generator, record));
+    record.m_ended_ms = now_unix_ms();
+    record.m_latency_us = static_cast<std::uint64_t>(
         std::chrono::duration_cast<std::chrono::microseconds>(steady_clock::now() - start).count());
-    --g.m_in_flight;
-    finish(g, r);
+    --generator.m_in_flight;
+    record_result(generator, record);
 }
 
-bool ended(const generator& g) {
-    const auto requests = static_cast<std::uint64_t>(g.m_options.m_requests);
-    return g.m_stopping || (requests > 0 && g.m_issued >= requests) ||
-           steady_clock::now() - g.m_started >=
-               std::chrono::duration<double>(g.m_options.m_duration_s);
+bool is_finished(const generator_state& generator) {
+    const auto requests = static_cast<std::uint64_t>(generator.m_options.m_requests);
+    return generator.m_stopping || (requests > 0 && generator.m_issued >= requests) ||
+           steady_clock::now() - generator.m_started >=
+               std::chrono::duration<double>(generator.m_options.m_duration_s);
 }
 
 // Starts requests at exponentially distributed intervals, whether or not earlier ones have ended.
-void open_loop(generator& g, asio::yield_context yield) {
-    asio::steady_timer timer(g.m_context);
+void run_open_loop(generator_state& generator, asio::yield_context yield) {
+    asio::steady_timer timer(generator.m_context);
     time_point next = steady_clock::now();
-    while (!ended(g)) {
-        next += std::chrono::duration_cast<duration>(
-            std::chrono::duration<double>(-std::log(1.0 - g.m_random.unit()) / g.m_options.m_rate));
+    while (!is_finished(generator)) {
+        next += std::chrono::duration_cast<duration>(std::chrono::duration<double>(
+            -std::log(1.0 - generator.m_random.unit()) / generator.m_options.m_rate));
         if (next > steady_clock::now()) {
             boost::system::error_code ec;
             timer.expires_at(next);
             timer.async_wait(yield[ec]);
         } else {
-            asio::post(g.m_context, yield); // behind the schedule: lets answers be read
+            asio::post(generator.m_context, yield); // behind the schedule: lets answers be read
         }
-        if (ended(g)) {
+        if (is_finished(generator)) {
             break;
         }
-        if (g.m_in_flight >= max_in_flight) {
-            ++g.m_not_sent;
+        if (generator.m_in_flight >= max_in_flight) {
+            ++generator.m_not_sent;
             continue;
         }
         asio::spawn(
-            g.m_context, [&g](asio::yield_context inner) { run_request(g, inner); },
+            generator.m_context,
+            [&generator](asio::yield_context inner_yield) { run_request(generator, inner_yield); },
             asio::detached);
     }
 }
 
-json::object summary(const generator& g) {
-    const double elapsed_s = std::chrono::duration<double>(g.m_last_sent - g.m_started).count();
-    const auto outcome = [&g](const char* name) {
-        const auto found = g.m_all.m_outcomes.m_counts.find(name);
-        return found == g.m_all.m_outcomes.m_counts.end() ? 0 : found->second;
+json::object summary(const generator_state& generator) {
+    const double elapsed_s =
+        std::chrono::duration<double>(generator.m_last_sent - generator.m_started).count();
+    const auto outcome = [&generator](const char* name) {
+        const auto found = generator.m_totals.m_outcomes.m_counts.find(name);
+        return found == generator.m_totals.m_outcomes.m_counts.end() ? 0 : found->second;
     };
     json::object by_path;
-    for (const auto& [path, counted] : g.m_by_path) {
+    for (const auto& [path, counted] : generator.m_by_path) {
         by_path[path] = counted.summary();
     }
     json::object by_version;
-    for (const auto& [version, counted] : g.m_by_version) {
+    for (const auto& [version, counted] : generator.m_by_version) {
         by_version[version] = counted.summary();
     }
-    return {{"run_id", g.m_options.m_run_id},
-            {"seed", g.m_options.m_seed},
-            {"sent", g.m_issued},
-            {"keyed", g.m_keyed},
-            {"resent", g.m_resent},
-            {"not_sent", g.m_not_sent},
-            {"answered", outcome("answered")},
-            {"not_run", outcome("not-run")},
-            {"not_run_reasons", g.m_not_run_reasons.summary()},
-            {"unknown", outcome("unknown")},
-            {"deadline", outcome("deadline")},
-            {"crossed", outcome("crossed")},
-            {"cut", outcome("cut")},
-            {"lost", outcome("lost")},
-            {"other_reasons", g.m_other_reasons.summary()},
-            {"status", g.m_all.m_statuses.summary()},
-            {"latency_us", g.m_all.m_latency.summary()},
-            {"by_path", by_path},
-            {"by_version", by_version},
-            {"max_in_flight", g.m_max_in_flight},
-            {"elapsed_s", elapsed_s},
-            {"rate_per_s", elapsed_s > 0 ? static_cast<double>(g.m_issued) / elapsed_s : 0.0}};
+    return {
+        {"run_id", generator.m_options.m_run_id},
+        {"seed", generator.m_options.m_seed},
+        {"sent", generator.m_issued},
+        {"keyed", generator.m_keyed},
+        {"resent", generator.m_resent},
+        {"not_sent", generator.m_not_sent},
+        {"answered", outcome("answered")},
+        {"not_run", outcome("not-run")},
+        {"not_run_reasons", generator.m_not_run_reasons.summary()},
+        {"unknown", outcome("unknown")},
+        {"deadline", outcome("deadline")},
+        {"crossed", outcome("crossed")},
+        {"cut", outcome("cut")},
+        {"lost", outcome("lost")},
+        {"other_reasons", generator.m_other_reasons.summary()},
+        {"status", generator.m_totals.m_statuses.summary()},
+        {"latency_us", generator.m_totals.m_latency.summary()},
+        {"by_path", by_path},
+        {"by_version", by_version},
+        {"max_in_flight", generator.m_max_in_flight},
+        {"elapsed_s", elapsed_s},
+        {"rate_per_s", elapsed_s > 0 ? static_cast<double>(generator.m_issued) / elapsed_s : 0.0}};
 }
 
 // Writes the summary to the file, or to standard output without one.
-void write_summary(const generator& g) {
-    std::FILE* out =
-        g.m_options.m_out.empty() ? stdout : std::fopen(g.m_options.m_out.c_str(), "w");
+void write_summary(const generator_state& generator) {
+    std::FILE* out = generator.m_options.m_summary_path.empty()
+                         ? stdout
+                         : std::fopen(generator.m_options.m_summary_path.c_str(), "w");
     if (out == nullptr) {
-        exit_with({error_kind::invalid_settings, "can't write " + g.m_options.m_out});
+        exit_with_error(
+            {error_kind::invalid_settings, "can't write " + generator.m_options.m_summary_path});
     }
-    const std::string text = json::serialize(summary(g)) + "\n";
+    const std::string text = json::serialize(summary(generator)) + "\n";
     std::fwrite(text.data(), 1, text.size(), out);
     std::fclose(out);
-    if (g.m_records != nullptr) {
-        std::fclose(g.m_records);
+    if (generator.m_records != nullptr) {
+        std::fclose(generator.m_records);
     }
 }
 
 // Runs the load, waits for the last answers and writes the summary.
-void run(generator& g, asio::yield_context yield) {
-    g.m_started = steady_clock::now();
-    if (g.m_options.m_rate > 0) {
-        open_loop(g, yield);
+void run_load(generator_state& generator, asio::yield_context yield) {
+    generator.m_started = steady_clock::now();
+    if (generator.m_options.m_rate > 0) {
+        run_open_loop(generator, yield);
     } else {
-        for (std::int64_t i = 0; i < g.m_options.m_concurrency; ++i) {
+        for (std::int64_t i = 0; i < generator.m_options.m_concurrency; ++i) {
             asio::spawn(
-                g.m_context,
-                [&g](asio::yield_context inner) {
-                    while (!ended(g)) {
-                        run_request(g, inner);
+                generator.m_context,
+                [&generator](asio::yield_context inner_yield) {
+                    while (!is_finished(generator)) {
+                        run_request(generator, inner_yield);
                     }
                 },
                 asio::detached);
         }
     }
-    while (!ended(g) || g.m_in_flight > 0) {
-        pause(g, milliseconds(5), yield);
+    while (!is_finished(generator) || generator.m_in_flight > 0) {
+        wait_for(generator, milliseconds(5), yield);
     }
-    write_summary(g);
-    g.m_context.stop();
+    write_summary(generator);
+    generator.m_context.stop();
 }
 
 weighted_path parse_path_or_exit(const std::string& text) {
@@ -517,7 +531,7 @@
     }
     const auto weight = to_number(std::string_view(text).substr(colon + 1));
     if (!weight || *weight < 1) {
-        exit_with({error_kind::usage, "'" + text + "' is not PATH[:WEIGHT]"});
+        exit_with_error({error_kind::usage, "'" + text + "' is not PATH[:WEIGHT]"});
     }
     return {text.substr(0, colon), static_cast<std::uint64_t>(*weight)};
 }
@@ -528,7 +542,7 @@
 int main(int argc, const char** argv) {
     using namespace caraway;
     using namespace caraway::standins;
-    generator_options o;
+    generator_options options;
     std::vector<std::string> targets;
     std::vector<std::string> paths;
     parse_command_line_or_exit(
@@ -536,41 +550,44 @@
         std::vector<option_spec>{
             {"target", &targets, "IP:PORT of an entry, repeated"},
             {"path", &paths, "PATH[:WEIGHT], repeated"},
-            {"rate", &o.m_rate, "requests a second, open loop; 0 for a fixed concurrency"},
-            {"concurrency", &o.m_concurrency, "requests under way at any time"},
-            {"duration-s", &o.m_duration_s, "longest time in which requests start"},
-            {"requests", &o.m_requests, "most requests, 0 for no limit"},
-            {"seed", &o.m_seed, "seed of arrivals, paths, bodies and targets"},
-            {"body-bytes", &o.m_body_bytes, "size of the request body; 0 sends GET"},
-            {"response-bytes", &o.m_response_bytes, "size of the answer asked for"},
-            {"deadline-ms", &o.m_deadline_ms, "deadline of each request, 0 for none"},
-            {"keyed-permille", &o.m_keyed_permille, "share with an idempotency key"},
-            {"resend", &o.m_resend, "send keyed requests again on unknown or a cut"},
-            {"chain", &o.m_chain, "value of x-chain: paths of onward calls"},
-            {"client-delay-ms", &o.m_client_delay_ms, "time to the entry, each way"},
-            {"out", &o.m_out, "file for the JSON summary"},
-            {"records", &o.m_records, "file for one JSON line per request"},
-            {"run-id", &o.m_run_id, "prefix of request numbers"}});
-    if (targets.empty() || (o.m_rate <= 0 && o.m_concurrency <= 0)) {
-        exit_with({error_kind::usage, "--target and one of --rate and --concurrency are needed"});
+            {"rate", &options.m_rate, "requests a second, open loop; 0 for a fixed concurrency"},
+            {"concurrency", &options.m_concurrency, "requests under way at any time"},
+            {"duration-s", &options.m_duration_s, "longest time in which requests start"},
+            {"requests", &options.m_requests, "most requests, 0 for no limit"},
+            {"seed", &options.m_seed, "seed of arrivals, paths, bodies and targets"},
+            {"body-bytes", &options.m_body_bytes, "size of the request body; 0 sends GET"},
+            {"response-bytes", &options.m_response_bytes, "size of the answer asked for"},
+            {"deadline-ms", &options.m_deadline_ms, "deadline of each request, 0 for none"},
+            {"keyed-permille", &options.m_keyed_permille, "share with an idempotency key"},
+            {"resend", &options.m_resend, "send keyed requests again on unknown or a cut"},
+            {"chain", &options.m_chain, "value of x-chain: paths of onward calls"},
+            {"client-delay-ms", &options.m_client_delay_ms, "time to the entry, each way"},
+            {"out", &options.m_summary_path, "file for the JSON summary"},
+            {"records", &options.m_records, "file for one JSON line per request"},
+            {"run-id", &options.m_run_id, "prefix of request numbers"}});
+    if (targets.empty() || (options.m_rate <= 0 && options.m_concurrency <= 0)) {
+        exit_with_error(
+            {error_kind::usage, "--target and one of --rate and --concurrency are needed"});
     }
     boost::asio::io_context context(1);
-    generator g(context, o);
+    generator_state generator(context, options);
     for (const std::string& target : targets) {
-        g.m_targets.push_back(std::make_unique<http_client>(context, endpoint_or_exit(target)));
+        generator.m_targets.push_back(
+            std::make_unique<http_client>(context, endpoint_or_exit(target)));
     }
     for (const std::string& path : paths.empty() ? std::vector<std::string>{"/"} : paths) {
-        g.m_paths.push_back(parse_path_or_exit(path));
-        g.m_total_weight += g.m_paths.back().m_weight;
+        generator.m_paths.push_back(parse_path_or_exit(path));
+        generator.m_total_weight += generator.m_paths.back().m_weight;
     }
-    if (!o.m_records.empty()) {
-        g.m_records = std::fopen(o.m_records.c_str(), "w");
-        if (g.m_records == nullptr) {
-            exit_with({error_kind::invalid_settings, "can't write " + o.m_records});
+    if (!options.m_records.empty()) {
+        generator.m_records = std::fopen(options.m_records.c_str(), "w");
+        if (generator.m_records == nullptr) {
+            exit_with_error({error_kind::invalid_settings, "can't write " + options.m_records});
         }
     }
     boost::asio::spawn(
-        context, [&](boost::asio::yield_context yield) { run(g, yield); }, boost::asio::detached);
-    log_line("info", "started", {{"program", "load_generator"}, {"run_id", o.m_run_id}});
-    run_until_signal(context, [&] { g.m_stopping = true; });
+        context, [&](boost::asio::yield_context yield) { run_load(generator, yield); },
+        boost::asio::detached);
+    log_line("info", "started", {{"program", "load_generator"}, {"run_id", options.m_run_id}});
+    run_until_signal(context, [&] { generator.m_stopping = true; });
 }
