--- a/standins/backend_server_main.cpp
+++ b/standins/backend_server_main.cpp
@@ -1,5 +1,5 @@
-// Stand-in for a backend server instance: slots, connection cost, cold start, draining, load
-// shedding, health that can mislead, and the defects that a bad version shows.
+// Stand-in for a backend server instance. Simulates concurrency slots, connection cost, cold start,
+// draining, load shedding, misleading health answers and the defects of a bad version.
 #include <algorithm>
 #include <deque>
 #include <list>
@@ -24,20 +24,23 @@
 namespace json = boost::json;
 using std::chrono::steady_clock;
 
-constexpr std::size_t max_queued_calls = 4;       // calls that wait for a slot
-constexpr double cold_slowdown = 4.0;             // added share of handler time when quite cold
-constexpr double max_coldness_under_load = 0.125; // coldness above which load makes it fall over
-constexpr double warm_up_calls_per_slot = 25;     // calls that warm one slot
-constexpr std::chrono::seconds overload_failure_time{1}; // failing time after it fell over
-constexpr double slow_version_factor = 5.0;              // handler time of a slow version
-constexpr std::size_t max_counted_requests = 1'000'000;  // request numbers counted
-constexpr std::size_t max_listed_duplicates = 1'000;     // request numbers listed as run twice
-constexpr std::size_t max_answer_bytes = 8U << 20U;      // x-response-bytes above it is cut to it
+constexpr std::size_t max_queued_calls = 4; // calls that wait for a slot; more are shed
+// Relative increase of the handler time of a completely cold instance, which takes 5 times as long.
+constexpr double cold_slowdown = 4.0;
+// An instance that is colder than this counts as cold, and load makes it fail.
+constexpr double max_coldness_under_load = 0.125;
+constexpr double warm_up_calls_per_slot = 25;            // answered calls that warm up one slot
+constexpr std::chrono::seconds overload_failure_time{1}; // duration of a failure under load
+constexpr double slow_version_factor = 5.0; // multiplies the handler time of a slow version
+constexpr std::size_t max_counted_requests = 1'000'000; // distinct request numbers
+constexpr std::size_t max_listed_duplicates = 1'000;    // request numbers run repeatedly
+constexpr std::size_t max_answer_bytes = 8U << 20U;     // upper bound of x-response-bytes
 constexpr std::chrono::seconds drain_timeout{30};
 constexpr milliseconds health_sample_interval{500};
 constexpr std::size_t health_lag_samples = 10;         // 5 s
-constexpr milliseconds default_onward_timeout{30'000}; // of a call without a deadline
+constexpr milliseconds default_onward_timeout{30'000}; // for calls without a deadline
 
+// Command-line options, some of which the control address can change at run time.
 struct backend_options {
     std::string m_instance = "backend-1";
     std::string m_service = "service";
@@ -45,9 +48,11 @@
     std::string m_behaviour = "good";
     std::string m_behaviour_route;
     std::string m_health = "honest";
-    std::int64_t m_behaviour_permille = -1;
+    std::int64_t m_behaviour_permille = -1; // share of calls affected, -1: default
+
     std::int64_t m_behaviour_after_s = 10;
-    std::int64_t m_behaviour_after_calls = 0;
+    std::int64_t m_behaviour_after_calls = 0; // 0: no such limit
+
     std::int64_t m_slots = 12;
     std::int64_t m_connections = 110;
     std::int64_t m_connection_ms = 1;
@@ -59,6 +64,7 @@
     std::int64_t m_seed = 1;
 };
 
+// Counts since the start. Times are in Unix milliseconds, 0 if the event has not happened.
 struct counters {
     std::uint64_t m_started = 0;
     std::uint64_t m_answered = 0;
@@ -72,15 +78,17 @@
     std::int64_t m_max_concurrency = 0;
     std::int64_t m_first_started_ms = 0;
     std::int64_t m_last_started_ms = 0;
-    std::int64_t m_first_defect_ms = 0;       // first call that the version's defect touched
-    std::uint64_t m_uncounted_executions = 0; // executions above max_recorded
+    std::int64_t m_first_defect_ms = 0;       // first call affected by the version's defect
+    std::uint64_t m_uncounted_executions = 0; // of request numbers above max_counted_requests
 };
 
+// A call in the queue. m_granted is set when it receives a slot.
 struct waiting_call {
     http_call* m_call;
     bool m_granted = false;
 };
 
+// State of the instance. Used by one thread only.
 struct backend_state {
     backend_state(asio::io_context& context, const backend_options& options)
         : m_context(context), m_options(options),
@@ -97,14 +105,17 @@
     double m_served_since_cold = 0;
     time_point m_overload_failure_until{};
     bool m_draining = false;
-    std::unordered_map<std::uint64_t, std::uint32_t> m_executions; // by hash of request number
-    std::map<std::string, std::uint32_t> m_duplicates;             // listed request numbers
-    std::uint64_t m_duplicate_count = 0;
+    std::unordered_map<std::uint64_t, std::uint32_t>
+        m_executions;                                  // count by hash of the request number
+    std::map<std::string, std::uint32_t> m_duplicates; // count by request number, limited
+    std::uint64_t m_duplicate_count = 0; // request numbers run more than once, not limited
+
     std::deque<json::object> m_health_samples;
-    std::unique_ptr<http_client> m_egress;
+    std::unique_ptr<http_client> m_egress; // to the own node, null without --egress
 };
 
-// 1 when quite cold, 0 when warm. Served calls and time both warm it.
+// Returns how cold the instance is, from 1 (completely cold) to 0 (warm). Both answered calls and
+// elapsed time warm it up. Exceeds 1 while the start of the cold period lies in the future.
 double coldness(const backend_state& backend) {
     if (backend.m_options.m_cold_s <= 0) {
         return 0;
@@ -117,20 +128,25 @@
                              backend.m_served_since_cold / warm_up_calls);
 }
 
+// Returns whether the instance is cold enough to fail under load.
 bool is_cold(const backend_state& backend) {
     return coldness(backend) > max_coldness_under_load;
 }
 
+// Restarts the cold start at the given time. A time in the distant past makes the instance warm.
 void set_cold_since(backend_state& backend, time_point since) {
     backend.m_cold_since = since;
     backend.m_served_since_cold = 0;
 }
 
+// Returns whether the instance currently fails all calls because it was loaded while cold.
 bool has_overload_failure(const backend_state& backend) {
     return steady_clock::now() < backend.m_overload_failure_until;
 }
 
-// Takes a slot, waiting in the queue until the deadline. Returns false when the call must not run.
+// Acquires a slot, waiting in the queue until the deadline if none is free. Returns false if the
+// call must not run: the queue is full, the deadline has passed or the caller has closed its
+// connection.
 bool take_slot(backend_state& backend, http_call& call, time_point deadline,
                asio::yield_context yield) {
     if (backend.m_occupied_slots < backend.m_options.m_slots) {
@@ -147,7 +163,7 @@
     return granted;
 }
 
-// Gives the slot to the first waiting call, or frees it.
+// Passes the slot to the first waiting call whose caller is still connected, or frees it.
 void release_slot(backend_state& backend) {
     for (waiting_call& waiting : backend.m_queue) {
         if (!waiting.m_granted && !waiting.m_call->m_caller_closed) {
@@ -159,6 +175,7 @@
     --backend.m_occupied_slots;
 }
 
+// Counts a handler run and how often its request number has run. An empty number is not tracked.
 void record_execution(backend_state& backend, const std::string& request_number) {
     counters& counts = backend.m_counters;
     ++counts.m_started;
@@ -187,13 +204,15 @@
     }
 }
 
-// What the version's defect does to one call.
+// Effect of the version's defect on one call.
 enum class defect { none, fails, slow };
 
-// Share of calls that a defect touches when the option isn't given: failing versions fail in part,
-// slow ones are slow throughout.
+// Share of calls that a failing version fails by default. A slow version slows down all calls by
+// default.
 constexpr std::uint64_t default_failing_permille = 300;
 
+// Decides at random, according to the configured behaviour, how the defect affects one call.
+// Records the time of the first affected call.
 defect draw_defect(backend_state& backend, const std::string& path) {
     const backend_options& options = backend.m_options;
     const std::string& behaviour = options.m_behaviour;
@@ -223,7 +242,7 @@
     return slow ? defect::slow : defect::fails;
 }
 
-// A refusal of a call whose handler did not run.
+// Counts a call as shed and returns the refusal. The header states that the handler did not run.
 http_answer shed_answer(backend_state& backend, unsigned status) {
     ++backend.m_counters.m_shed;
     http_answer answer =
@@ -233,7 +252,8 @@
     return answer;
 }
 
-// The answer of a handler that ran.
+// Returns the answer of a handler that ran. The body identifies the request and the instance, and
+// is padded to the size in x-response-bytes.
 http_answer handler_answer(backend_state& backend, const http_call& call, unsigned status) {
     json::object body{{"instance", backend.m_options.m_instance},
                       {"version", backend.m_options.m_version},
@@ -254,8 +274,8 @@
     return answer;
 }
 
-// Calls the first path of the chain through the own node. Returns nothing on success, else the
-// answer for the caller.
+// Calls the first path in x-chain through the own node and passes on the rest of the chain. Returns
+// nothing on success or without a chain; otherwise returns the error answer for the caller.
 std::optional<http_answer> call_onward(backend_state& backend, http_call& call, time_point deadline,
                                        asio::yield_context yield) {
     const std::string_view chain = find_header(call.m_headers, "x-chain");
@@ -272,7 +292,7 @@
             request.m_headers.emplace_back(name, value);
         }
     }
-    // A suffix keeps numbers and keys unique for each hop, also when a service comes up twice.
+    // The suffix keeps numbers and keys unique for each hop, even if a service occurs twice.
     for (const char* name : {"x-request-number", "idempotency-key"}) {
         if (const std::string_view value = find_header(call.m_headers, name); !value.empty()) {
             request.m_headers.emplace_back(name, std::string(value) + ".1");
@@ -311,7 +331,8 @@
     return answer;
 }
 
-// Runs the handler of a call that holds a slot.
+// Runs the handler of a call that holds a slot. A cold instance that is loaded fails all calls for
+// overload_failure_time and is completely cold afterwards.
 http_answer run_handler(backend_state& backend, http_call& call, time_point deadline,
                         asio::yield_context yield) {
     record_execution(backend, std::string(find_header(call.m_headers, "x-request-number")));
@@ -360,6 +381,7 @@
     return handler_answer(backend, call, 200);
 }
 
+// Returns the true health, in the form of a health answer.
 json::object current_health(const backend_state& backend) {
     const bool healthy = !has_overload_failure(backend) && !backend.m_draining;
     return {{"healthy", healthy},
@@ -368,6 +390,8 @@
                                   std::max<std::int64_t>(1, backend.m_options.m_slots)}};
 }
 
+// Answers GET /healthz after the probe's cost. The answer is wrong if the health option is "lying"
+// and 5 s old if it is "lagging".
 http_answer answer_health_probe(backend_state& backend, http_call& call,
                                 asio::yield_context yield) {
     ++backend.m_counters.m_probes;
@@ -381,7 +405,8 @@
     return json_answer(body, body["healthy"].as_bool() ? 200 : 503);
 }
 
-// Answers one call: slot, handler, then the faults of the answer. A probe occupies a slot too.
+// Answers one call: acquires a slot, runs the handler and applies the faults of the answer. A
+// health probe occupies a slot as well.
 http_answer handle_call(backend_state& backend, http_call& call, asio::yield_context yield) {
     if (backend.m_draining && call.m_path != "/healthz") {
         return shed_answer(backend, 503);
@@ -407,6 +432,7 @@
     return answer;
 }
 
+// Returns the counters for GET /control/executions.
 json::object execution_report(const backend_state& backend, const http_server& server) {
     const counters& counts = backend.m_counters;
     json::object duplicates;
@@ -437,7 +463,7 @@
             {"accepted_connections", server.accepted_connections()}};
 }
 
-// Applies one change of the control path. Returns false for an unknown name or a wrong type.
+// Applies one field of a control request. Returns false for an unknown name or a wrong type.
 bool apply_control_option(backend_state& backend, std::string_view key, const json::value& value) {
     backend_options& options = backend.m_options;
     if (key == "cold" && value.is_bool()) {
@@ -486,6 +512,7 @@
     return false;
 }
 
+// Answers a request to the control address. The fields that precede a rejected one stay applied.
 http_answer handle_control(backend_state& backend, const http_server& server,
                            const http_call& call) {
     if (call.m_path == "/control/executions") {
@@ -500,7 +527,7 @@
     json::error_code ec;
     const json::value body = json::parse(call.m_body, ec);
     if (call.m_method != "POST" || call.m_path != "/control" || ec || !body.is_object()) {
-        return json_answer(json::object{{"error", "bad control request"}}, 400);
+        return json_answer(json::object{{"error", "malformed control request"}}, 400);
     }
     for (const auto& [key, value] : body.as_object()) {
         if (!apply_control_option(backend, key, value)) {
@@ -510,7 +537,8 @@
     return json_answer(json::object{{"ok", true}});
 }
 
-// Keeps the health of the last seconds for the lagging health answer.
+// Samples the health periodically and keeps the samples that the lagging health answer needs. Does
+// not return.
 void sample_health(backend_state& backend, asio::yield_context yield) {
     asio::steady_timer timer(backend.m_context);
     for (;;) {
@@ -524,7 +552,8 @@
     }
 }
 
-// Refuses new work, waits for the calls in progress, then stops.
+// Refuses new calls, waits for the calls in progress, at most for drain_timeout, and stops the
+// context.
 void drain(backend_state& backend, http_server& server, asio::yield_context yield) {
     backend.m_draining = true;
     server.stop_accepting();
@@ -554,25 +583,26 @@
         argc, argv,
         std::vector<option_spec>{
             {"listen", &listen, "IP:PORT for calls"},
-            {"control", &control_address, "IP:PORT for faults and counts"},
+            {"control", &control_address, "IP:PORT for fault injection and counters"},
             {"egress", &egress, "IP:PORT of the node for onward calls"},
             {"instance", &options.m_instance, "name of the instance"},
             {"service", &options.m_service, "name of the service"},
             {"version", &options.m_version, "version of the backend server"},
-            {"slots", &options.m_slots, "calls handled at the same time"},
-            {"connections", &options.m_connections, "connections; more are reset"},
-            {"connection-ms", &options.m_connection_ms, "cost of a new connection"},
-            {"probe-ms", &options.m_probe_ms, "cost of GET /healthz"},
+            {"slots", &options.m_slots, "maximum calls handled concurrently"},
+            {"connections", &options.m_connections, "maximum connections; more are reset"},
+            {"connection-ms", &options.m_connection_ms, "delay for accepting a connection"},
+            {"probe-ms", &options.m_probe_ms, "duration of GET /healthz"},
             {"health", &options.m_health, "honest, lagging (5 s old) or lying"},
             {"service-ms", &options.m_service_ms, "mean handler time"},
-            {"cold-s", &options.m_cold_s, "longest cold start, 0 for none"},
+            {"cold-s", &options.m_cold_s, "maximum duration of a cold start, 0 for none"},
             {"behaviour", &options.m_behaviour,
              "good, fails, fails_later, slow, slow_under_load, route_bad"},
             {"behaviour-permille", &options.m_behaviour_permille,
-             "share of calls touched, -1: 300, or 1000 for the slow ones"},
-            {"behaviour-after-s", &options.m_behaviour_after_s, "fails_later: good for so long"},
+             "share of calls affected; -1: 300, or 1000 for slow behaviours"},
+            {"behaviour-after-s", &options.m_behaviour_after_s,
+             "fails_later: time before the first failure"},
             {"behaviour-after-calls", &options.m_behaviour_after_calls,
-             "fails_later: good for so many calls, 0: no such limit"},
+             "fails_later: calls before the first failure, 0 for no such limit"},
             {"behaviour-route", &options.m_behaviour_route, "route_bad: path prefix"},
             {"seed", &options.m_seed, "seed of handler times and failures"}});
     boost::asio::io_context context(1);
--- a/standins/common.cpp
+++ b/standins/common.cpp
@@ -15,13 +15,15 @@
 namespace caraway::standins {
 namespace {
 
+// Parses a number that makes up the whole text. Returns false for anything else.
 template <typename T>
 bool parse_number(std::string_view text, T& value) {
     auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
     return ec == std::errc() && end == text.data() + text.size();
 }
 
-// Stores one option's value; false if it isn't a number where one is needed.
+// Stores the value of one option in its variable. Returns false if the option requires a number and
+// the text isn't one.
 bool store_option_value(const option_spec& option, const char* text) {
     if (auto* const* flag = std::get_if<bool*>(&option.m_value)) {
         **flag = true;
@@ -44,7 +46,8 @@
     return true;
 }
 
-// The default that --help prints beside an option.
+// Returns the text that --help prints for an option: its description and, for a number, its
+// default.
 std::string help_text(const option_spec& option) {
     if (auto* const* number = std::get_if<std::int64_t*>(&option.m_value)) {
         return fmt::format("{} ({})", option.m_help, **number);
@@ -60,7 +63,8 @@
 bool parse_command_line(int argc, const char** argv, std::span<const option_spec> options,
                         error& reason) {
     std::vector<poptOption> table;
-    std::deque<std::string> help_texts; // popt keeps pointers, a deque keeps them valid
+    std::deque<std::string>
+        help_texts; // popt keeps pointers to the texts, which stay valid while a deque grows
     for (std::size_t i = 0; i < options.size(); ++i) {
         const bool flag = std::holds_alternative<bool*>(options[i].m_value);
         help_texts.push_back(help_text(options[i]));
@@ -78,7 +82,8 @@
         const option_spec& option = options[static_cast<std::size_t>(index) - 1];
         const std::unique_ptr<char, void (*)(void*)> text(poptGetOptArg(context.get()), std::free);
         if (!store_option_value(option, text.get())) {
-            fail(reason, error_kind::usage, fmt::format("--{}: bad value", option.m_name));
+            fail(reason, error_kind::usage,
+                 fmt::format("--{}: missing or malformed value", option.m_name));
             return false;
         }
     }
@@ -108,8 +113,8 @@
     if (colon == std::string_view::npos || !parse_number(text.substr(colon + 1), port)) {
         return fail(reason, error_kind::usage, fmt::format("'{}' is not IP:PORT", text));
     }
-    const auto address =
-        boost::asio::ip::make_address(std::string(text.substr(0, colon)), ec); // numbers only
+    const auto address = boost::asio::ip::make_address(std::string(text.substr(0, colon)),
+                                                       ec); // resolves no host names
     if (ec) {
         return fail(reason, error_kind::usage, fmt::format("'{}' is not IP:PORT", text));
     }
@@ -149,7 +154,7 @@
     });
     context.run();
     std::fflush(nullptr);
-    // Suspended coroutines refer to objects of main, so the process ends without unwinding them.
+    // Suspended coroutines refer to objects in main(), so the process exits without unwinding them.
     std::_Exit(0);
 }
 
--- a/standins/common.hpp
+++ b/standins/common.hpp
@@ -1,4 +1,5 @@
-// Command line, log line and signal handling shared by the stand-ins.
+// Command-line parsing, logging and signal handling for the stand-ins, the programs that replace
+// the users' store, backend servers, callers and network in tests.
 #pragma once
 
 #include <cstdint>
@@ -20,43 +21,50 @@
 
 namespace caraway::standins {
 
-// One command-line option with the variable that receives its value. A vector collects the values
-// of a repeated option; a bool is a flag without a value.
+// Describes one command-line option and points to the variable that receives its value, which must
+// outlive the parsing. A vector collects the values of a repeated option; a bool is a flag that
+// takes no value.
 struct option_spec {
     const char* m_name;
     std::variant<std::int64_t*, double*, std::string*, std::vector<std::string>*, bool*> m_value;
     const char* m_help;
 };
 
-// Parses the command line. --help prints the options and exits with 0. Returns false with kind
-// usage for an unknown option or a value that isn't a number where one is needed.
+// Parses the command line into the variables of the options. Returns false with an error of kind
+// usage for an unknown option, an unexpected argument or a value that isn't a number although the
+// option requires one. With --help, prints the options and exits the process with 0.
 bool parse_command_line(int argc, const char** argv, std::span<const option_spec> options,
                         error& reason);
 
-// Parses the command line; on a fault prints the reason and exits with the usage exit code.
+// Parses the command line like parse_command_line(). On an error, logs the reason and exits the
+// process with the exit code for usage errors.
 void parse_command_line_or_exit(int argc, const char** argv, std::span<const option_spec> options);
 
-// Parses IP:PORT. Fails with kind usage.
+// Parses IP:PORT; host names are not resolved. Returns nothing and an error of kind usage if the
+// text is malformed.
 std::optional<boost::asio::ip::tcp::endpoint> parse_endpoint(std::string_view text, error& reason);
 
-// Parses IP:PORT; on a fault prints the reason and exits with the usage exit code.
+// Parses IP:PORT. On an error, logs the reason and exits the process with the exit code for usage
+// errors.
 boost::asio::ip::tcp::endpoint endpoint_or_exit(std::string_view text);
 
-// Prints the reason as a JSON line and exits with the exit code of its kind.
+// Logs the error and exits the process with the exit code that belongs to its kind.
 [[noreturn]] void exit_with_error(const error& reason);
 
-// Writes one JSON line to standard error: time, level, event and the fields.
+// Writes one line of JSON to standard error with the time in Unix milliseconds, the level, the
+// event and the fields.
 void log_line(std::string_view level, std::string_view event, boost::json::object fields = {});
 
-// Runs the context until it is stopped, then exits the process with 0. On SIGTERM or SIGINT calls
-// on_stop, which stops the context when the program's work is finished. Does not return.
+// Runs the context until it is stopped, then exits the process with 0. On the first SIGTERM or
+// SIGINT calls on_signal, which must stop the context once the program has finished its work. Does
+// not return.
 [[noreturn]] void run_until_signal(boost::asio::io_context& context,
                                    std::function<void()> on_signal);
 
-// Milliseconds since the Unix epoch, now.
+// Returns the current time in milliseconds since the Unix epoch.
 std::int64_t now_unix_ms();
 
-// 64-bit xxHash (XXH64, seed 0) of the bytes as 16 hexadecimal digits.
+// Returns the 64-bit xxHash (XXH64, seed 0) of the bytes as 16 hexadecimal digits.
 std::string xxh64_hex(std::string_view bytes);
 
 } // namespace caraway::standins
--- a/standins/fault_proxy_main.cpp
+++ b/standins/fault_proxy_main.cpp
@@ -1,5 +1,5 @@
-// Stand-in for the network: forwards TCP connections and UDP datagrams over named links, with
-// delays, cuts, losses, truncation and bandwidth limits that can be changed while it runs.
+// Stand-in for the network. Forwards TCP connections and UDP datagrams over named links and injects
+// delay, loss, partitions, truncation and bandwidth limits, which can be changed at run time.
 #include <algorithm>
 #include <array>
 #include <deque>
@@ -30,34 +30,43 @@
 using boost::system::error_code;
 using std::chrono::steady_clock;
 
-constexpr std::size_t chunk_bytes = 16U << 10U;
-constexpr std::size_t datagram_bytes = 4U << 10U;   // longer datagrams are lost
-constexpr std::size_t max_queued_bytes = 1U << 20U; // per direction; above it reading pauses
-constexpr std::size_t max_udp_senders = 4096;       // per link; datagrams of more are lost
-// Senders idle for so long lose their socket: the descriptors of all pairs of a large mesh would
-// not fit into one process.
+constexpr std::size_t chunk_bytes = 16U << 10U; // read from a TCP socket at once
+
+constexpr std::size_t datagram_bytes = 4U << 10U;   // datagrams of this size or more are dropped
+constexpr std::size_t max_queued_bytes = 1U << 20U; // per direction; reading pauses above it
+constexpr std::size_t max_udp_senders =
+    4096; // per link; datagrams from further senders are dropped
+// A sender's socket is closed after this idle time, because one process doesn't have enough file
+// descriptors for all pairs of nodes in a large mesh.
 constexpr std::chrono::seconds udp_sender_idle{10};
-constexpr std::size_t max_held_datagrams = 1000; // of a frozen link; more are lost
+constexpr std::size_t max_held_datagrams = 1000; // on a frozen link; more are dropped
 
+// Direction of traffic on a link.
 enum direction : std::uint8_t { to_target, to_client };
 
+// Faults to inject on a link, set through the control address.
 struct link_faults {
     milliseconds m_delay{0};
-    bool m_cut = false;
-    bool m_freeze = false;
-    // Clients with these addresses are cut off; others pass.
+    bool m_cut = false; // drops datagrams, resets and refuses connections
+
+    bool m_freeze = false; // holds back all data until it is cleared
+
+    // Only clients with these addresses are cut off.
     std::set<asio::ip::address> m_cut_sources;
-    std::uint64_t m_loss_permille = 0;
-    std::optional<std::size_t> m_truncate_after; // for the next answer only
-    std::uint64_t m_bandwidth_kbps = 0;          // kilobits a second, 0: no limit
+    std::uint64_t m_loss_permille = 0; // datagrams dropped; for TCP, reads that reset
+
+    std::optional<std::size_t> m_truncate_after; // bytes; applies to one connection
+    std::uint64_t m_bandwidth_kbps = 0;          // kilobits per second, 0: no limit
 };
 
+// Bytes of a TCP connection with the time at which they are to be sent.
 struct chunk {
     time_point m_delivery_time;
     std::string m_bytes;
 };
 
-// One direction of a TCP connection: the reader queues chunks, the writer sends them when due.
+// One direction of a TCP connection. The read loop queues chunks and the write loop sends each at
+// its delivery time. Cancelling a timer wakes the loop that waits for it.
 struct tcp_flow {
     tcp_flow(asio::io_context& context, tcp::socket& from, tcp::socket& to)
         : m_from(from), m_to(to), m_reader_timer(context), m_writer_timer(context) {}
@@ -66,12 +75,13 @@
     tcp::socket& m_to;
     std::deque<chunk> m_queue;
     std::size_t m_queued_bytes = 0;
-    bool m_source_ended = false; // the source closed its side
+    bool m_source_ended = false; // the source has shut down its sending side
     std::optional<std::size_t> m_bytes_until_truncation;
     asio::steady_timer m_reader_timer;
     asio::steady_timer m_writer_timer;
 };
 
+// A forwarded TCP connection: the client's socket and the one to the target.
 struct tcp_pair {
     tcp_pair(asio::io_context& context, tcp::socket client)
         : m_client(std::move(client)), m_target(context),
@@ -89,7 +99,8 @@
     bool m_closed = false;
 };
 
-// The socket through which one UDP sender's datagrams reach the target.
+// A UDP client and the socket through which its datagrams reach the target. Replies arrive there
+// too.
 struct udp_sender {
     udp_sender(asio::io_context& context, udp::endpoint client)
         : m_client(client), m_upstream(context) {}
@@ -99,6 +110,7 @@
     time_point m_last_used;
 };
 
+// A named link with its sockets, faults and counters. Used by one thread only.
 struct network_link {
     explicit network_link(asio::io_context& context)
         : m_context(context), m_acceptor(context), m_socket(context) {}
@@ -106,7 +118,7 @@
     asio::io_context& m_context;
     std::string m_name;
     bool m_is_udp = false;
-    tcp::endpoint m_listen; // also the UDP address
+    tcp::endpoint m_listen; // holds the address of a UDP link as well
     tcp::endpoint m_target;
     link_faults m_faults;
     random_source m_random{1};
@@ -116,7 +128,7 @@
     std::map<udp::endpoint, std::shared_ptr<udp_sender>> m_senders;
     std::deque<std::function<void()>> m_held_datagrams;
     std::array<time_point, 2>
-        m_line_free_at{}; // when the last byte leaves at the limited bandwidth
+        m_line_free_at{}; // when the last byte so far is sent at the limited bandwidth
     std::array<std::uint64_t, 2> m_bytes{};
     std::array<std::uint64_t, 2> m_datagrams{};
     std::uint64_t m_connections = 0;
@@ -125,7 +137,8 @@
     std::uint64_t m_truncated = 0;
 };
 
-// When bytes that arrive now reach the other end, with bandwidth and delay.
+// Returns when bytes that arrive now reach the other end, given the link's bandwidth and delay.
+// Reserves the bandwidth for them.
 time_point delivery_time(network_link& link, direction flow_direction, std::size_t bytes) {
     const time_point now = steady_clock::now();
     if (link.m_faults.m_bandwidth_kbps == 0) {
@@ -137,14 +150,17 @@
     return line_free_at + link.m_faults.m_delay;
 }
 
+// Decides at random whether a datagram or a TCP read is lost.
 bool draw_loss(network_link& link) {
     return link.m_random.below(1000) < link.m_faults.m_loss_permille;
 }
 
+// Returns whether the client cannot reach the target through this link.
 bool is_cut_off(const network_link& link, const asio::ip::address& client) {
     return link.m_faults.m_cut || link.m_faults.m_cut_sources.contains(client);
 }
 
+// Wakes the loops of both directions, so that they check their state again.
 void wake_flows(tcp_pair& pair) {
     for (tcp_flow* flow : {&pair.m_upstream_flow, &pair.m_downstream_flow}) {
         flow->m_reader_timer.cancel();
@@ -152,7 +168,8 @@
     }
 }
 
-// Ends a connection: by reset, so that both ends see an error, or in order.
+// Closes both sockets of a connection, either with a TCP reset, which both ends observe as an
+// error, or in an orderly way.
 void close_pair(tcp_pair& pair, bool by_reset) {
     if (pair.m_closed) {
         return;
@@ -168,13 +185,15 @@
     wake_flows(pair);
 }
 
+// Suspends the coroutine until the deadline or until the timer is cancelled.
 void wait_until(asio::steady_timer& timer, time_point deadline, asio::yield_context yield) {
     error_code ec;
     timer.expires_at(deadline);
     timer.async_wait(yield[ec]);
 }
 
-// Reads one direction until its end and queues the chunks with the time at which they are due.
+// Reads one direction until its end and queues the chunks with their delivery times. A loss resets
+// the connection, because TCP itself would hide it by retransmission.
 void read_loop(network_link& link, tcp_pair& pair, tcp_flow& flow, direction flow_direction,
                asio::yield_context yield) {
     std::string buffer(chunk_bytes, '\0');
@@ -210,7 +229,9 @@
     }
 }
 
-// Limits a chunk of an answer that is to be truncated. Returns true when the answer ends with it.
+// Shortens a chunk if the truncation limit of its connection is reached. Returns true if the
+// connection must be closed after this chunk. The first connection that sends takes the link's
+// truncation fault.
 bool truncate(network_link& link, tcp_flow& flow, std::string& bytes) {
     if (link.m_faults.m_truncate_after && !flow.m_bytes_until_truncation) {
         flow.m_bytes_until_truncation = std::exchange(link.m_faults.m_truncate_after, std::nullopt);
@@ -226,7 +247,8 @@
     return true;
 }
 
-// Sends the queued chunks of one direction when they are due and the link isn't frozen.
+// Sends the queued chunks of one direction at their delivery times, but not while the link is
+// frozen.
 void write_loop(network_link& link, tcp_pair& pair, tcp_flow& flow, direction flow_direction,
                 asio::yield_context yield) {
     while (!pair.m_closed) {
@@ -264,7 +286,8 @@
     }
 }
 
-// Connects to the target and runs both directions of a connection.
+// Connects to the target and starts the loops of both directions. Resets the client's connection if
+// the target can't be reached.
 void run_pair(network_link& link, const std::shared_ptr<tcp_pair>& pair,
               asio::yield_context yield) {
     error_code ec;
@@ -278,7 +301,7 @@
     }
     pair->m_client.set_option(tcp::no_delay(true), ec);
     pair->m_target.set_option(tcp::no_delay(true), ec);
-    // The place in the list is given back when the last of the four loops has ended.
+    // Removes the pair from the list when the last of the four loops has ended.
     const std::shared_ptr<void> erase_on_end(
         nullptr, [&link, position](void*) { link.m_pairs.erase(position); });
     const auto spawn_loop = [&](auto loop, tcp_flow& flow, direction flow_direction) {
@@ -296,6 +319,8 @@
     spawn_loop(write_loop, pair->m_downstream_flow, to_client);
 }
 
+// Accepts the connections of a TCP link until its listening socket is closed. Resets those of
+// clients that are cut off.
 void accept_loop(network_link& link, asio::yield_context yield) {
     while (link.m_acceptor.is_open()) {
         error_code ec;
@@ -306,7 +331,8 @@
         }
         if (ec) {
             asio::steady_timer timer(link.m_context);
-            wait_until(timer, steady_clock::now() + milliseconds(10), yield); // out of descriptors
+            wait_until(timer, steady_clock::now() + milliseconds(10),
+                       yield); // retries later, probably out of file descriptors
             continue;
         }
         if (is_cut_off(link, socket.remote_endpoint(ec).address())) {
@@ -323,7 +349,7 @@
     }
 }
 
-// Opens the listening socket of a TCP link and starts to accept.
+// Opens the listening socket of a TCP link and starts to accept connections.
 error_code open_tcp(network_link& link) {
     error_code ec;
     link.m_acceptor.open(link.m_listen.protocol(), ec);
@@ -340,7 +366,8 @@
     return ec;
 }
 
-// Delivers a datagram after the link's delay, holds it while the link is frozen, or loses it.
+// Delivers a datagram after the link's delay or drops it. Holds it, up to a limit, while the link
+// is frozen.
 void forward_datagram(network_link& link, direction flow_direction, const asio::ip::address& client,
                       std::size_t bytes, std::function<void()> deliver) {
     if (is_cut_off(link, client) || draw_loss(link)) {
@@ -367,7 +394,7 @@
     timer->async_wait([timer, deliver_or_hold](error_code) { deliver_or_hold(); });
 }
 
-// Passes the target's datagrams back to one sender, until its socket is closed.
+// Forwards the target's replies to one sender until the sender's socket is closed.
 void reply_loop(network_link& link, const std::shared_ptr<udp_sender>& sender,
                 asio::yield_context yield) {
     std::string buffer(datagram_bytes, '\0');
@@ -379,7 +406,7 @@
             return;
         }
         if (ec) {
-            continue; // the target's port is closed: ICMP error of an earlier datagram
+            continue; // ICMP error for an earlier datagram: the target's port is closed
         }
         if (received_bytes == datagram_bytes) {
             ++link.m_lost_datagrams;
@@ -393,7 +420,7 @@
     }
 }
 
-// Closes the sockets of senders that have been idle.
+// Closes the sockets of the senders that have been idle for udp_sender_idle.
 void close_idle_senders(network_link& link) {
     const time_point idle_cutoff = steady_clock::now() - udp_sender_idle;
     std::erase_if(link.m_senders, [&](const auto& item) {
@@ -406,7 +433,8 @@
     });
 }
 
-// Returns the sender's own socket towards the target, opened when needed; null if it can't be.
+// Returns the sender with its own socket to the target, which is opened if necessary. Returns null
+// if the socket can't be opened or there are too many senders.
 std::shared_ptr<udp_sender> sender_for(network_link& link, const udp::endpoint& client) {
     const auto found = link.m_senders.find(client);
     if (found != link.m_senders.end()) {
@@ -430,6 +458,7 @@
     return sender;
 }
 
+// Receives the datagrams of a UDP link and forwards them to the target. Does not return.
 void datagram_loop(network_link& link, asio::yield_context yield) {
     std::string buffer(datagram_bytes, '\0');
     for (;;) {
@@ -438,7 +467,7 @@
         const std::size_t received_bytes =
             link.m_socket.async_receive_from(asio::buffer(buffer), client, yield[ec]);
         if (ec) {
-            continue; // ICMP error of an earlier datagram
+            continue; // ICMP error for an earlier datagram
         }
         const auto sender = sender_for(link, client);
         if (sender == nullptr || received_bytes == datagram_bytes) {
@@ -453,6 +482,7 @@
     }
 }
 
+// Opens the socket of a UDP link and starts to receive datagrams.
 error_code open_udp(network_link& link) {
     error_code ec;
     link.m_socket.open(link.m_listen.address().is_v4() ? udp::v4() : udp::v6(), ec);
@@ -466,7 +496,8 @@
     return ec;
 }
 
-// Parses NAME=tcp|udp,LISTEN,TARGET and opens the link; exits with the reason on a fault.
+// Parses NAME=tcp|udp,LISTEN,TARGET and opens the link. On an error, logs the reason and exits the
+// process.
 std::unique_ptr<network_link> open_link_or_exit(asio::io_context& context,
                                                 const std::string& text) {
     const std::size_t equals = text.find('=');
@@ -492,8 +523,9 @@
     return opened;
 }
 
-// Brings sockets and waiting bytes in line with changed faults. Returns false if the listening
-// socket can't be opened again.
+// Puts changed faults into effect: closes or reopens the listening socket, resets the connections
+// that are cut off and, unless the link is frozen, releases held data. Returns false if the
+// listening socket can't be opened again.
 bool apply_faults(network_link& link) {
     if (!link.m_is_udp && link.m_faults.m_cut) {
         error_code ec;
@@ -518,7 +550,7 @@
     return true;
 }
 
-// Reads an array of IP addresses. Returns false on any other value.
+// Parses a JSON array of IP addresses. Returns false for any other value.
 bool parse_addresses(const json::value& value, std::set<asio::ip::address>& result) {
     if (!value.is_array()) {
         return false;
@@ -536,7 +568,7 @@
     return true;
 }
 
-// Applies one named fault. Returns false for an unknown name or a wrong type.
+// Sets one named fault. Returns false for an unknown name or a wrong type.
 bool set_fault(link_faults& faults, std::string_view key, const json::value& value) {
     if (value.is_bool() && (key == "cut" || key == "freeze")) {
         (key == "cut" ? faults.m_cut : faults.m_freeze) = value.get_bool();
@@ -563,11 +595,14 @@
     return true;
 }
 
+// Returns whether a link's name equals the pattern or, if the pattern ends with '*', begins with
+// the text before it.
 bool matches_pattern(const std::string& pattern, const std::string& name) {
     return pattern.ends_with('*') ? name.starts_with(pattern.substr(0, pattern.size() - 1))
                                   : name == pattern;
 }
 
+// Returns the counters of all links by name.
 json::object status_report(const std::vector<std::unique_ptr<network_link>>& links) {
     json::object report;
     for (const auto& link : links) {
@@ -584,6 +619,8 @@
     return report;
 }
 
+// Answers a request to the control address: POST sets the faults of all matching links, any other
+// method returns the counters.
 http_answer handle_control(std::vector<std::unique_ptr<network_link>>& links,
                            const http_call& call) {
     if (call.m_method != "POST") {
@@ -594,7 +631,7 @@
     const json::value* pattern =
         ec || !body.is_object() ? nullptr : body.as_object().if_contains("link");
     if (pattern == nullptr || !pattern->is_string()) {
-        return json_answer(json::object{{"error", "bad control request"}}, 400);
+        return json_answer(json::object{{"error", "malformed control request"}}, 400);
     }
     std::uint64_t matched = 0;
     for (const auto& link : links) {
@@ -608,7 +645,7 @@
             }
         }
         if (!apply_faults(*link)) {
-            return json_answer(json::object{{"error", "can't listen again"}}, 500);
+            return json_answer(json::object{{"error", "can't reopen the listening socket"}}, 500);
         }
     }
     return json_answer(json::object{{"links", matched}}, matched == 0 ? 404 : 200);
@@ -624,8 +661,8 @@
     parse_command_line_or_exit(
         argc, argv,
         std::vector<option_spec>{
-            {"link", &link_specs, "NAME=tcp|udp,LISTEN_IP:PORT,TARGET_IP:PORT, repeated"},
-            {"control", &control_address, "IP:PORT for faults and counts"}});
+            {"link", &link_specs, "NAME=tcp|udp,LISTEN_IP:PORT,TARGET_IP:PORT, may be repeated"},
+            {"control", &control_address, "IP:PORT for fault injection and counters"}});
     boost::asio::io_context context(1);
     std::vector<std::unique_ptr<network_link>> links;
     links.reserve(link_specs.size());
--- a/standins/http_client.cpp
+++ b/standins/http_client.cpp
@@ -12,16 +12,19 @@
 namespace http = beast::http;
 using boost::system::error_code;
 
-constexpr std::size_t max_idle_connections = 256; // more are closed after their exchange
+constexpr std::size_t max_idle_connections =
+    256; // connections above it are closed after their exchange
 constexpr std::size_t max_answer_bytes = 16 << 20;
 
+// Connection to the server, with its read buffer.
 struct connection {
     explicit connection(asio::io_context& context) : m_stream(context) {}
     beast::tcp_stream m_stream;
     beast::flat_buffer m_buffer;
 };
 
-// Tells whether an idle connection is still open with nothing to read.
+// Returns whether an idle connection is open and has no unread data. Requires a non-blocking
+// socket.
 bool is_reusable(connection& idle_connection) {
     char byte = 0;
     error_code ec;
@@ -31,6 +34,7 @@
 
 } // namespace
 
+// Address and idle connections of a client.
 struct http_client::impl {
     impl(asio::io_context& context, asio::ip::tcp::endpoint endpoint)
         : m_context(context), m_endpoint(endpoint) {}
@@ -39,7 +43,8 @@
     asio::ip::tcp::endpoint m_endpoint;
     std::vector<std::shared_ptr<connection>> m_idle;
 
-    // Returns an idle connection, or null when a new one is needed.
+    // Removes and returns the most recently used idle connection that is still open, or null. Drops
+    // the closed ones that it finds.
     std::shared_ptr<connection> take_idle_connection() {
         while (!m_idle.empty()) {
             auto idle_connection = std::move(m_idle.back());
@@ -69,7 +74,7 @@
     if (cancel != nullptr) {
         *cancel = [active_connection] { active_connection->m_stream.close(); };
     }
-    // Clears the caller's function on every way out.
+    // Empties the cancel function on every return path.
     const std::shared_ptr<void> clear_cancel(nullptr, [cancel](void*) {
         if (cancel != nullptr) {
             *cancel = nullptr;
--- a/standins/http_client.hpp
+++ b/standins/http_client.hpp
@@ -1,4 +1,4 @@
-// A pool of persistent HTTP/1.1 connections to one address, for the stand-ins that make calls.
+// HTTP/1.1 client for the stand-ins, with a pool of persistent connections to one address.
 #pragma once
 
 #include <functional>
@@ -14,15 +14,16 @@
 
 namespace caraway::standins {
 
-// How an exchange ended, from the view of its caller.
+// Result of an exchange as the client observes it.
 enum class exchange_result {
-    answered,             // a whole answer
-    connect_failed,       // no byte was sent
-    closed_before_answer, // the connection ended before the first byte of the answer
-    closed_within_answer, // the connection ended within the answer
-    timed_out,
+    answered,             // the answer was read completely
+    connect_failed,       // nothing was sent
+    closed_before_answer, // after sending began, before the first byte of the answer
+    closed_within_answer, // after the first byte of the answer, before its last
+    timed_out,            // the deadline passed, after the connection was established
 };
 
+// Request to send. The client adds the host header and the content length.
 struct client_request {
     std::string m_method;
     std::string m_target;
@@ -30,13 +31,15 @@
     std::string m_body;
 };
 
+// Answer as received. Valid only if the exchange ended with exchange_result::answered.
 struct client_answer {
     unsigned m_status = 0;
     http_headers m_headers;
     std::string m_body;
 };
 
-// The pool. One request is outstanding per connection; a request is never sent twice.
+// Pool of connections to one address. Each connection carries one request at a time, and a request
+// is never sent twice. Must outlive its exchanges. Not safe to use from other threads.
 class http_client {
 public:
     http_client(boost::asio::io_context& context, boost::asio::ip::tcp::endpoint endpoint);
@@ -46,8 +49,9 @@
     http_client& operator=(http_client&&) = delete;
     ~http_client();
 
-    // Sends the request and reads the whole answer, until a time. While the exchange runs, cancel
-    // (if given) holds a function that closes its connection.
+    // Sends the request over an idle or a new connection and reads the whole answer, at the latest
+    // until the deadline. If cancel is given, it holds a function that closes the connection while
+    // the exchange is running and is emptied when it ends.
     exchange_result exchange(const client_request& request, client_answer& answer,
                              time_point deadline, boost::asio::yield_context yield,
                              std::function<void()>* cancel = nullptr);
--- a/standins/http_server.cpp
+++ b/standins/http_server.cpp
@@ -9,7 +9,7 @@
 #include <boost/beast/http.hpp>
 #include <boost/json/serialize.hpp>
 #include <boost/url/parse.hpp>
-#include <boost/url/src.hpp> // builds Boost.URL into this file; Debian's library is not needed
+#include <boost/url/src.hpp> // compiles Boost.URL into this file, so Debian's library is not needed
 
 #include "standins/common.hpp"
 
@@ -21,19 +21,22 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
+// A client connection that is being served.
 struct session {
     explicit session(tcp::socket socket) : m_socket(std::move(socket)) {}
     tcp::socket m_socket;
 };
 
-// Closes a connection so that the peer sees a reset instead of an orderly end.
+// Closes a socket with a TCP reset instead of an orderly shutdown.
 void reset_socket(tcp::socket& socket) {
     error_code ec;
     socket.set_option(asio::socket_base::linger(true, 0), ec);
     socket.close(ec);
 }
 
-// Marks the call as closed once its connection is readable and at its end.
+// Waits in the background until the caller sends data or closes its connection. If it has closed
+// it, marks the call, ends its wait and runs its m_on_close. Peeks only, so a pipelined request
+// stays in the socket.
 void watch_for_close(const std::shared_ptr<session>& active_session,
                      const std::shared_ptr<http_call>& call) {
     active_session->m_socket.async_wait(
@@ -54,7 +57,8 @@
         });
 }
 
-// Fills the call from the parsed request. Returns false for a malformed target.
+// Fills the call from the parsed request and moves the body out of it. Returns false if the request
+// target is malformed.
 bool fill_call(http_call& call, http::request<http::string_body>& request) {
     const auto target =
         boost::urls::parse_origin_form({request.target().data(), request.target().size()});
@@ -116,6 +120,7 @@
     return answer;
 }
 
+// Listening socket, sessions and counters of a server.
 struct http_server::impl {
     impl(asio::io_context& context, tcp::endpoint endpoint, http_server_options options,
          http_handler handler)
@@ -127,11 +132,13 @@
     http_server_options m_options;
     http_handler m_handler;
     tcp::acceptor m_acceptor;
-    std::uint64_t m_accept_generation = 0; // counts openings, so that an old accept loop ends
+    std::uint64_t m_accept_generation =
+        0; // incremented on every open and close, which ends the previous accept loop
     std::set<std::shared_ptr<session>> m_sessions;
     std::uint64_t m_accepted_connections = 0;
     std::size_t m_calls_in_progress = 0;
 
+    // Binds the address, listens and starts an accept loop. Closes the socket again on an error.
     error_code start_listening() {
         error_code ec;
         m_acceptor.open(m_endpoint.protocol(), ec);
@@ -154,6 +161,7 @@
         return {};
     }
 
+    // Accepts connections, one after the other, until the listening socket is closed or reopened.
     void accept_loop(asio::yield_context yield) {
         const std::uint64_t accept_generation = ++m_accept_generation;
         asio::steady_timer timer(m_context);
@@ -165,7 +173,8 @@
                 return;
             }
             if (ec) {
-                timer.expires_after(milliseconds(10)); // out of descriptors
+                timer.expires_after(
+                    milliseconds(10)); // retries later, probably out of file descriptors
                 timer.async_wait(yield[ec]);
                 continue;
             }
@@ -194,7 +203,7 @@
         }
     }
 
-    // Answers the requests of one connection in order.
+    // Reads and answers the requests of one connection in order until the connection ends.
     void serve_session(const std::shared_ptr<session>& active_session, asio::yield_context yield) {
         boost::beast::flat_buffer buffer;
         error_code ec;
@@ -238,8 +247,8 @@
         }
     }
 
-    // Writes the answer, or its beginning if it is to be cut. Returns false at the connection's
-    // end.
+    // Writes the answer, or only its beginning if it is to be truncated. Returns false if the
+    // connection must be closed.
     bool write_answer(session& active_session, http_answer& answer, unsigned version,
                       bool keep_alive, bool is_head_request, asio::yield_context yield) {
         error_code ec;
@@ -282,7 +291,7 @@
                                                 error& reason) {
     auto implementation = std::make_unique<impl>(context, endpoint, options, std::move(handler));
     if (const error_code ec = implementation->start_listening()) {
-        fail(reason, error_kind::invalid_settings, "can't listen: " + ec.message());
+        fail(reason, error_kind::invalid_settings, "can't listen on the address: " + ec.message());
         return nullptr;
     }
     return std::unique_ptr<http_server>(new http_server(std::move(implementation)));
--- a/standins/kv_store_main.cpp
+++ b/standins/kv_store_main.cpp
@@ -1,5 +1,5 @@
-// Stand-in for the platform's key-value service: values with revisions, compare-and-swap, leases
-// and watches, with the faults that the real service shows.
+// Stand-in for the platform's key-value service. Provides values with revisions, compare-and-swap,
+// leases and watches, and injects the faults of the real service.
 #include <algorithm>
 #include <list>
 #include <map>
@@ -19,17 +19,18 @@
 using std::chrono::steady_clock;
 
 constexpr std::size_t max_value_bytes = 1 << 20;
-constexpr std::size_t max_keys = 1'000'000; // with deleted ones; new keys above it get 507
+constexpr std::size_t max_keys = 1'000'000; // including deleted keys; new keys above it get 507
 constexpr std::int64_t max_watch_ms = 60'000;
-// Calls that may come at once, as a share of a second's calls. A burst above it gets 429.
+// Burst capacity in seconds at the configured rate. Calls of a longer burst get 429.
 constexpr double burst_s = 0.1;
 
-// Counts calls against a rate.
+// Rate limiter with a capacity of burst_s, but at least one call.
 struct token_bucket {
     double m_rate_per_s = 0;
     double m_tokens = 0;
-    time_point m_last_refill{}; // long ago, so that the first call finds a full bucket
+    time_point m_last_refill{}; // distant past, so the bucket is full at the first call
 
+    // Consumes one token. Returns false if the rate is exceeded.
     bool take() {
         const time_point now = steady_clock::now();
         const double elapsed_s = std::chrono::duration<double>(now - m_last_refill).count();
@@ -44,7 +45,7 @@
     }
 };
 
-// A key's latest state. A deleted key stays as a mark for watches.
+// Latest state of a key. A deleted key is kept as a tombstone, which watches report.
 struct key_state {
     std::string m_value;
     std::uint64_t m_revision = 0;
@@ -52,17 +53,20 @@
     bool m_deleted = false;
 };
 
+// A lease with the keys that are deleted when it ends.
 struct lease {
     milliseconds m_ttl{};
     asio::steady_timer m_timer;
     std::set<std::string> m_keys;
 };
 
+// A watch that waits for a change. Cancelling the timer wakes it.
 struct waiting_watch {
     std::string m_prefix;
     asio::steady_timer* m_timer;
 };
 
+// Counts since the start.
 struct counters {
     std::uint64_t m_reads = 0;
     std::uint64_t m_writes = 0;
@@ -73,14 +77,18 @@
     std::uint64_t m_dropped_watch_events = 0;
 };
 
+// Faults to inject, set through the control address.
 struct faults {
-    bool m_down = false;
-    bool m_stall = false;
+    bool m_down = false; // refuses and resets all connections
+
+    bool m_stall = false; // delays all calls until it is cleared
+
     milliseconds m_latency{2};
     std::uint64_t m_lose_answers_permille = 0;
     std::uint64_t m_drop_watch_events_permille = 0;
 };
 
+// State of the service. Used by one thread only.
 struct store_state {
     explicit store_state(asio::io_context& context) : m_context(context) {}
 
@@ -98,6 +106,7 @@
     random_source m_random{1};
 };
 
+// Returns an answer with the revision in x-revision.
 http_answer revision_answer(unsigned status, std::uint64_t revision, std::string body = {}) {
     http_answer answer;
     answer.m_status = status;
@@ -106,13 +115,14 @@
     return answer;
 }
 
+// Returns an answer without a body.
 http_answer status_answer(unsigned status) {
     http_answer answer;
     answer.m_status = status;
     return answer;
 }
 
-// Gives the key the next revision and wakes the watches of its prefixes.
+// Creates the key if needed, assigns the next revision to it and wakes the watches of its prefixes.
 key_state& advance_revision(store_state& store, const std::string& key) {
     key_state& changed = store.m_entries[key];
     changed.m_revision = ++store.m_revision;
@@ -124,6 +134,7 @@
     return changed;
 }
 
+// Detaches a key from its lease, if it has one.
 void detach_from_lease(store_state& store, const std::string& key, key_state& attached) {
     if (const auto found = store.m_leases.find(attached.m_lease); found != store.m_leases.end()) {
         found->second.m_keys.erase(key);
@@ -131,6 +142,7 @@
     attached.m_lease.clear();
 }
 
+// Deletes a key, leaving a tombstone with the next revision.
 void delete_key(store_state& store, const std::string& key) {
     key_state& changed = advance_revision(store, key);
     detach_from_lease(store, key, changed);
@@ -138,6 +150,7 @@
     changed.m_deleted = true;
 }
 
+// Ends a lease and deletes its keys. Does nothing if the lease doesn't exist.
 void end_lease(store_state& store, const std::string& id) {
     const auto found = store.m_leases.find(id);
     if (found == store.m_leases.end()) {
@@ -150,7 +163,8 @@
     }
 }
 
-// Lets the lease end after its period, counted from now.
+// Starts or restarts the period of a lease, which must exist. The lease expires at the period's
+// end.
 void restart_lease_timer(store_state& store, const std::string& id) {
     lease& restarted = store.m_leases.at(id);
     restarted.m_timer.expires_after(restarted.m_ttl);
@@ -163,6 +177,7 @@
     });
 }
 
+// Returns the value of a key, or 404.
 http_answer get_key(store_state& store, const std::string& key) {
     ++store.m_counters.m_reads;
     const auto found = store.m_entries.find(key);
@@ -172,13 +187,14 @@
     return revision_answer(200, found->second.m_revision, found->second.m_value);
 }
 
-// The revision for compare-and-swap: 0 when the key is absent.
+// Returns the revision for compare-and-swap, which is 0 for an absent or deleted key.
 std::uint64_t current_revision(const store_state& store, const std::string& key) {
     const auto found = store.m_entries.find(key);
     return found == store.m_entries.end() || found->second.m_deleted ? 0 : found->second.m_revision;
 }
 
-// Checks if_revision. Returns the refusal, or nothing if the write may go on.
+// Compares the parameter if_revision with the current revision. Returns nothing if the write may
+// proceed, otherwise the refusal: 409 for a different revision, 400 for a malformed one.
 std::optional<http_answer> check_if_revision(const store_state& store, const std::string& key,
                                              const http_call& call) {
     const auto text = call.query("if_revision");
@@ -196,6 +212,8 @@
     return std::nullopt;
 }
 
+// Writes a key and attaches it to a lease if one is given. Returns 413 for a value that is too
+// long, 410 for an unknown lease and 507 if there are too many keys.
 http_answer put_key(store_state& store, const std::string& key, const http_call& call) {
     ++store.m_counters.m_writes;
     if (call.m_body.size() > max_value_bytes) {
@@ -222,6 +240,7 @@
     return revision_answer(200, changed.m_revision);
 }
 
+// Answers a request to delete a key. Returns 404 if the key is absent.
 http_answer erase_key(store_state& store, const std::string& key, const http_call& call) {
     ++store.m_counters.m_writes;
     if (auto refusal = check_if_revision(store, key, call)) {
@@ -234,7 +253,7 @@
     return revision_answer(200, store.m_revision);
 }
 
-// What a list or watch asks for.
+// Selects the keys that a list or a watch returns.
 struct change_query {
     std::string m_prefix;
     std::uint64_t m_after_revision = 0;
@@ -242,7 +261,8 @@
     bool m_keys_only = false;
 };
 
-// The keys below the prefix that changed after a revision; without deleted ones for a list.
+// Returns the keys that the query selects, without the revisions in dropped. A list excludes
+// deleted keys.
 json::array changed_keys(const store_state& store, const change_query& query,
                          const std::set<std::uint64_t>& dropped) {
     const std::string& prefix = query.m_prefix;
@@ -267,6 +287,7 @@
     return found;
 }
 
+// Returns all keys below a prefix.
 http_answer list_keys(store_state& store, const http_call& call) {
     ++store.m_counters.m_reads;
     const change_query query{call.query("prefix").value_or(""), 0, false,
@@ -274,7 +295,8 @@
     return revision_answer(200, store.m_revision, json::serialize(changed_keys(store, query, {})));
 }
 
-// Decides which of the new changes this watch doesn't see.
+// Decides at random which changes are withheld from a watch and adds their revisions to dropped.
+// Each revision is decided once, which considered records.
 void choose_dropped_events(store_state& store, const std::string& prefix,
                            std::uint64_t after_revision_text, std::set<std::uint64_t>& considered,
                            std::set<std::uint64_t>& dropped) {
@@ -289,6 +311,8 @@
     }
 }
 
+// Answers a watch with the changes after a revision, waiting for the first one. Returns 204 if
+// there is none within the wait and 499 if the caller has closed its connection.
 http_answer watch(store_state& store, http_call& call, asio::yield_context yield) {
     ++store.m_counters.m_watches;
     const std::string prefix = call.query("prefix").value_or("");
@@ -325,6 +349,8 @@
     }
 }
 
+// Creates, renews or ends a lease. subpath is the path after /v1/lease. Returns 410 for an unknown
+// lease.
 http_answer handle_lease_call(store_state& store, const http_call& call, std::string_view subpath) {
     ++store.m_counters.m_lease_calls;
     if (subpath.empty() && call.m_method == "POST") {
@@ -358,7 +384,7 @@
     return json_answer({{"lease", id}});
 }
 
-// Waits while the stall fault is on, also when the caller has given up meanwhile.
+// Waits while the stall fault is active, even if the caller has given up in the meantime.
 void wait_while_stalled(store_state& store, asio::yield_context yield) {
     while (store.m_faults.m_stall) {
         asio::steady_timer timer(store.m_context, time_point::max());
@@ -369,8 +395,8 @@
     }
 }
 
-// Answers one call of the service, with rate limit, latency and faults. A call that was stalled
-// takes effect when the stall ends, even if its caller has given up.
+// Answers one call after rate limiting, latency and faults. A stalled call takes effect when the
+// stall ends, even if its caller has given up.
 http_answer handle_call(store_state& store, http_call& call, asio::yield_context yield) {
     constexpr std::string_view key_path = "/v1/kv/";
     constexpr std::string_view lease_path = "/v1/lease";
@@ -409,7 +435,8 @@
     return answer;
 }
 
-json::object status(const store_state& store, const http_server& server) {
+// Returns the counters and the active faults.
+json::object status_report(const store_state& store, const http_server& server) {
     return {{"reads", store.m_counters.m_reads},
             {"writes", store.m_counters.m_writes},
             {"watches", store.m_counters.m_watches},
@@ -426,10 +453,11 @@
             {"stall", store.m_faults.m_stall}};
 }
 
-// Applies the faults named in a control request.
+// Answers a request to the control address: POST applies the faults in the body, any other method
+// returns the status.
 http_answer handle_control(store_state& store, http_server& server, const http_call& call) {
     if (call.m_method != "POST") {
-        return json_answer(status(store, server));
+        return json_answer(status_report(store, server));
     }
     json::error_code ec;
     const json::value body = json::parse(call.m_body, ec);
@@ -464,7 +492,7 @@
             timer->cancel();
         }
     }
-    return json_answer(status(store, server));
+    return json_answer(status_report(store, server));
 }
 
 } // namespace
@@ -480,11 +508,12 @@
     std::int64_t latency_ms = 2;
     parse_command_line_or_exit(
         argc, argv,
-        std::vector<option_spec>{{"listen", &listen, "IP:PORT of the service"},
-                                 {"control", &control_address, "IP:PORT for faults and counters"},
-                                 {"writes-per-s", &writes_per_s, "writes and lease calls a second"},
-                                 {"reads-per-s", &reads_per_s, "gets, lists and watches a second"},
-                                 {"latency-ms", &latency_ms, "time before a call takes effect"}});
+        std::vector<option_spec>{
+            {"listen", &listen, "IP:PORT of the service"},
+            {"control", &control_address, "IP:PORT for fault injection and counters"},
+            {"writes-per-s", &writes_per_s, "writes and lease calls per second"},
+            {"reads-per-s", &reads_per_s, "gets, lists and watches per second"},
+            {"latency-ms", &latency_ms, "delay before a call takes effect"}});
     const auto service_endpoint = endpoint_or_exit(listen);
     boost::asio::io_context context(1);
     store_state store(context);
--- a/standins/load_generator_main.cpp
+++ b/standins/load_generator_main.cpp
@@ -1,5 +1,6 @@
-// Load on a list of entry addresses, open-loop (Poisson) or with a fixed concurrency. Checks each
-// answer against its request and counts outcomes as a caller sees them.
+// Load generator for a list of entry addresses, either open-loop with Poisson arrivals or with a
+// fixed concurrency. Checks each answer against its request and counts the outcomes from the
+// caller's view.
 #include <algorithm>
 #include <array>
 #include <bit>
@@ -24,13 +25,17 @@
 namespace json = boost::json;
 using std::chrono::steady_clock;
 
-constexpr std::int64_t max_in_flight = 20'000;         // open loop; more are counted as not sent
-constexpr milliseconds default_answer_timeout{30'000}; // of a request without a deadline
-constexpr milliseconds deadline_grace{1'000}; // for the answer that the deadline has passed
+constexpr std::int64_t max_in_flight =
+    20'000; // in open loop; arrivals above it are counted as not sent
+constexpr milliseconds default_answer_timeout{30'000}; // for requests without a deadline
+constexpr milliseconds deadline_grace{
+    1'000}; // extra time for the answer that reports a passed deadline
 constexpr int max_resends = 3;
-constexpr std::size_t max_counted_names = 256; // versions, reasons and statuses counted by name
+constexpr std::size_t max_counted_names =
+    256; // per kind of name, such as versions, reasons and statuses
 
-// Latency histogram with 64 buckets per power of two, so a percentile is at most 1.6% too high.
+// Histogram of latencies in microseconds. It has 64 buckets per power of two, so a percentile is at
+// most 1.6% too high.
 class histogram {
 public:
     void add(std::uint64_t us) {
@@ -39,14 +44,16 @@
         m_max = std::max(m_max, us);
     }
 
+    // Returns the count, percentiles and maximum, in microseconds.
     json::object summary() const {
         return {{"count", m_total},      {"p50", quantile(0.5)},     {"p90", quantile(0.9)},
                 {"p99", quantile(0.99)}, {"p99.9", quantile(0.999)}, {"max", m_max}};
     }
 
 private:
-    static constexpr std::size_t exact_buckets = 64;
+    static constexpr std::size_t exact_buckets = 64; // lower values have a bucket each
 
+    // Returns the bucket of a value.
     static std::size_t index(std::uint64_t us) {
         if (us < exact_buckets) {
             return us;
@@ -55,6 +62,7 @@
         return std::min(s_size - 1, shift * exact_buckets + (us >> shift));
     }
 
+    // Returns the highest value of a bucket.
     static std::uint64_t upper_bound(std::size_t bucket) {
         if (bucket < 2 * exact_buckets) {
             return bucket;
@@ -63,6 +71,7 @@
         return ((bucket - shift * exact_buckets + 1) << shift) - 1;
     }
 
+    // Returns an upper bound of the value below which the given fraction of the values lies.
     std::uint64_t quantile(double fraction) const {
         const auto requested_bytes =
             static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(m_total)));
@@ -76,12 +85,13 @@
         return m_max;
     }
 
-    static constexpr std::size_t s_size = exact_buckets * 36; // up to 2^41 us
+    static constexpr std::size_t s_size = exact_buckets * 36; // covers up to 2^41 us
     std::array<std::uint64_t, s_size> m_counts{};
     std::uint64_t m_total = 0;
     std::uint64_t m_max = 0;
 };
 
+// Command-line options.
 struct generator_options {
     std::string m_summary_path;
     std::string m_records;
@@ -100,12 +110,13 @@
     bool m_resend = false;
 };
 
+// A path that is chosen with a probability in proportion to its weight.
 struct weighted_path {
     std::string m_path;
     std::uint64_t m_weight = 1;
 };
 
-// Counts by name, bounded: names above the limit are counted as "other".
+// Counts by name. Further names are counted as "other" once there are max_counted_names.
 struct bounded_counter {
     std::map<std::string, std::uint64_t> m_counts;
 
@@ -122,10 +133,11 @@
     }
 };
 
+// Results of a set of requests, such as those to one path.
 struct result_group {
     bounded_counter m_outcomes;
     bounded_counter m_statuses;
-    histogram m_latency; // of answered requests
+    histogram m_latency; // of requests with the outcome "answered"
 
     json::object summary() const {
         return {{"outcomes", m_outcomes.summary()},
@@ -134,7 +146,7 @@
     }
 };
 
-// One request from its first attempt to its end.
+// A request and its result. It covers all attempts; the result is that of the last one.
 struct request_record {
     std::string m_number;
     std::string m_path;
@@ -153,6 +165,7 @@
     std::uint64_t m_latency_us = 0;
 };
 
+// State of the load generator. Used by one thread only.
 struct generator_state {
     generator_state(asio::io_context& context, const generator_options& options)
         : m_context(context), m_options(options),
@@ -181,6 +194,7 @@
     std::map<std::string, result_group> m_by_version;
 };
 
+// Creates the next request with a random path and body, and at random an idempotency key.
 request_record make_request(generator_state& generator) {
     request_record record;
     record.m_number = fmt::format("{}-{}", generator.m_options.m_run_id, generator.m_issued++);
@@ -203,6 +217,7 @@
     return record;
 }
 
+// Returns the HTTP request to send for a record. All attempts send the same one.
 client_request to_http_request(const generator_state& generator, const request_record& record) {
     const generator_options& options = generator.m_options;
     client_request request;
@@ -228,13 +243,14 @@
     return request;
 }
 
+// Returns a string field of a JSON object, or an empty string if it is absent or of another type.
 std::string string_field(const json::object& body, std::string_view key) {
     const json::value* value = body.if_contains(key);
     return value != nullptr && value->is_string() ? std::string(value->get_string()) : "";
 }
 
-// Compares a backend server's answer with the request: a mismatch counts as crossed, a short
-// answer as cut.
+// Compares a backend server's answer with its request. An answer that doesn't match the request
+// gets the outcome "crossed", and one that is too short gets "cut".
 void check_answer(const generator_state& generator, request_record& record,
                   const client_answer& answer) {
     json::error_code ec;
@@ -272,7 +288,7 @@
     }
 }
 
-// Fills the record's outcome from the end of one attempt.
+// Sets the status, outcome and reason of the record from the result of one attempt.
 void classify_attempt(const generator_state& generator, request_record& record,
                       exchange_result result, const client_answer& answer) {
     record.m_status = result == exchange_result::answered ? answer.m_status : 0;
@@ -304,7 +320,7 @@
     record.m_reason = find_header(answer.m_headers, "x-caraway-reason");
     if (record.m_outcome.empty() &&
         !find_header(answer.m_headers, "x-caraway-backend-shed").empty()) {
-        record.m_outcome = "not-run"; // straight from a backend server
+        record.m_outcome = "not-run"; // answered by a backend server without a node in between
         record.m_reason = "backend-shed";
     } else if (record.m_outcome.empty()) {
         record.m_outcome = "answered";
@@ -314,12 +330,15 @@
     }
 }
 
+// Returns whether to send a request again. Only a request with an idempotency key is sent again,
+// and only if it may have run.
 bool should_resend(const generator_state& generator, const request_record& record) {
     return generator.m_options.m_resend && record.m_keyed && record.m_attempts <= max_resends &&
            (record.m_outcome == "unknown" || record.m_outcome == "cut" ||
             record.m_outcome == "lost");
 }
 
+// Adds a finished request to a group.
 void add_result(result_group& results, const request_record& record) {
     results.m_outcomes.add(record.m_outcome);
     results.m_statuses.add(std::to_string(record.m_status));
@@ -328,6 +347,7 @@
     }
 }
 
+// Writes a finished request as one line of JSON to the records file, if there is one.
 void write_record(generator_state& generator, const request_record& record) {
     if (generator.m_records == nullptr) {
         return;
@@ -349,6 +369,7 @@
     std::fwrite(line.data(), 1, line.size(), generator.m_records);
 }
 
+// Counts a finished request in all groups and writes its record.
 void record_result(generator_state& generator, request_record& record) {
     add_result(generator.m_totals, record);
     add_result(generator.m_by_path[record.m_path], record);
@@ -364,6 +385,7 @@
     write_record(generator, record);
 }
 
+// Suspends the coroutine for the given time.
 void wait_for(generator_state& generator, milliseconds time, asio::yield_context yield) {
     if (time.count() == 0) {
         return;
@@ -373,7 +395,7 @@
     timer.async_wait(yield[ec]);
 }
 
-// Sends one request to a random target and, where wanted, again to others; then counts it.
+// Sends one request to a random target, if necessary again to the following targets, and counts it.
 void run_request(generator_state& generator, asio::yield_context yield) {
     request_record record = make_request(generator);
     const time_point start = steady_clock::now();
@@ -408,6 +430,8 @@
     record_result(generator, record);
 }
 
+// Returns whether no more requests may start: on a signal, or once the number of requests or the
+// duration is reached.
 bool is_finished(const generator_state& generator) {
     const auto requests = static_cast<std::uint64_t>(generator.m_options.m_requests);
     return generator.m_stopping || (requests > 0 && generator.m_issued >= requests) ||
@@ -415,7 +439,8 @@
                std::chrono::duration<double>(generator.m_options.m_duration_s);
 }
 
-// Starts requests at exponentially distributed intervals, whether or not earlier ones have ended.
+// Starts requests at exponentially distributed intervals, regardless of whether earlier ones have
+// ended.
 void run_open_loop(generator_state& generator, asio::yield_context yield) {
     asio::steady_timer timer(generator.m_context);
     time_point next = steady_clock::now();
@@ -427,7 +452,8 @@
             timer.expires_at(next);
             timer.async_wait(yield[ec]);
         } else {
-            asio::post(generator.m_context, yield); // behind the schedule: lets answers be read
+            asio::post(generator.m_context,
+                       yield); // behind schedule: lets other coroutines read answers
         }
         if (is_finished(generator)) {
             break;
@@ -443,6 +469,7 @@
     }
 }
 
+// Returns the summary of the run.
 json::object summary(const generator_state& generator) {
     const double elapsed_s =
         std::chrono::duration<double>(generator.m_last_sent - generator.m_started).count();
@@ -483,7 +510,8 @@
         {"rate_per_s", elapsed_s > 0 ? static_cast<double>(generator.m_issued) / elapsed_s : 0.0}};
 }
 
-// Writes the summary to the file, or to standard output without one.
+// Writes the summary to the file given by --out or to standard output, and closes the records file.
+// Exits the process if the file can't be written.
 void write_summary(const generator_state& generator) {
     std::FILE* out = generator.m_options.m_summary_path.empty()
                          ? stdout
@@ -500,7 +528,7 @@
     }
 }
 
-// Runs the load, waits for the last answers and writes the summary.
+// Generates the load, waits for the outstanding requests, writes the summary and stops the context.
 void run_load(generator_state& generator, asio::yield_context yield) {
     generator.m_started = steady_clock::now();
     if (generator.m_options.m_rate > 0) {
@@ -524,6 +552,7 @@
     generator.m_context.stop();
 }
 
+// Parses PATH[:WEIGHT]. On an error, logs the reason and exits the process.
 weighted_path parse_path_or_exit(const std::string& text) {
     const std::size_t colon = text.rfind(':');
     if (colon == std::string::npos) {
@@ -548,20 +577,24 @@
     parse_command_line_or_exit(
         argc, argv,
         std::vector<option_spec>{
-            {"target", &targets, "IP:PORT of an entry, repeated"},
-            {"path", &paths, "PATH[:WEIGHT], repeated"},
-            {"rate", &options.m_rate, "requests a second, open loop; 0 for a fixed concurrency"},
-            {"concurrency", &options.m_concurrency, "requests under way at any time"},
-            {"duration-s", &options.m_duration_s, "longest time in which requests start"},
-            {"requests", &options.m_requests, "most requests, 0 for no limit"},
+            {"target", &targets, "IP:PORT of an entry, may be repeated"},
+            {"path", &paths, "PATH[:WEIGHT], may be repeated"},
+            {"rate", &options.m_rate,
+             "requests per second in open loop; 0 for a fixed concurrency"},
+            {"concurrency", &options.m_concurrency, "requests in flight at any time"},
+            {"duration-s", &options.m_duration_s, "time after which no more requests start"},
+            {"requests", &options.m_requests, "maximum number of requests, 0 for no limit"},
             {"seed", &options.m_seed, "seed of arrivals, paths, bodies and targets"},
             {"body-bytes", &options.m_body_bytes, "size of the request body; 0 sends GET"},
-            {"response-bytes", &options.m_response_bytes, "size of the answer asked for"},
+            {"response-bytes", &options.m_response_bytes, "requested size of the answer"},
             {"deadline-ms", &options.m_deadline_ms, "deadline of each request, 0 for none"},
-            {"keyed-permille", &options.m_keyed_permille, "share with an idempotency key"},
-            {"resend", &options.m_resend, "send keyed requests again on unknown or a cut"},
+            {"keyed-permille", &options.m_keyed_permille,
+             "share of requests with an idempotency key"},
+            {"resend", &options.m_resend,
+             "send keyed requests again if they are unknown, cut or lost"},
             {"chain", &options.m_chain, "value of x-chain: paths of onward calls"},
-            {"client-delay-ms", &options.m_client_delay_ms, "time to the entry, each way"},
+            {"client-delay-ms", &options.m_client_delay_ms,
+             "delay to and from the entry, each way"},
             {"out", &options.m_summary_path, "file for the JSON summary"},
             {"records", &options.m_records, "file for one JSON line per request"},
             {"run-id", &options.m_run_id, "prefix of request numbers"}});
