--- a/bench/call_cost.cpp
+++ b/bench/call_cost.cpp
@@ -30,13 +30,13 @@
 namespace {
 
 // Calls a second of one node at the planned scale.
-constexpr int planned_rate = 70;
+constexpr int planned_calls_per_second = 70;
 // The target for the added time at 99 of 100 calls.
-constexpr double target_us = 520;
+constexpr double target_added_p99_us = 520;
 constexpr int saturation_connections = 24;
 constexpr std::size_t body_bytes = 512;
 // The node raises its cold-start limit for some seconds before it takes the full load.
-constexpr std::chrono::seconds warm_up{6};
+constexpr std::chrono::seconds warm_up_time{6};
 
 double cpu_seconds(clockid_t clock) {
     timespec value{};
@@ -45,20 +45,20 @@
 }
 
 // Processor time of the threads that are not the node's: callers, backend server, log reader.
-std::atomic<double> s_other_cpu{0};
+std::atomic<double> s_non_node_cpu_s{0};
 
 // Adds the processor time of the thread it lives on.
-class cpu_account {
+class thread_cpu_meter {
 public:
-    cpu_account() : m_begin(cpu_seconds(CLOCK_THREAD_CPUTIME_ID)) {}
-    cpu_account(const cpu_account&) = delete;
-    cpu_account& operator=(const cpu_account&) = delete;
-    cpu_account(cpu_account&&) = delete;
-    cpu_account& operator=(cpu_account&&) = delete;
-    ~cpu_account() { settle(); }
-    void settle() {
+    thread_cpu_meter() : m_begin(cpu_seconds(CLOCK_THREAD_CPUTIME_ID)) {}
+    thread_cpu_meter(const thread_cpu_meter&) = delete;
+    thread_cpu_meter& operator=(const thread_cpu_meter&) = delete;
+    thread_cpu_meter(thread_cpu_meter&&) = delete;
+    thread_cpu_meter& operator=(thread_cpu_meter&&) = delete;
+    ~thread_cpu_meter() { add_elapsed(); }
+    void add_elapsed() {
         const double now = cpu_seconds(CLOCK_THREAD_CPUTIME_ID);
-        s_other_cpu.fetch_add(now - m_begin);
+        s_non_node_cpu_s.fetch_add(now - m_begin);
         m_begin = now;
     }
 
@@ -68,16 +68,16 @@
 
 // Sends the log through a pipe, as a supervisor would read it.
 void drain_log() {
-    std::array<int, 2> ends{};
-    if (::pipe(ends.data()) != 0) {
+    std::array<int, 2> pipe_ends{};
+    if (::pipe(pipe_ends.data()) != 0) {
         std::abort();
     }
-    ::dup2(ends[1], STDERR_FILENO);
-    std::thread([from = ends[0]] {
-        cpu_account account;
+    ::dup2(pipe_ends[1], STDERR_FILENO);
+    std::thread([from = pipe_ends[0]] {
+        thread_cpu_meter cpu_meter;
         std::vector<char> bytes(1U << 16U);
         while (::read(from, bytes.data(), bytes.size()) > 0) {
-            account.settle();
+            cpu_meter.add_elapsed();
         }
     }).detach();
 }
@@ -89,9 +89,9 @@
         asio::spawn(
             m_io, [this](asio::yield_context yield) { accept_all(yield); }, asio::detached);
         std::thread([this] {
-            cpu_account account;
+            thread_cpu_meter cpu_meter;
             while (m_io.run_one() > 0) {
-                account.settle();
+                cpu_meter.add_elapsed();
             }
         }).detach();
     }
@@ -176,30 +176,30 @@
 start_nodes(std::uint16_t server_port, const clock_source& clock, std::uint32_t threads) {
     std::vector<std::unique_ptr<bench_node>> nodes;
     for (const char* name : {"entry", "beside"}) {
-        auto made = std::make_unique<bench_node>();
-        made->m_settings.m_instance = name;
-        made->m_settings.m_data_centre = "north";
-        made->m_settings.m_service = nodes.empty() ? "front" : "pour";
-        made->m_settings.m_version = "v1";
-        made->m_settings.m_traffic = {"127.0.0.1", free_port()};
-        made->m_settings.m_backend_server = {"127.0.0.1", server_port};
-        made->m_settings.m_health_interval = milliseconds(0);
-        made->m_settings.m_threads = threads;
-        made->m_metrics = node_metrics::create(name, "north");
-        nodes.push_back(std::move(made));
+        auto new_node = std::make_unique<bench_node>();
+        new_node->m_settings.m_instance = name;
+        new_node->m_settings.m_data_centre = "north";
+        new_node->m_settings.m_service = nodes.empty() ? "front" : "pour";
+        new_node->m_settings.m_version = "v1";
+        new_node->m_settings.m_traffic = {"127.0.0.1", free_port()};
+        new_node->m_settings.m_backend_server = {"127.0.0.1", server_port};
+        new_node->m_settings.m_health_interval = milliseconds(0);
+        new_node->m_settings.m_threads = threads;
+        new_node->m_metrics = node_metrics::create(name, "north");
+        nodes.push_back(std::move(new_node));
     }
     auto config = std::make_shared<mesh>();
     service_spec& spec = config->m_services["pour"];
     spec.m_name = "pour";
     spec.m_version = "v1";
     config->m_routes = {{"/pour", "pour", milliseconds(5'000), false, urgency::normal}};
-    for (const auto& each : nodes) {
+    for (const auto& node : nodes) {
         auto next = std::make_shared<routing_snapshot>();
         next->m_config_version = 1;
         next->m_ready = true;
         next->m_mesh = config;
-        next->m_own_server.m_service = each->m_settings.m_service;
-        next->m_own_server.m_version = each->m_settings.m_version;
+        next->m_own_server.m_service = node->m_settings.m_service;
+        next->m_own_server.m_version = node->m_settings.m_version;
         service_view& view = next->m_services["pour"];
         view.m_spec = spec;
         view.m_old_version = "v1";
@@ -207,15 +207,15 @@
         backend.m_instance = "beside";
         backend.m_version = "v1";
         backend.m_own_data_centre = true;
-        backend.m_is_own = each == nodes.back();
+        backend.m_is_own = node == nodes.back();
         backend.m_traffic = nodes.back()->m_settings.m_traffic;
         backend.m_counters = std::make_shared<backend_counters>();
         view.m_backends.push_back(backend);
-        each->m_snapshot.store(next);
+        node->m_snapshot.store(next);
         error reason;
-        each->m_server = traffic_server::start(each->m_settings, clock, each->m_snapshot,
-                                               *each->m_metrics, {}, reason);
-        if (!each->m_server) {
+        node->m_server = traffic_server::start(node->m_settings, clock, node->m_snapshot,
+                                               *node->m_metrics, {}, reason);
+        if (!node->m_server) {
             fmt::print("start: {}\n", reason.m_text);
             std::exit(1);
         }
@@ -226,41 +226,41 @@
 struct path_result {
     std::string m_name;
     std::uint16_t m_port = 0;
-    std::vector<double> m_times_us;
-    std::uint64_t m_failed = 0;
+    std::vector<double> m_latencies_us;
+    std::uint64_t m_failed_calls = 0;
     double m_calls_per_second = 0;
     double m_node_us_per_call = 0; // processor time of the nodes
 
-    double percentile(double share) {
-        if (m_times_us.empty()) {
+    double percentile(double quantile) {
+        if (m_latencies_us.empty()) {
             return 0;
         }
-        std::sort(m_times_us.begin(), m_times_us.end());
-        const auto last = static_cast<double>(m_times_us.size() - 1);
-        return m_times_us[static_cast<std::size_t>(share * last)];
+        std::sort(m_latencies_us.begin(), m_latencies_us.end());
+        const auto last_index = static_cast<double>(m_latencies_us.size() - 1);
+        return m_latencies_us[static_cast<std::size_t>(quantile * last_index)];
     }
 };
 
 // Calls the paths in turn, each at the planned rate, so that all see the same machine.
 void run_planned(std::vector<path_result>& paths, std::chrono::seconds time) {
-    const cpu_account account;
+    const thread_cpu_meter cpu_meter;
     std::vector<std::unique_ptr<caller>> callers;
     callers.reserve(paths.size());
     for (const path_result& path : paths) {
         callers.push_back(std::make_unique<caller>(path.m_port));
     }
-    const auto pause =
-        std::chrono::microseconds(1'000'000 / planned_rate / static_cast<int>(paths.size()));
+    const auto pause = std::chrono::microseconds(1'000'000 / planned_calls_per_second /
+                                                 static_cast<int>(paths.size()));
     auto next = steady::now();
     const auto end = next + time;
     while (next < end) {
         for (std::size_t i = 0; i < paths.size(); ++i) {
             next += pause;
             std::this_thread::sleep_until(next);
-            if (const auto took = callers[i]->call()) {
-                paths[i].m_times_us.push_back(*took);
+            if (const auto latency_us = callers[i]->call()) {
+                paths[i].m_latencies_us.push_back(*latency_us);
             } else {
-                ++paths[i].m_failed;
+                ++paths[i].m_failed_calls;
             }
         }
     }
@@ -271,36 +271,37 @@
     std::atomic<std::uint64_t> calls{0};
     std::atomic<std::uint64_t> failed{0};
     std::mutex mutex;
-    const double other_before = s_other_cpu;
+    const double non_node_before = s_non_node_cpu_s;
     const double process_before = cpu_seconds(CLOCK_PROCESS_CPUTIME_ID);
     const auto end = steady::now() + time;
     std::vector<std::thread> threads;
     threads.reserve(static_cast<std::size_t>(connections));
     for (int i = 0; i < connections; ++i) {
         threads.emplace_back([&] {
-            const cpu_account account;
+            const thread_cpu_meter cpu_meter;
             caller connection(path.m_port);
-            std::vector<double> times;
-            std::uint64_t own_failed = 0;
+            std::vector<double> latencies_us;
+            std::uint64_t thread_failed = 0;
             while (steady::now() < end) {
-                if (const auto took = connection.call()) {
-                    times.push_back(*took);
+                if (const auto latency_us = connection.call()) {
+                    latencies_us.push_back(*latency_us);
                 } else {
-                    ++own_failed;
+                    ++thread_failed;
                 }
             }
-            calls += times.size();
-            failed += own_failed;
+            calls += latencies_us.size();
+            failed += thread_failed;
             const std::lock_guard lock(mutex);
-            path.m_times_us.insert(path.m_times_us.end(), times.begin(), times.end());
+            path.m_latencies_us.insert(path.m_latencies_us.end(), latencies_us.begin(),
+                                       latencies_us.end());
         });
     }
     for (std::thread& thread : threads) {
         thread.join();
     }
-    const double node_cpu =
-        (cpu_seconds(CLOCK_PROCESS_CPUTIME_ID) - process_before) - (s_other_cpu - other_before);
-    path.m_failed = failed;
+    const double node_cpu = (cpu_seconds(CLOCK_PROCESS_CPUTIME_ID) - process_before) -
+                            (s_non_node_cpu_s - non_node_before);
+    path.m_failed_calls = failed;
     path.m_calls_per_second =
         static_cast<double>(calls) / std::chrono::duration<double>(time).count();
     path.m_node_us_per_call =
@@ -316,12 +317,12 @@
         const double p99 = path.percentile(0.99);
         fmt::print(
             "{:<10} {:<9} {:>8} {:>7} {:>9.0f} {:>9.0f} {:>9.0f} {:>9.0f} {:>9.0f} {:>9.1f}\n",
-            load, path.m_name, path.m_times_us.size(), path.m_failed, p50, p99, p50 - direct_50,
-            p99 - direct_99, path.m_calls_per_second, path.m_node_us_per_call);
+            load, path.m_name, path.m_latencies_us.size(), path.m_failed_calls, p50, p99,
+            p50 - direct_50, p99 - direct_99, path.m_calls_per_second, path.m_node_us_per_call);
         rows.push_back({{"load", load},
                         {"path", path.m_name},
-                        {"calls", path.m_times_us.size()},
-                        {"failed", path.m_failed},
+                        {"calls", path.m_latencies_us.size()},
+                        {"failed", path.m_failed_calls},
                         {"p50_us", p50},
                         {"p99_us", p99},
                         {"added_p50_us", p50 - direct_50},
@@ -347,30 +348,30 @@
         {"direct", server.port(), {}, 0, 0, 0},
         {"one node", nodes[1]->m_settings.m_traffic.m_port, {}, 0, 0, 0},
         {"two nodes", nodes[0]->m_settings.m_traffic.m_port, {}, 0, 0, 0}};
-    auto warming = paths;
-    run_planned(warming, warm_up);
+    auto warm_up_paths = paths;
+    run_planned(warm_up_paths, warm_up_time);
     auto planned = paths;
     run_planned(planned, time);
     auto saturated = paths;
     for (path_result& path : saturated) {
         path_result ramp = path;
-        run_saturated(ramp, warm_up, saturation_connections);
+        run_saturated(ramp, warm_up_time, saturation_connections);
         run_saturated(path, time, saturation_connections);
     }
     fmt::print("{:<10} {:<9} {:>8} {:>7} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9}\n", "load", "path",
                "calls", "failed", "p50 us", "p99 us", "+p50 us", "+p99 us", "calls/s", "cpu us");
     auto rows = report("70/s", planned);
-    const double added = planned[2].percentile(0.99) - planned[0].percentile(0.99);
+    const double added_p99_us = planned[2].percentile(0.99) - planned[0].percentile(0.99);
     for (auto& row : report("saturated", saturated)) {
         rows.push_back(std::move(row));
     }
-    fmt::print("{}\n",
-               boost::json::serialize(boost::json::object{{"measurement", "call_cost"},
-                                                          {"seconds", time.count()},
-                                                          {"threads_per_node", threads},
-                                                          {"target_added_p99_us", target_us},
-                                                          {"target_met", added <= target_us},
-                                                          {"rows", std::move(rows)}}));
+    fmt::print("{}\n", boost::json::serialize(
+                           boost::json::object{{"measurement", "call_cost"},
+                                               {"seconds", time.count()},
+                                               {"threads_per_node", threads},
+                                               {"target_added_p99_us", target_added_p99_us},
+                                               {"target_met", added_p99_us <= target_added_p99_us},
+                                               {"rows", std::move(rows)}}));
     std::fflush(stdout);
     // The detached threads of the backend server and of the log reader end with the process.
     ::_exit(0);
--- a/bench/control_cost.cpp
+++ b/bench/control_cost.cpp
@@ -39,7 +39,7 @@
     double m_cpu_s = 0;
 };
 
-member entry_of(std::size_t index) {
+member make_member(std::size_t index) {
     member entry = node_entry(index, 1'000'000);
     entry.m_service = fmt::format("service-{}", index % 2'600);
     return entry;
@@ -48,14 +48,14 @@
 // Counts what the node sent and collects the pings, which the measurement answers.
 void count_sent(measured_node& node, const std::vector<membership_action>& actions,
                 std::deque<packet>* pings) {
-    for (const membership_action& each : actions) {
-        if (each.m_kind != membership_action::kind::send) {
+    for (const membership_action& action : actions) {
+        if (action.m_kind != membership_action::kind::send) {
             continue;
         }
         ++node.m_packets_out;
-        node.m_bytes_out += estimated_packet_bytes(each.m_packet);
-        if (pings != nullptr && each.m_packet.m_kind == packet_kind::ping) {
-            pings->push_back(each.m_packet);
+        node.m_bytes_out += estimated_packet_bytes(action.m_packet);
+        if (pings != nullptr && action.m_packet.m_kind == packet_kind::ping) {
+            pings->push_back(action.m_packet);
         }
     }
 }
@@ -84,22 +84,23 @@
 // Plays the other members: one ping a second from a random one, acks to the node's pings, and the
 // updates of the churn. Each update reaches the node as often as it sends one itself, since in the
 // mean every node receives what it sends.
-void run(measured_node& node, std::vector<member>& members, time_point& now, random_source& random,
-         int seconds) {
+void run_protocol(measured_node& node, std::vector<member>& members, time_point& now,
+                  random_source& random, int seconds) {
     std::deque<packet> pings;
     const std::string self = node.m_table.m_self.m_instance;
-    double changes_due = 0;
+    double pending_changes = 0;
     std::deque<std::pair<member, int>> updates;
-    const int copies = static_cast<int>(6 * std::log10(static_cast<double>(members.size())) + 1);
-    const auto fill = [&](packet& value) {
+    const int copies_per_update =
+        static_cast<int>(6 * std::log10(static_cast<double>(members.size())) + 1);
+    const auto add_updates = [&](packet& value) {
         std::size_t bytes = estimated_packet_bytes(value);
         for (std::size_t left = updates.size(); left > 0 && bytes < 900; --left) {
-            auto [entry, owed] = updates.front();
+            auto [entry, copies_left] = updates.front();
             updates.pop_front();
             value.m_updates.push_back(entry);
             bytes = estimated_packet_bytes(value);
-            if (owed > 1) {
-                updates.emplace_back(entry, owed - 1);
+            if (copies_left > 1) {
+                updates.emplace_back(entry, copies_left - 1);
             }
         }
     };
@@ -115,7 +116,7 @@
             const std::size_t index = std::strtoul(ping.m_target.data() + 5, nullptr, 10);
             packet ack = packet_from(members[index], packet_kind::ack, self);
             ack.m_sequence = ping.m_sequence;
-            fill(ack);
+            add_updates(ack);
             deliver(node, ack, members[index].m_udp, now, &pings);
         }
         if (step % 20 == 10) {
@@ -123,26 +124,26 @@
             packet ping = packet_from(sender, packet_kind::ping, self);
             ping.m_sequence = static_cast<std::uint64_t>(step);
             ping.m_updates.push_back(sender);
-            fill(ping);
+            add_updates(ping);
             deliver(node, ping, sender.m_udp, now, &pings);
         }
         if (step % 5 == 0 && !updates.empty()) {
             const member& sender = members[random.below(members.size())];
-            packet news = packet_from(sender, packet_kind::rumour, {});
-            fill(news);
-            deliver(node, news, sender.m_udp, now, &pings);
+            packet rumour = packet_from(sender, packet_kind::rumour, {});
+            add_updates(rumour);
+            deliver(node, rumour, sender.m_udp, now, &pings);
         }
         // A restart is a leave, an entry of a higher incarnation, and its becoming ready.
-        changes_due += churn_per_member * static_cast<double>(members.size()) / 20;
-        for (; changes_due >= 1; changes_due -= 1) {
+        pending_changes += churn_per_member * static_cast<double>(members.size()) / 20;
+        for (; pending_changes >= 1; pending_changes -= 1) {
             member& changed = members[random.below(members.size())];
             member left = changed;
             left.m_state = member_state::left;
-            updates.emplace_back(left, copies);
+            updates.emplace_back(left, copies_per_update);
             for (int update = 0; update < 2; ++update) {
                 ++changed.m_incarnation;
                 changed.m_ready = update == 1;
-                updates.emplace_back(changed, copies);
+                updates.emplace_back(changed, copies_per_update);
             }
         }
     }
@@ -151,11 +152,11 @@
 std::string measure(std::size_t count) {
     std::vector<member> members;
     for (std::size_t index = 0; index < count; ++index) {
-        members.push_back(entry_of(index));
+        members.push_back(make_member(index));
     }
     time_point now{std::chrono::hours(1)};
     measured_node node;
-    member self = entry_of(count);
+    member self = make_member(count);
     node.m_table = make_membership(self, {}, 1, now);
     const std::size_t before = mallinfo2().uordblks;
     const double merge_start = cpu_seconds();
@@ -164,10 +165,10 @@
     const std::size_t after = mallinfo2().uordblks;
     random_source random(count);
     // The first half minute is that of a newly started node and is left out.
-    run(node, members, now, random, 40);
+    run_protocol(node, members, now, random, 40);
     node.m_packets_out = node.m_bytes_out = node.m_packets_in = node.m_bytes_in = 0;
     node.m_cpu_s = 0;
-    run(node, members, now, random, measured_seconds);
+    run_protocol(node, members, now, random, measured_seconds);
 
     constexpr int hash_rounds = 1'000;
     const double hash_start = cpu_seconds();
--- a/bench/move_simulation.hpp
+++ b/bench/move_simulation.hpp
@@ -78,7 +78,7 @@
 enum class move_policy : std::uint8_t { sequential, fixed_steps };
 
 struct simulation_options {
-    double m_given_s = 300; // from the start to the deadline
+    double m_time_limit_s = 300; // from the start to the deadline
     double m_min_rate = 50; // calls a second of the service; a run draws one between the bounds
     double m_max_rate = 500;
 };
@@ -88,14 +88,15 @@
     double m_rate = 0;
     double m_ended_s = 0; // final state written, or suspended where that came first
     bool m_in_time = false;
-    std::optional<double> m_visible_s;  // third harmed call of the new version
-    std::optional<double> m_stopped_s;  // no call goes to the new version any more
-    std::uint32_t m_weight_before = 0;  // largest weight in permille before the defect was visible
-    double m_share_before = 0;          // share of all calls until then that it served
-    std::uint64_t m_harmed = 0;         // calls of the new version failed or slowed by the defect
+    std::optional<double> m_defect_visible_s;  // third harmed call of the new version
+    std::optional<double> m_traffic_stopped_s; // no call goes to the new version any more
+    std::uint32_t m_max_weight_before_visible =
+        0;                              // largest weight in permille before the defect was visible
+    double m_share_before_visible = 0;  // share of all calls until then that it served
+    std::uint64_t m_harmed_calls = 0;   // calls of the new version failed or slowed by the defect
     std::uint64_t m_calls_after_3s = 0; // calls of the new version later than visible + 3 s
     std::uint32_t m_final_writes = 0;
-    bool m_local = false; // suspended by a local test
+    bool m_suspended_locally = false; // suspended by a local test
     std::string m_reason;
 };
 
@@ -110,46 +111,46 @@
 
     move_result run() {
         m_record = start_move("move", "service", "v1", "v2",
-                              m_clock.wall_now() + to_ms(m_options.m_given_s), "holder-0",
+                              m_clock.wall_now() + to_ms(m_options.m_time_limit_s), "holder-0",
                               m_clock.wall_now());
-        m_own.assign(instances, {});
-        for (move_evidence& own : m_own) {
-            own.m_instances = instances;
+        m_local_evidence.assign(instances, {});
+        for (move_evidence& evidence : m_local_evidence) {
+            evidence.m_instances = instances;
         }
         // Half as long again as the time given, so that a verdict after the deadline shows.
-        const auto intervals = static_cast<int>(m_options.m_given_s * 1.5 / interval_s);
-        for (int interval = 0; interval < intervals && !is_over(); ++interval) {
+        const auto intervals = static_cast<int>(m_options.m_time_limit_s * 1.5 / interval_s);
+        for (int interval = 0; interval < intervals && !has_ended(); ++interval) {
             serve_interval(interval * interval_s);
             m_clock.advance(to_ms(interval_s));
             const double now = (interval + 1) * interval_s;
             if (m_policy == move_policy::sequential) {
-                decide(now);
+                decide_sequential(now);
             } else {
-                decide_fixed(now);
+                decide_fixed_steps(now);
             }
         }
         m_result.m_state = m_record.m_state;
         m_result.m_in_time =
-            m_record.m_state == move_state::done && m_result.m_ended_s <= m_options.m_given_s;
+            m_record.m_state == move_state::done && m_result.m_ended_s <= m_options.m_time_limit_s;
         m_result.m_reason = m_record.m_reason;
         return m_result;
     }
 
 private:
     static constexpr std::size_t instances = 5;
-    static constexpr std::size_t entries = 4; // nodes that callers' calls come in at
+    static constexpr std::size_t entry_nodes = 4; // nodes that callers' calls come in at
     static constexpr std::size_t routes = 4;
     static constexpr std::array<double, routes> route_shares{0.6, 0.25, 0.1, 0.05};
     static constexpr std::array<const char*, routes> route_names{"/a", "/b", "/c", "/d"};
     // A suspension rumour and a new record reach the entry sides within this time.
-    static constexpr double spread_s = 0.5;
-    static constexpr double cold_s = 20;
+    static constexpr double propagation_s = 0.5;
+    static constexpr double cold_start_s = 20;
     static constexpr double interval_s = 0.5; // between reports
 
     static milliseconds to_ms(double seconds) {
         return milliseconds(static_cast<std::int64_t>(seconds * 1000));
     }
-    double between(double low, double high) { return low + (high - low) * m_random.unit(); }
+    double uniform(double low, double high) { return low + (high - low) * m_random.unit(); }
     double normal() {
         const double radius = std::sqrt(-2 * std::log(1 - m_random.unit()));
         return radius * std::cos(2 * std::numbers::pi * m_random.unit());
@@ -168,44 +169,44 @@
     }
 
     void draw_parameters() {
-        const double given = m_options.m_given_s;
+        const double time_limit_s = m_options.m_time_limit_s;
         m_result.m_rate = m_options.m_min_rate *
                           std::pow(m_options.m_max_rate / m_options.m_min_rate, m_random.unit());
         for (std::size_t i = 0; i < routes; ++i) {
-            m_latency_ms[i] = between(5, 60);
-            m_failure_share[i] = between(0.0, 0.005);
-        }
-        m_defect_share = between(0.1, 0.6);
-        m_slow_factor = between(2, 6);
-        m_onset_s = between(0.05, 0.6) * given;
-        m_load_limit = between(100, 800);
-        m_bad_route = m_random.below(routes);
-        m_trouble_from_s = between(0, 2.0 / 3) * given;
-        m_trouble_until_s = m_trouble_from_s + given / 3;
-        m_overload_factor = between(4, 10);
-        m_overload_failures = between(0.0, 0.04);
+            m_latency_ms[i] = uniform(5, 60);
+            m_failure_share[i] = uniform(0.0, 0.005);
+        }
+        m_defect_share = uniform(0.1, 0.6);
+        m_slow_factor = uniform(2, 6);
+        m_defect_onset_s = uniform(0.05, 0.6) * time_limit_s;
+        m_defect_min_weight = uniform(100, 800);
+        m_defect_route = m_random.below(routes);
+        m_disturbance_begin_s = uniform(0, 2.0 / 3) * time_limit_s;
+        m_disturbance_end_s = m_disturbance_begin_s + time_limit_s / 3;
+        m_overload_factor = uniform(4, 10);
+        m_overload_failures = uniform(0.0, 0.04);
         for (auto& arm : m_cold_until_s) {
             arm.fill(0);
         }
         if (m_kind == move_kind::good_cold_starts) {
-            m_cold_until_s[1].fill(cold_s);
+            m_cold_until_s[1].fill(cold_start_s);
         }
         if (m_kind == move_kind::fails_store_down ||
             m_kind == move_kind::fails_store_and_holder_down) {
-            m_trouble_from_s = between(0, 0.5) * given; // before the move is done
-            m_trouble_until_s = m_trouble_from_s + given / 3;
-            m_onset_s = m_trouble_from_s;
+            m_disturbance_begin_s = uniform(0, 0.5) * time_limit_s; // before the move is done
+            m_disturbance_end_s = m_disturbance_begin_s + time_limit_s / 3;
+            m_defect_onset_s = m_disturbance_begin_s;
         }
     }
 
     bool store_down(double now) const {
         return (m_kind == move_kind::good_store_down || m_kind == move_kind::fails_store_down ||
                 m_kind == move_kind::fails_store_and_holder_down) &&
-               now >= m_trouble_from_s && now < m_trouble_until_s;
+               now >= m_disturbance_begin_s && now < m_disturbance_end_s;
     }
 
     // Whether the defect harms calls of the new version on a route now.
-    bool defect_acts(std::size_t route, double now) const {
+    bool is_defect_active(std::size_t route, double now) const {
         switch (m_kind) {
         case move_kind::fails_at_once:
         case move_kind::slow:
@@ -213,11 +214,11 @@
         case move_kind::fails_later:
         case move_kind::fails_store_down:
         case move_kind::fails_store_and_holder_down:
-            return now >= m_onset_s;
+            return now >= m_defect_onset_s;
         case move_kind::bad_under_load:
-            return m_record.m_weight_permille > m_load_limit;
+            return m_record.m_weight_permille > m_defect_min_weight;
         case move_kind::bad_on_one_route:
-            return route == m_bad_route;
+            return route == m_defect_route;
         default:
             return false;
         }
@@ -236,7 +237,7 @@
         }
         if (m_kind == move_kind::good_cold_starts && m_random.unit() < 0.02 * interval_s) {
             // A server turns cold without warning; old and new ones alike.
-            m_cold_until_s[m_random.below(2)][m_random.below(instances)] = begin + cold_s;
+            m_cold_until_s[m_random.below(2)][m_random.below(instances)] = begin + cold_start_s;
         }
         for (std::size_t route = 0; route < routes; ++route) {
             std::array<arm_counts*, 2 * instances> counts{};
@@ -252,21 +253,21 @@
             // A server of either version crashes and cuts the calls in its slots.
             evidence_report& report = m_reports[m_random.below(2 * instances)];
             for (auto& [route, counts] : report.m_routes) {
-                const std::uint32_t cut = std::min<std::uint32_t>(counts.m_calls, 12);
-                counts.m_failures = std::max(counts.m_failures, cut);
+                const std::uint32_t aborted = std::min<std::uint32_t>(counts.m_calls, 12);
+                counts.m_failures = std::max(counts.m_failures, aborted);
             }
         }
     }
 
     void serve_call(std::size_t route, double at, std::array<arm_counts*, 2 * instances>& counts) {
         ++m_all_calls;
-        const bool is_new =
-            choose_new_version(m_shares[m_random.below(entries)], weight_at(at), m_random);
+        const bool is_new = choose_new_version(m_version_shares[m_random.below(entry_nodes)],
+                                               weight_at(at), m_random);
         const std::size_t instance = m_random.below(instances);
         double latency = m_latency_ms[route] * std::exp(0.5 * normal());
         double failure = m_failure_share[route];
-        if (m_kind == move_kind::good_under_overload && at >= m_trouble_from_s &&
-            at < m_trouble_until_s) {
+        if (m_kind == move_kind::good_under_overload && at >= m_disturbance_begin_s &&
+            at < m_disturbance_end_s) {
             latency *= m_overload_factor;
             failure += m_overload_failures;
         }
@@ -277,10 +278,10 @@
         bool failed = m_random.unit() < failure;
         if (is_new) {
             ++m_new_calls;
-            if (m_result.m_visible_s && at > *m_result.m_visible_s + 3) {
+            if (m_result.m_defect_visible_s && at > *m_result.m_defect_visible_s + 3) {
                 ++m_result.m_calls_after_3s;
             }
-            if (defect_acts(route, at)) {
+            if (is_defect_active(route, at)) {
                 bool harmed = false;
                 if (m_kind == move_kind::slow) {
                     latency *= m_slow_factor;
@@ -289,10 +290,10 @@
                     failed = true;
                     harmed = true;
                 }
-                if (harmed && ++m_result.m_harmed == 3) {
-                    m_result.m_visible_s = at;
-                    m_result.m_weight_before = m_largest_weight;
-                    m_result.m_share_before =
+                if (harmed && ++m_result.m_harmed_calls == 3) {
+                    m_result.m_defect_visible_s = at;
+                    m_result.m_max_weight_before_visible = m_largest_weight;
+                    m_result.m_share_before_visible =
                         static_cast<double>(m_new_calls) / static_cast<double>(m_all_calls);
                 }
             }
@@ -303,7 +304,7 @@
 
     // The weight that entry sides use: changes arrive after the spread time.
     std::uint32_t weight_at(double at) const {
-        return at < m_weight_from_s ? m_previous_weight : m_weight;
+        return at < m_weight_visible_s ? m_previous_weight : m_weight;
     }
 
     void set_weight(std::uint32_t weight, double now) {
@@ -312,21 +313,21 @@
         }
         m_previous_weight = m_weight;
         m_weight = weight;
-        m_weight_from_s = now + spread_s;
+        m_weight_visible_s = now + propagation_s;
         m_largest_weight = std::max(m_largest_weight, weight);
-        if (weight == 0 && !m_result.m_stopped_s) {
-            m_result.m_stopped_s = now + spread_s;
+        if (weight == 0 && !m_result.m_traffic_stopped_s) {
+            m_result.m_traffic_stopped_s = now + propagation_s;
         }
     }
 
-    bool is_over() const { return m_record.m_state != move_state::running; }
+    bool has_ended() const { return m_record.m_state != move_state::running; }
 
     // One second of the holder and of the local tests. While the store is down the holder writes
     // nothing but goes on testing; where it is down too, nodes judge by their own calls alone.
-    void decide(double now) {
-        const bool down = store_down(now);
+    void decide_sequential(double now) {
+        const bool is_down = store_down(now);
         const bool no_holder =
-            (down && m_kind == move_kind::fails_store_and_holder_down) || now < m_holder_back_s;
+            (is_down && m_kind == move_kind::fails_store_and_holder_down) || now < m_next_holder_s;
         evidence_report old_sum;
         old_sum.m_version = "v1";
         for (std::size_t i = 0; i < instances && !no_holder; ++i) {
@@ -334,32 +335,32 @@
                 arm_counts& sum = old_sum.m_routes[route];
                 sum.m_calls += counts.m_calls;
                 sum.m_failures += counts.m_failures;
-                for (std::size_t c = 0; c < latency_buckets; ++c) {
-                    sum.m_latency[c] += counts.m_latency[c];
+                for (std::size_t bucket = 0; bucket < latency_buckets; ++bucket) {
+                    sum.m_latency[bucket] += counts.m_latency[bucket];
                 }
             }
         }
         for (std::size_t i = 0; i < instances; ++i) {
             const std::array reports{m_reports[instances + i], old_sum};
-            add_evidence(m_own[i], reports, "v1", "v2");
+            add_evidence(m_local_evidence[i], reports, "v1", "v2");
             std::string reason;
-            if (!m_suspended && is_locally_bad(m_own[i], reason)) {
+            if (!m_suspended && is_locally_bad(m_local_evidence[i], reason)) {
                 m_suspended = true;
-                m_result.m_local = true;
+                m_result.m_suspended_locally = true;
                 set_weight(0, now);
             }
         }
         if (m_kind == move_kind::good_holder_dies && m_random.unit() < 0.01 * interval_s) {
             // The next holder begins after a lease period, without evidence.
-            m_holder_back_s = now + 5;
+            m_next_holder_s = now + 5;
             m_evidence = {};
-            m_record = take_over_move(m_record, "holder-" + std::to_string(++m_holders));
+            m_record = take_over_move(m_record, "holder-" + std::to_string(++m_holder_count));
         }
         if (no_holder) {
             return;
         }
         add_evidence(m_evidence, m_reports, "v1", "v2");
-        if (down) {
+        if (is_down) {
             if (judge_evidence(m_evidence).m_verdict == evidence_verdict::bad) {
                 m_suspended = true;
                 set_weight(0, now);
@@ -375,13 +376,13 @@
     void write(const move_record& record, double now) {
         if (record.m_stage != m_record.m_stage) {
             begin_stage(m_evidence);
-            for (move_evidence& own : m_own) {
-                begin_stage(own);
+            for (move_evidence& evidence : m_local_evidence) {
+                begin_stage(evidence);
             }
         }
         m_record = record;
         ++m_record.m_revision;
-        if (is_over()) {
+        if (has_ended()) {
             ++m_result.m_final_writes;
             m_result.m_ended_s = now;
         }
@@ -390,7 +391,7 @@
 
     // The baseline: five steps of equal length over two thirds of the time given; taken back when
     // more than 5% of the last ten seconds' calls of the new version failed (at least 20 calls).
-    void decide_fixed(double now) {
+    void decide_fixed_steps(double now) {
         constexpr std::array<std::uint32_t, 5> weights{10, 50, 250, 500, 1000};
         std::uint64_t calls = 0;
         std::uint64_t failures = 0;
@@ -409,12 +410,12 @@
         }
         calls = 0;
         failures = 0;
-        for (const auto& [c, f] : m_fixed_window) {
-            calls += c;
-            failures += f;
+        for (const auto& [window_calls, window_failures] : m_fixed_window) {
+            calls += window_calls;
+            failures += window_failures;
         }
         move_record record = m_record;
-        const double step = m_options.m_given_s * 2 / 3 / weights.size();
+        const double step = m_options.m_time_limit_s * 2 / 3 / weights.size();
         const auto stage = static_cast<std::size_t>(now / step);
         if (calls >= 20 && 20 * failures > calls) {
             record.m_state = move_state::taken_back;
@@ -437,29 +438,29 @@
     manual_clock m_clock;
     move_record m_record;
     move_evidence m_evidence;
-    std::vector<move_evidence> m_own;
+    std::vector<move_evidence> m_local_evidence;
     std::vector<evidence_report> m_reports;
     std::deque<std::pair<std::uint64_t, std::uint64_t>> m_fixed_window;
     move_result m_result;
     bool m_suspended = false;
-    double m_holder_back_s = 0;
-    int m_holders = 0;
+    double m_next_holder_s = 0;
+    int m_holder_count = 0;
     std::uint32_t m_weight = stage_weights_permille[0];
     std::uint32_t m_previous_weight = stage_weights_permille[0];
     std::uint32_t m_largest_weight = stage_weights_permille[0];
-    double m_weight_from_s = 0;
-    std::array<version_share, entries> m_shares;
+    double m_weight_visible_s = 0;
+    std::array<version_share, entry_nodes> m_version_shares;
     std::uint64_t m_all_calls = 0;
     std::uint64_t m_new_calls = 0;
     std::array<double, routes> m_latency_ms{};
     std::array<double, routes> m_failure_share{};
     double m_defect_share = 0;
     double m_slow_factor = 1;
-    double m_onset_s = 0;
-    double m_load_limit = 0;
-    std::size_t m_bad_route = 0;
-    double m_trouble_from_s = 0;
-    double m_trouble_until_s = 0;
+    double m_defect_onset_s = 0;
+    double m_defect_min_weight = 0;
+    std::size_t m_defect_route = 0;
+    double m_disturbance_begin_s = 0;
+    double m_disturbance_end_s = 0;
     double m_overload_factor = 1;
     double m_overload_failures = 0;
     std::array<std::array<double, instances>, 2> m_cold_until_s{};
--- a/bench/moves.cpp
+++ b/bench/moves.cpp
@@ -30,24 +30,24 @@
     int taken_back = 0;
     int in_time = 0;
     int visible = 0;
-    std::vector<double> seconds;
-    std::vector<double> shares;
-    std::vector<double> harmed;
-    std::vector<double> after;
+    std::vector<double> seconds_to_stop;
+    std::vector<double> shares_before_visible;
+    std::vector<double> harmed_calls;
+    std::vector<double> calls_after_3s;
     std::uint32_t largest_weight = 0;
     for (int i = 0; i < runs; ++i) {
         const move_result result =
             simulate_move(kind, policy, seed + static_cast<std::uint64_t>(i), options);
         taken_back += result.m_state == move_state::taken_back ? 1 : 0;
         in_time += result.m_in_time ? 1 : 0;
-        harmed.push_back(static_cast<double>(result.m_harmed));
-        if (result.m_visible_s) {
+        harmed_calls.push_back(static_cast<double>(result.m_harmed_calls));
+        if (result.m_defect_visible_s) {
             ++visible;
-            largest_weight = std::max(largest_weight, result.m_weight_before);
-            shares.push_back(result.m_share_before);
-            after.push_back(static_cast<double>(result.m_calls_after_3s));
-            if (result.m_stopped_s) {
-                seconds.push_back(*result.m_stopped_s - *result.m_visible_s);
+            largest_weight = std::max(largest_weight, result.m_max_weight_before_visible);
+            shares_before_visible.push_back(result.m_share_before_visible);
+            calls_after_3s.push_back(static_cast<double>(result.m_calls_after_3s));
+            if (result.m_traffic_stopped_s) {
+                seconds_to_stop.push_back(*result.m_traffic_stopped_s - *result.m_defect_visible_s);
             }
         }
     }
@@ -56,9 +56,10 @@
         policy == move_policy::sequential ? "sequential" : "fixed steps";
     fmt::print("{:<25} {:<11} {:>5} {:>6} {:>6} {:>7} {:>7.1f} {:>7.1f} {:>7} {:>7.2f} {:>7.0f} "
                "{:>7.0f} {:>7.0f}\n",
-               name, policy_name, runs, taken_back, in_time, visible, quantile(seconds, 0.5),
-               quantile(seconds, 0.95), largest_weight, 100 * quantile(shares, 1.0),
-               quantile(harmed, 0.5), quantile(harmed, 0.95), quantile(after, 0.5));
+               name, policy_name, runs, taken_back, in_time, visible,
+               quantile(seconds_to_stop, 0.5), quantile(seconds_to_stop, 0.95), largest_weight,
+               100 * quantile(shares_before_visible, 1.0), quantile(harmed_calls, 0.5),
+               quantile(harmed_calls, 0.95), quantile(calls_after_3s, 0.5));
     boost::json::object row;
     row["kind"] = name;
     row["policy"] = policy_name;
@@ -67,13 +68,13 @@
     row["taken_back"] = taken_back;
     row["done_in_time"] = in_time;
     row["visible"] = visible;
-    row["seconds_to_stop_median"] = quantile(seconds, 0.5);
-    row["seconds_to_stop_p95"] = quantile(seconds, 0.95);
+    row["seconds_to_stop_median"] = quantile(seconds_to_stop, 0.5);
+    row["seconds_to_stop_p95"] = quantile(seconds_to_stop, 0.95);
     row["largest_weight_before_permille"] = largest_weight;
-    row["largest_share_before_percent"] = 100 * quantile(shares, 1.0);
-    row["calls_harmed_median"] = quantile(harmed, 0.5);
-    row["calls_harmed_p95"] = quantile(harmed, 0.95);
-    row["calls_after_3s_median"] = quantile(after, 0.5);
+    row["largest_share_before_percent"] = 100 * quantile(shares_before_visible, 1.0);
+    row["calls_harmed_median"] = quantile(harmed_calls, 0.5);
+    row["calls_harmed_p95"] = quantile(harmed_calls, 0.95);
+    row["calls_after_3s_median"] = quantile(calls_after_3s, 0.5);
     return row;
 }
 
@@ -83,34 +84,35 @@
     char* json_file = nullptr;
     int runs = 200;
     long seed = 1;
-    double given = 300;
+    double time_limit_s = 300;
     double min_rate = 50;
     double max_rate = 500;
-    const std::array table{
+    const std::array option_table{
         poptOption{"json", 0, POPT_ARG_STRING, &json_file, 0, "write the results here", "FILE"},
         poptOption{"runs", 0, POPT_ARG_INT, &runs, 0, "runs of each kind", "N"},
         poptOption{"seed", 0, POPT_ARG_LONG, &seed, 0, "seed of the first run", "N"},
-        poptOption{"given", 0, POPT_ARG_DOUBLE, &given, 0, "time given to a move", "SECONDS"},
+        poptOption{"given", 0, POPT_ARG_DOUBLE, &time_limit_s, 0, "time given to a move",
+                   "SECONDS"},
         poptOption{"min-rate", 0, POPT_ARG_DOUBLE, &min_rate, 0, "least calls a second", "N"},
         poptOption{"max-rate", 0, POPT_ARG_DOUBLE, &max_rate, 0, "most calls a second", "N"},
         poptOption{nullptr, 0, POPT_ARG_INCLUDE_TABLE,
                    poptHelpOptions, // NOLINT(cppcoreguidelines-pro-type-cstyle-cast): popt's macro
                    0, "Help options:", nullptr},
         poptOption{nullptr, 0, 0, nullptr, 0, nullptr, nullptr}};
-    poptContext context = poptGetContext("moves", argc, argv, table.data(), 0);
+    poptContext context = poptGetContext("moves", argc, argv, option_table.data(), 0);
     const int parsed = poptGetNextOpt(context);
-    if (parsed < -1 || runs < 1 || given < 10 || min_rate <= 0 || max_rate < min_rate) {
+    if (parsed < -1 || runs < 1 || time_limit_s < 10 || min_rate <= 0 || max_rate < min_rate) {
         fmt::print(stderr, "moves: bad arguments; see --help\n");
         poptFreeContext(context);
         return 2;
     }
-    const simulation_options options{given, min_rate, max_rate};
+    const simulation_options options{time_limit_s, min_rate, max_rate};
     fmt::print("{} runs of each kind, seed {}, {} s given, {} to {} calls/s, 5 instances of each "
                "version, 4 routes with 60, 25, 10 and 5% of the calls.\n"
                "A defect is visible from the third call that it harms. before: largest weight "
                "(permille) and largest share of all calls (%) until then; after: calls of the new "
                "version later than 3 s after.\n",
-               runs, seed, given, min_rate, max_rate);
+               runs, seed, time_limit_s, min_rate, max_rate);
     fmt::print("{:<25} {:<11} {:>5} {:>6} {:>6} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7}\n",
                "kind", "policy", "runs", "back", "intime", "visible", "stop50", "stop95", "weight",
                "share%", "harm50", "harm95", "after50");
@@ -126,7 +128,7 @@
         all["bench"] = "moves";
         all["runs"] = runs;
         all["seed"] = seed;
-        all["given_s"] = given;
+        all["given_s"] = time_limit_s;
         all["min_rate"] = min_rate;
         all["max_rate"] = max_rate;
         all["rows"] = rows;
--- a/bench/parse_text.cpp
+++ b/bench/parse_text.cpp
@@ -56,13 +56,13 @@
         std::vector<text_fault> faults;
         const auto start = std::chrono::steady_clock::now();
         const auto parsed = parse_mesh(text, wall_time{}, nullptr, faults);
-        const std::chrono::duration<double, std::milli> took =
+        const std::chrono::duration<double, std::milli> parse_time =
             std::chrono::steady_clock::now() - start;
         if (!parsed) {
             fmt::print(stderr, "{}\n", format_fault("text", faults.front()));
             return 1;
         }
-        parse_ms.push_back(took.count());
+        parse_ms.push_back(parse_time.count());
         const auto match_start = std::chrono::steady_clock::now();
         std::size_t matched = 0;
         for (int i = 0; i < service_count; ++i) {
@@ -71,12 +71,12 @@
                            ? 1
                            : 0;
         }
-        const std::chrono::duration<double, std::nano> match_took =
+        const std::chrono::duration<double, std::nano> match_time =
             std::chrono::steady_clock::now() - match_start;
         if (matched != service_count) {
             return 1;
         }
-        match_ns.push_back(match_took.count() / service_count);
+        match_ns.push_back(match_time.count() / service_count);
     }
     std::sort(parse_ms.begin(), parse_ms.end());
     std::sort(match_ns.begin(), match_ns.end());
--- a/bench/replay.cpp
+++ b/bench/replay.cpp
@@ -42,12 +42,12 @@
     if (!result) {
         return report_error(reason);
     }
-    bool good = true;
+    bool passed = true;
     for (const trace_report& trace : result->m_traces) {
-        good = print_report(trace.m_name, trace.m_report) && good;
+        passed = print_report(trace.m_name, trace.m_report) && passed;
     }
     fmt::print("signature {:016x}\n", result->m_signature);
-    return good ? 0 : 1;
+    return passed ? 0 : 1;
 }
 
 int check_logs(const std::string& outcomes_file, const std::vector<std::string>& logs) {
@@ -84,15 +84,15 @@
 } // namespace
 
 int main(int argc, char** argv) {
-    const std::vector<std::string> words(argv + std::min(argc, 1), argv + argc);
-    if (words.size() == 1) {
-        return replay_all(words[0]);
+    const std::vector<std::string> arguments_given(argv + std::min(argc, 1), argv + argc);
+    if (arguments_given.size() == 1) {
+        return replay_all(arguments_given[0]);
     }
-    if (words.size() >= 3 && words[0] == "check") {
-        return check_logs(words[1], {words.begin() + 2, words.end()});
+    if (arguments_given.size() >= 3 && arguments_given[0] == "check") {
+        return check_logs(arguments_given[1], {arguments_given.begin() + 2, arguments_given.end()});
     }
-    if (words.size() >= 3 && words[0] == "trim") {
-        return trim_logs(words[1], {words.begin() + 2, words.end()});
+    if (arguments_given.size() >= 3 && arguments_given[0] == "trim") {
+        return trim_logs(arguments_given[1], {arguments_given.begin() + 2, arguments_given.end()});
     }
     fmt::print(stderr, "usage: replay FOLDER | check OUTCOMES LOG... | trim TARGET "
                        "[--admission-of INSTANCE]... LOG...\n");
--- a/bench/spread.cpp
+++ b/bench/spread.cpp
@@ -23,7 +23,7 @@
 }
 
 // Results of one scenario over all seeds.
-struct sample {
+struct scenario_result {
     std::vector<double> m_seconds;
     std::vector<double> m_packets; // per node
     std::vector<double> m_bytes;   // per node
@@ -44,11 +44,11 @@
 
 // Lets nodes that are warm react to one event and waits until the condition holds.
 template <typename Start, typename Done>
-sample measure(const node_schedule& warm, double loss, duration limit, const Start& start,
-               const Done& done) {
-    sample result;
+scenario_result measure(const node_schedule& warmed_up, double loss, duration limit,
+                        const Start& trigger, const Done& is_done) {
+    scenario_result result;
     for (std::uint64_t seed = 1; seed <= run_count; ++seed) {
-        node_schedule schedule = warm;
+        node_schedule schedule = warmed_up;
         schedule.m_random = random_source(seed);
         schedule.m_link = seeded_link(mean_delay, loss, seed * 7919);
         for (scheduled_node& node : schedule.m_nodes) {
@@ -57,47 +57,47 @@
         run_for(schedule, milliseconds(schedule.m_random.below(3'000)));
         schedule.m_packets = 0;
         schedule.m_bytes = 0;
-        start(schedule);
-        const auto took = run_until(schedule, limit, [&] { return done(schedule); });
-        if (!took) {
+        trigger(schedule);
+        const auto elapsed = run_until(schedule, limit, [&] { return is_done(schedule); });
+        if (!elapsed) {
             ++result.m_unfinished;
             continue;
         }
         const auto count = static_cast<double>(schedule.m_nodes.size());
-        result.m_seconds.push_back(seconds(*took));
+        result.m_seconds.push_back(seconds(*elapsed));
         result.m_packets.push_back(static_cast<double>(schedule.m_packets) / count);
         result.m_bytes.push_back(static_cast<double>(schedule.m_bytes) / count);
     }
     return result;
 }
 
-void print(std::string& json, std::size_t count, double loss, std::string_view what,
-           const sample& value) {
+void print(std::string& json, std::size_t count, double loss, std::string_view event,
+           const scenario_result& value) {
     fmt::print("{:>6} {:>5.0f}% {:<28} {:>8.2f} {:>8.2f} {:>9.1f} {:>10.0f} {:>10}\n", count,
-               loss * 100, what, median(value.m_seconds), worst(value.m_seconds),
+               loss * 100, event, median(value.m_seconds), worst(value.m_seconds),
                median(value.m_packets), median(value.m_bytes), value.m_unfinished);
     std::fflush(stdout);
     json += fmt::format("{}{{\"nodes\":{},\"loss\":{},\"event\":\"{}\",\"median_s\":{:.3f},"
                         "\"worst_s\":{:.3f},\"packets_per_node\":{:.1f},\"bytes_per_node\":{:.0f},"
                         "\"unfinished\":{}}}",
-                        json.empty() ? "" : ",\n", count, loss, what, median(value.m_seconds),
+                        json.empty() ? "" : ",\n", count, loss, event, median(value.m_seconds),
                         worst(value.m_seconds), median(value.m_packets), median(value.m_bytes),
                         value.m_unfinished);
 }
 
 void measure_count(std::string& json, std::size_t count, double loss) {
     using std::chrono::seconds;
-    node_schedule warm = make_schedule(count, count, mean_delay, loss);
-    warm.m_store = 1;
+    node_schedule warmed_up = make_schedule(count, count, mean_delay, loss);
+    warmed_up.m_store = 1;
     for (std::size_t index = 0; index < count; ++index) {
-        read_store(warm, index);
+        read_store(warmed_up, index);
     }
     // The entries of the start have spread by then; a thousand of them take longest.
-    run_for(warm, seconds(count < 1'000 ? 60 : 300));
+    run_for(warmed_up, seconds(count < 1'000 ? 60 : 300));
 
     print(json, count, loss, "new version in force",
           measure(
-              warm, loss, seconds(60),
+              warmed_up, loss, seconds(60),
               [](node_schedule& schedule) {
                   schedule.m_store = 2;
                   read_store(schedule, 0);
@@ -106,7 +106,7 @@
               [](const node_schedule& schedule) { return all_applied(schedule, 2); }));
     print(json, count, loss, "new version, one reader",
           measure(
-              warm, loss, seconds(60),
+              warmed_up, loss, seconds(60),
               [](node_schedule& schedule) {
                   schedule.m_store = 2;
                   read_store(schedule, 0);
@@ -114,7 +114,7 @@
               [](const node_schedule& schedule) { return all_applied(schedule, 2); }));
     print(json, count, loss, "leave known",
           measure(
-              warm, loss, seconds(60),
+              warmed_up, loss, seconds(60),
               [](node_schedule& schedule) {
                   run_actions(schedule, 0,
                               membership_leave(schedule.m_nodes[0].m_members, schedule.m_now));
@@ -126,7 +126,7 @@
         {"move-1", "surveys", "2.0", node_name(0), "failures", 1}};
     print(json, count, loss, "suspension known",
           measure(
-              warm, loss, seconds(60),
+              warmed_up, loss, seconds(60),
               [&](node_schedule& schedule) {
                   scheduled_node& node = schedule.m_nodes[0];
                   merge_suspension(node.m_facts, suspended[0]);
@@ -141,7 +141,7 @@
                                          return is_suspended(node.m_facts, "move-1");
                                      });
               }));
-    const auto any_sees_dead = [](const node_schedule& schedule) {
+    const auto any_holds_dead = [](const node_schedule& schedule) {
         return std::any_of(
             schedule.m_nodes.begin() + 1, schedule.m_nodes.end(), [](const scheduled_node& node) {
                 const tracked_member* found = find_member(node.m_members, node_name(0));
@@ -150,22 +150,22 @@
     };
     const auto kill_first = [](node_schedule& schedule) { schedule.m_nodes[0].m_up = false; };
     print(json, count, loss, "killed member, first to know",
-          measure(warm, loss, seconds(120), kill_first, any_sees_dead));
+          measure(warmed_up, loss, seconds(120), kill_first, any_holds_dead));
     print(json, count, loss, "killed member, all know",
-          measure(warm, loss, seconds(120), kill_first, [](const node_schedule& schedule) {
+          measure(warmed_up, loss, seconds(120), kill_first, [](const node_schedule& schedule) {
               return all_hold_state(schedule, 0, member_state::dead);
           }));
-    const std::size_t tenth = count / 10;
+    const std::size_t killed_count = count / 10;
     print(json, count, loss, "killed tenth, all know",
           measure(
-              warm, loss, seconds(240),
-              [tenth](node_schedule& schedule) {
-                  for (std::size_t index = 0; index < tenth; ++index) {
+              warmed_up, loss, seconds(240),
+              [killed_count](node_schedule& schedule) {
+                  for (std::size_t index = 0; index < killed_count; ++index) {
                       schedule.m_nodes[index].m_up = false;
                   }
               },
-              [tenth](const node_schedule& schedule) {
-                  for (std::size_t index = 0; index < tenth; ++index) {
+              [killed_count](const node_schedule& schedule) {
+                  for (std::size_t index = 0; index < killed_count; ++index) {
                       if (!all_hold_state(schedule, index, member_state::dead)) {
                           return false;
                       }
@@ -187,30 +187,31 @@
     };
     std::set<std::pair<std::string, std::uint64_t>> suspected;
     std::set<std::pair<std::string, std::uint64_t>> dead;
-    std::uint64_t of_slow = 0;
+    std::uint64_t late_member_suspicions = 0;
     run_for(schedule, std::chrono::seconds(45));
     schedule.m_on_change = [&](std::size_t observer, const std::string& instance) {
         const tracked_member* found = find_member(schedule.m_nodes[observer].m_members, instance);
         if (found == nullptr) {
             return;
         }
-        const std::pair key{instance, found->m_member.m_incarnation};
-        if (found->m_member.m_state == member_state::suspect && suspected.insert(key).second) {
-            of_slow += instance == node_name(0) ? 1 : 0;
+        const std::pair member_key{instance, found->m_member.m_incarnation};
+        if (found->m_member.m_state == member_state::suspect &&
+            suspected.insert(member_key).second) {
+            late_member_suspicions += instance == node_name(0) ? 1 : 0;
         }
         if (found->m_member.m_state == member_state::dead) {
-            dead.insert(key);
+            dead.insert(member_key);
         }
     };
     run_for(schedule, std::chrono::hours(1));
     fmt::print(
         "{:>6} {:>5.0f}% one member 400 ms late: {} false suspicions an hour ({} of the late "
         "member), {} false deaths\n",
-        count, loss * 100, suspected.size(), of_slow, dead.size());
+        count, loss * 100, suspected.size(), late_member_suspicions, dead.size());
     json += fmt::format(",\n{{\"nodes\":{},\"loss\":{},\"event\":\"one member 400 ms late\","
                         "\"false_suspicions_per_hour\":{},\"of_late_member\":{},"
                         "\"false_deaths_per_hour\":{}}}",
-                        count, loss, suspected.size(), of_slow, dead.size());
+                        count, loss, suspected.size(), late_member_suspicions, dead.size());
 }
 
 } // namespace
--- a/bench/watch_baseline.cpp
+++ b/bench/watch_baseline.cpp
@@ -27,7 +27,7 @@
 constexpr milliseconds call_timeout{10'000};
 constexpr milliseconds pause_between_changes{1'000};
 
-struct totals {
+struct store_totals {
     std::uint64_t m_calls = 0;
     std::uint64_t m_bytes = 0;
     std::uint64_t m_throttled = 0;
@@ -36,14 +36,14 @@
 // One node of the baseline.
 struct watcher {
     std::unique_ptr<store_client> m_client;
-    std::uint64_t m_after = 0;
-    std::uint64_t m_seen = 0; // last change whose text was read
+    std::uint64_t m_watch_revision = 0;
+    std::uint64_t m_last_read_change = 0; // last change whose text was read
 };
 
 struct measurement {
     boost::asio::io_context m_context{1};
     std::vector<std::unique_ptr<watcher>> m_watchers;
-    totals m_totals;
+    store_totals m_totals;
     std::uint64_t m_change = 0;
     std::chrono::steady_clock::time_point m_written;
     std::vector<double> m_delays_ms; // of the current change
@@ -51,61 +51,61 @@
     std::vector<double> m_worsts_ms;
 };
 
-void watch(measurement& all, watcher& node);
+void watch(measurement& state, watcher& node);
 
-void read_text(measurement& all, watcher& node, std::uint64_t change) {
-    node.m_client->get(text_key, [&all, &node, change](const store_reply& reply) {
+void read_text(measurement& state, watcher& node, std::uint64_t change) {
+    node.m_client->get(text_key, [&state, &node, change](const store_reply& reply) {
         if (reply.m_kind != error_kind::none) {
-            read_text(all, node, change);
+            read_text(state, node, change);
             return;
         }
-        node.m_seen = change;
+        node.m_last_read_change = change;
         const std::chrono::duration<double, std::milli> delay =
-            std::chrono::steady_clock::now() - all.m_written;
-        all.m_delays_ms.push_back(delay.count());
-        watch(all, node);
+            std::chrono::steady_clock::now() - state.m_written;
+        state.m_delays_ms.push_back(delay.count());
+        watch(state, node);
     });
 }
 
-void watch(measurement& all, watcher& node) {
-    node.m_client->watch(watched_prefix, node.m_after, watch_wait,
-                         [&all, &node](const store_reply& reply) {
+void watch(measurement& state, watcher& node) {
+    node.m_client->watch(watched_prefix, node.m_watch_revision, watch_wait,
+                         [&state, &node](const store_reply& reply) {
                              if (reply.m_kind != error_kind::none || reply.m_entries.empty()) {
-                                 watch(all, node);
+                                 watch(state, node);
                                  return;
                              }
-                             node.m_after = reply.m_revision;
-                             read_text(all, node, all.m_change);
+                             node.m_watch_revision = reply.m_revision;
+                             read_text(state, node, state.m_change);
                          });
 }
 
 // Runs the context until the time has passed or the condition holds.
 template <typename Condition>
-void run_until(measurement& all, milliseconds limit, Condition holds) {
+void run_until(measurement& state, milliseconds limit, Condition is_met) {
     const auto end = std::chrono::steady_clock::now() + limit;
-    while (!holds() && std::chrono::steady_clock::now() < end) {
-        all.m_context.run_one_for(milliseconds{50});
+    while (!is_met() && std::chrono::steady_clock::now() < end) {
+        state.m_context.run_one_for(milliseconds{50});
     }
 }
 
-void change_once(measurement& all, store_client& writer, const std::string& text) {
-    all.m_delays_ms.clear();
-    ++all.m_change;
+void apply_change(measurement& state, store_client& writer, const std::string& text) {
+    state.m_delays_ms.clear();
+    ++state.m_change;
     bool written = false;
-    writer.put(text_key, text + fmt::format("# {}\n", all.m_change), std::nullopt, {},
+    writer.put(text_key, text + fmt::format("# {}\n", state.m_change), std::nullopt, {},
                [&](const store_reply&) {
-                   all.m_written = std::chrono::steady_clock::now();
-                   writer.put(accepted_key, fmt::format("{}", all.m_change), std::nullopt, {},
+                   state.m_written = std::chrono::steady_clock::now();
+                   writer.put(accepted_key, fmt::format("{}", state.m_change), std::nullopt, {},
                               [&](const store_reply&) { written = true; });
                });
-    run_until(all, milliseconds{18'000},
-              [&] { return written && all.m_delays_ms.size() >= all.m_watchers.size(); });
-    std::sort(all.m_delays_ms.begin(), all.m_delays_ms.end());
-    if (!all.m_delays_ms.empty()) {
-        all.m_medians_ms.push_back(all.m_delays_ms[all.m_delays_ms.size() / 2]);
-        all.m_worsts_ms.push_back(all.m_delays_ms.back());
+    run_until(state, milliseconds{18'000},
+              [&] { return written && state.m_delays_ms.size() >= state.m_watchers.size(); });
+    std::sort(state.m_delays_ms.begin(), state.m_delays_ms.end());
+    if (!state.m_delays_ms.empty()) {
+        state.m_medians_ms.push_back(state.m_delays_ms[state.m_delays_ms.size() / 2]);
+        state.m_worsts_ms.push_back(state.m_delays_ms.back());
     }
-    run_until(all, pause_between_changes, [] { return false; });
+    run_until(state, pause_between_changes, [] { return false; });
 }
 
 double median(std::vector<double> values) {
@@ -116,13 +116,14 @@
 } // namespace
 
 int main(int argc, char** argv) {
-    char* store = nullptr;
-    char* file = nullptr;
+    char* store_address = nullptr;
+    char* text_file = nullptr;
     int nodes = 20;
     int changes = 20;
     const std::array options{
-        poptOption{"store", 0, POPT_ARG_STRING, &store, 0, "address of the store", "IP:PORT"},
-        poptOption{"text", 0, POPT_ARG_STRING, &file, 0, "text to write", "FILE"},
+        poptOption{"store", 0, POPT_ARG_STRING, &store_address, 0, "address of the store",
+                   "IP:PORT"},
+        poptOption{"text", 0, POPT_ARG_STRING, &text_file, 0, "text to write", "FILE"},
         poptOption{"nodes", 0, POPT_ARG_INT, &nodes, 0, "watching nodes", nullptr},
         poptOption{"changes", 0, POPT_ARG_INT, &changes, 0, "changes to make", nullptr},
         poptOption POPT_AUTOHELP poptOption POPT_TABLEEND};
@@ -131,42 +132,43 @@
         &poptFreeContext);
     while (poptGetNextOpt(context.get()) >= 0) {
     }
-    const auto address = parse_endpoint(store == nullptr ? "" : store);
-    std::ifstream in(file == nullptr ? "" : file, std::ios::binary);
+    const auto address = parse_endpoint(store_address == nullptr ? "" : store_address);
+    std::ifstream in(text_file == nullptr ? "" : text_file, std::ios::binary);
     if (!address || !in) {
         fmt::print(stderr, "watch_baseline: --store IP:PORT and --text FILE are required\n");
         return 2;
     }
     const std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
 
-    measurement all;
-    const auto count = [&all](const store_command&, error_kind kind, std::uint64_t sent,
-                              std::uint64_t received) {
-        ++all.m_totals.m_calls;
-        all.m_totals.m_bytes += sent + received;
-        all.m_totals.m_throttled += kind == error_kind::store_throttled ? 1 : 0;
+    measurement state;
+    const auto count_call = [&state](const store_command&, error_kind kind, std::uint64_t sent,
+                                     std::uint64_t received) {
+        ++state.m_totals.m_calls;
+        state.m_totals.m_bytes += sent + received;
+        state.m_totals.m_throttled += kind == error_kind::store_throttled ? 1 : 0;
     };
     const auto writer =
-        store_client::create(all.m_context, {*address}, own_store_codec(), call_timeout, nullptr);
+        store_client::create(state.m_context, {*address}, own_store_codec(), call_timeout, nullptr);
     for (int i = 0; i < nodes; ++i) {
         auto node = std::make_unique<watcher>();
-        node->m_client =
-            store_client::create(all.m_context, {*address}, own_store_codec(), call_timeout, count);
-        all.m_watchers.push_back(std::move(node));
-        watch(all, *all.m_watchers.back());
+        node->m_client = store_client::create(state.m_context, {*address}, own_store_codec(),
+                                              call_timeout, count_call);
+        state.m_watchers.push_back(std::move(node));
+        watch(state, *state.m_watchers.back());
     }
-    run_until(all, pause_between_changes, [] { return false; });
+    run_until(state, pause_between_changes, [] { return false; });
     for (int i = 0; i < changes; ++i) {
-        change_once(all, *writer, text);
+        apply_change(state, *writer, text);
     }
-    fmt::print(
-        "{{\"nodes\":{},\"changes\":{},\"median_ms\":{:.1f},\"worst_ms\":{:.1f},"
-        "\"store_calls_per_change\":{:.1f},\"bytes_per_change_per_node\":{:.0f},"
-        "\"throttled\":{}}}\n",
-        nodes, changes, median(all.m_medians_ms),
-        all.m_worsts_ms.empty() ? 0.0
-                                : *std::max_element(all.m_worsts_ms.begin(), all.m_worsts_ms.end()),
-        static_cast<double>(all.m_totals.m_calls) / changes,
-        static_cast<double>(all.m_totals.m_bytes) / changes / nodes, all.m_totals.m_throttled);
+    fmt::print("{{\"nodes\":{},\"changes\":{},\"median_ms\":{:.1f},\"worst_ms\":{:.1f},"
+               "\"store_calls_per_change\":{:.1f},\"bytes_per_change_per_node\":{:.0f},"
+               "\"throttled\":{}}}\n",
+               nodes, changes, median(state.m_medians_ms),
+               state.m_worsts_ms.empty()
+                   ? 0.0
+                   : *std::max_element(state.m_worsts_ms.begin(), state.m_worsts_ms.end()),
+               static_cast<double>(state.m_totals.m_calls) / changes,
+               static_cast<double>(state.m_totals.m_bytes) / changes / nodes,
+               state.m_totals.m_throttled);
     return 0;
 }
--- a/tests/fuzz/driver.cpp
+++ b/tests/fuzz/driver.cpp
@@ -13,46 +13,46 @@
 namespace {
 
 // Inputs don't grow beyond the largest datagram by much, so that the time goes into many inputs.
-constexpr std::size_t max_grown_bytes = 16U << 10U;
-constexpr std::uint64_t max_changes = 8;
+constexpr std::size_t max_mutated_bytes = 16U << 10U;
+constexpr std::uint64_t max_mutations_per_input = 8;
 constexpr std::uint64_t max_block_bytes = 80;
 
 // Bytes at the edges of encoded numbers: varints, signs, text.
 constexpr std::array<unsigned char, 10> edge_bytes{0x00, 0x01, 0x0a, 0x22, 0x2d,
                                                    0x39, 0x7f, 0x80, 0xfe, 0xff};
 
-void mutate(std::string& input, const std::string& other, std::span<const std::string_view> pieces,
-            random_source& random) {
-    const std::size_t at = random.below(input.size() + 1);
+void mutate(std::string& input, const std::string& splice_source,
+            std::span<const std::string_view> dictionary, random_source& random) {
+    const std::size_t position = random.below(input.size() + 1);
     const std::size_t length = 1 + random.below(max_block_bytes);
-    const std::string_view piece = pieces[random.below(pieces.size())];
+    const std::string_view token = dictionary[random.below(dictionary.size())];
     switch (random.below(8)) {
     case 0:
-        input.insert(at, piece);
+        input.insert(position, token);
         break;
     case 1:
-        input.replace(at, length, piece);
+        input.replace(position, length, token);
         break;
     case 2:
-        input.erase(at, length);
+        input.erase(position, length);
         break;
     case 3:
-        input.insert(at, std::string(input, random.below(input.size() + 1), length));
+        input.insert(position, std::string(input, random.below(input.size() + 1), length));
         break;
     case 4:
-        input.insert(at, other, random.below(other.size() + 1), length);
+        input.insert(position, splice_source, random.below(splice_source.size() + 1), length);
         break;
     case 5:
-        input.resize(at);
+        input.resize(position);
         break;
     case 6:
-        if (at < input.size()) {
-            input[at] = static_cast<char>(edge_bytes.at(random.below(edge_bytes.size())));
+        if (position < input.size()) {
+            input[position] = static_cast<char>(edge_bytes.at(random.below(edge_bytes.size())));
         }
         break;
     default:
-        if (at < input.size()) {
-            input[at] = static_cast<char>(random.below(256));
+        if (position < input.size()) {
+            input[position] = static_cast<char>(random.below(256));
         }
         break;
     }
@@ -78,20 +78,20 @@
 
 fuzz_result run_target(const fuzz_target& target, const std::vector<std::string>& corpus,
                        std::uint64_t mutations, std::uint64_t seed,
-                       const std::function<void(const std::string&)>& before) {
+                       const std::function<void(const std::string&)>& before_check) {
     fuzz_result result;
     if (corpus.empty()) {
-        result.m_wrong = "the seed corpus is empty";
+        result.m_fault = "the seed corpus is empty";
         return result;
     }
     const auto check = [&](const std::string& input) {
         ++result.m_inputs;
-        if (before) {
-            before(input);
+        if (before_check) {
+            before_check(input);
         }
-        result.m_wrong = target.m_check(input);
-        result.m_input = result.m_wrong.empty() ? std::string() : input;
-        return result.m_wrong.empty();
+        result.m_fault = target.m_check(input);
+        result.m_input = result.m_fault.empty() ? std::string() : input;
+        return result.m_fault.empty();
     };
     if (!std::all_of(corpus.begin(), corpus.end(), check)) {
         return result;
@@ -99,12 +99,12 @@
     random_source random(hash_bytes(target.m_name, seed));
     for (std::uint64_t i = 0; i < mutations * target.m_weight; ++i) {
         std::string input = corpus[random.below(corpus.size())];
-        const std::string& other = corpus[random.below(corpus.size())];
-        const std::size_t limit = std::max(input.size(), max_grown_bytes);
+        const std::string& splice_source = corpus[random.below(corpus.size())];
+        const std::size_t limit = std::max(input.size(), max_mutated_bytes);
         // Mostly few changes: binary messages are refused early after many.
-        for (std::uint64_t left = 1 + random.below(1 + random.below(max_changes)); left > 0;
-             --left) {
-            mutate(input, other, target.m_pieces, random);
+        for (std::uint64_t remaining = 1 + random.below(1 + random.below(max_mutations_per_input));
+             remaining > 0; --remaining) {
+            mutate(input, splice_source, target.m_dictionary, random);
         }
         input.resize(std::min(input.size(), limit));
         if (!check(input)) {
--- a/tests/fuzz/driver.hpp
+++ b/tests/fuzz/driver.hpp
@@ -16,7 +16,7 @@
 
 struct fuzz_result {
     std::uint64_t m_inputs = 0;
-    std::string m_wrong; // what the target found wrong, empty if nothing
+    std::string m_fault; // what the target found wrong, empty if nothing
     std::string m_input; // the input that showed it
 };
 
@@ -24,6 +24,6 @@
 // times the target's weight. Each input is passed to before, if given, ahead of its check.
 fuzz_result run_target(const fuzz_target& target, const std::vector<std::string>& corpus,
                        std::uint64_t mutations, std::uint64_t seed,
-                       const std::function<void(const std::string&)>& before = {});
+                       const std::function<void(const std::string&)>& before_check = {});
 
 } // namespace caraway
--- a/tests/fuzz/fuzz_main.cpp
+++ b/tests/fuzz/fuzz_main.cpp
@@ -16,7 +16,7 @@
 
 using namespace caraway;
 
-void write_found(std::string_view target, std::string_view input) {
+void write_failing_input(std::string_view target, std::string_view input) {
     std::ofstream file(fmt::format("found-{}", target), std::ios::binary);
     file.write(input.data(), static_cast<std::streamsize>(input.size()));
 }
@@ -37,18 +37,20 @@
             continue;
         }
         const auto start = std::chrono::steady_clock::now();
-        std::function<void(const std::string&)> before;
+        std::function<void(const std::string&)> before_check;
         if (std::getenv("FUZZ_KEEP") != nullptr) {
-            before = [&target](const std::string& input) { write_found(target.m_name, input); };
+            before_check = [&target](const std::string& input) {
+                write_failing_input(target.m_name, input);
+            };
         }
         const fuzz_result result =
-            run_target(target, read_corpus(argv[1], target.m_name), mutations, seed, before);
-        const std::chrono::duration<double> took = std::chrono::steady_clock::now() - start;
+            run_target(target, read_corpus(argv[1], target.m_name), mutations, seed, before_check);
+        const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
         fmt::print("{}: {} inputs, seed {}, {:.1f} s: {}\n", target.m_name, result.m_inputs, seed,
-                   took.count(), result.m_wrong.empty() ? "nothing found" : result.m_wrong);
+                   elapsed.count(), result.m_fault.empty() ? "nothing found" : result.m_fault);
         std::fflush(stdout);
-        if (!result.m_wrong.empty()) {
-            write_found(target.m_name, result.m_input);
+        if (!result.m_fault.empty()) {
+            write_failing_input(target.m_name, result.m_input);
             status = 1;
         }
     }
--- a/tests/fuzz/libfuzzer_main.cpp
+++ b/tests/fuzz/libfuzzer_main.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-const caraway::fuzz_target& chosen_target() {
+const caraway::fuzz_target& selected_target() {
     const char* name = std::getenv("FUZZ_TARGET");
     for (const caraway::fuzz_target& target : caraway::fuzz_targets()) {
         if (name != nullptr && target.m_name == name) {
@@ -24,10 +24,10 @@
 
 // NOLINTNEXTLINE(readability-identifier-naming): libFuzzer's name
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    static const caraway::fuzz_target& target = chosen_target();
-    const std::string wrong = target.m_check({reinterpret_cast<const char*>(data), size});
-    if (!wrong.empty()) {
-        fmt::print(stderr, "{}\n", wrong);
+    static const caraway::fuzz_target& target = selected_target();
+    const std::string fault = target.m_check({reinterpret_cast<const char*>(data), size});
+    if (!fault.empty()) {
+        fmt::print(stderr, "{}\n", fault);
         std::abort();
     }
     return 0;
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -28,7 +28,7 @@
 namespace {
 
 // Tags and lengths of protobuf fields, extreme varints, the magic number of a zstd frame.
-constexpr std::array<std::string_view, 12> wire_pieces{
+constexpr std::array<std::string_view, 12> wire_dictionary{
     "\x0a\x02",
     "\x12\x7f",
     "\x22\x04",
@@ -43,7 +43,7 @@
     "\xc3\x28",
 };
 
-constexpr std::array<std::string_view, 48> text_pieces{
+constexpr std::array<std::string_view, 48> text_dictionary{
     "[",
     "]",
     "[[",
@@ -94,7 +94,7 @@
     "\"\"",
 };
 
-constexpr std::array<std::string_view, 24> json_pieces{
+constexpr std::array<std::string_view, 24> json_dictionary{
     "{",
     "}",
     "[[[[[[[[",
@@ -121,7 +121,7 @@
     "\"time\":-9223372036854775808",
 };
 
-constexpr std::array<std::string_view, 20> http_pieces{
+constexpr std::array<std::string_view, 20> http_dictionary{
     "\r\n",
     "\r\n\r\n",
     ": ",
@@ -157,9 +157,9 @@
 
 std::string check_records(const std::vector<move_record>& records) {
     for (const move_record& record : records) {
-        std::string wrong = check_record(record);
-        if (!wrong.empty()) {
-            return wrong;
+        std::string fault = check_record(record);
+        if (!fault.empty()) {
+            return fault;
         }
     }
     return {};
@@ -171,8 +171,8 @@
     if (!decoded) {
         return reason.m_kind == error_kind::none ? "refused without a reason" : "";
     }
-    const std::string again = encode_packet(*decoded);
-    if (!decode_packet(again, reason)) {
+    const std::string reencoded = encode_packet(*decoded);
+    if (!decode_packet(reencoded, reason)) {
         return "a decoded packet can't be sent on";
     }
     return check_records(decoded->m_records);
@@ -204,8 +204,8 @@
 }
 
 std::string check_body(const join_reply& body) {
-    const std::string wrong = check_records(body.m_records);
-    return wrong.empty() && body.m_config ? check_unpacked(*body.m_config) : wrong;
+    const std::string fault = check_records(body.m_records);
+    return fault.empty() && body.m_config ? check_unpacked(*body.m_config) : fault;
 }
 
 std::string check_body(const fetch_config_reply& body) {
@@ -273,8 +273,8 @@
         std::vector<text_fault> faults;
         s_previous = parse_mesh(text, wall_time{}, nullptr, faults);
     }
-    std::string wrong = check_mesh(text, nullptr);
-    return wrong.empty() && s_previous ? check_mesh(text, &*s_previous) : wrong;
+    std::string fault = check_mesh(text, nullptr);
+    return fault.empty() && s_previous ? check_mesh(text, &*s_previous) : fault;
 }
 
 std::string check_settings(std::string_view text) {
@@ -292,9 +292,9 @@
         }
     }
     if (const auto record = decode_move(value, 7)) {
-        std::string wrong = check_record(*record);
-        if (!wrong.empty()) {
-            return wrong;
+        std::string fault = check_record(*record);
+        if (!fault.empty()) {
+            return fault;
         }
         if (decode_move(encode_move(*record), 7) != record) {
             return "a move record that isn't the same when written again";
@@ -328,7 +328,7 @@
 }
 
 template <bool is_request>
-std::string check_message(std::string_view bytes) {
+std::string check_http_message(std::string_view bytes) {
     http::parser<is_request, http::string_body> parser;
     parser.header_limit(20U << 10U);
     parser.body_limit(1U << 20U);
@@ -359,14 +359,14 @@
             return "a path with a query";
         }
     }
-    std::vector<std::string> named;
+    std::vector<std::string> listed_headers;
     for (auto [field, end] = message.equal_range(http::field::connection); field != end; ++field) {
         for (const auto& token : http::token_list(field->value())) {
-            named.emplace_back(token.data(), token.size());
+            listed_headers.emplace_back(token.data(), token.size());
         }
     }
     strip_hop_by_hop_headers(message);
-    for (const std::string& name : named) {
+    for (const std::string& name : listed_headers) {
         if (message.find(name) != message.end()) {
             return "a header that Connection named is passed on";
         }
@@ -383,7 +383,8 @@
         next.m_parent != trace.m_span || next.m_sampled != trace.m_sampled) {
         return "a trace that isn't the same at the next hop";
     }
-    return bytes.starts_with("HTTP/") ? check_message<false>(bytes) : check_message<true>(bytes);
+    return bytes.starts_with("HTTP/") ? check_http_message<false>(bytes)
+                                      : check_http_message<true>(bytes);
 }
 
 // The audit reads files, so each input becomes one, twice: lines of two processes are merged.
@@ -405,15 +406,15 @@
 }
 
 constexpr std::array<fuzz_target, 9> targets{{
-    {"packet", wire_pieces, 20, &check_packet},
-    {"request", wire_pieces, 20, &check_request},
-    {"reply", wire_pieces, 20, &check_reply},
-    {"text", text_pieces, 1, &check_text},
-    {"settings", text_pieces, 1, &check_settings},
-    {"store_value", json_pieces, 20, &check_store_value},
-    {"store_json", json_pieces, 20, &check_store_json},
-    {"http", http_pieces, 20, &check_http},
-    {"audit", json_pieces, 1, &check_audit},
+    {"packet", wire_dictionary, 20, &check_packet},
+    {"request", wire_dictionary, 20, &check_request},
+    {"reply", wire_dictionary, 20, &check_reply},
+    {"text", text_dictionary, 1, &check_text},
+    {"settings", text_dictionary, 1, &check_settings},
+    {"store_value", json_dictionary, 20, &check_store_value},
+    {"store_json", json_dictionary, 20, &check_store_json},
+    {"http", http_dictionary, 20, &check_http},
+    {"audit", json_dictionary, 1, &check_audit},
 }};
 
 } // namespace
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -7,11 +7,11 @@
 BOOST_AUTO_TEST_SUITE(fuzz)
 
 // Guards against decoders that crash or accept what the program can't bear. Long runs: make fuzz.
-BOOST_AUTO_TEST_CASE(decoders_bear_the_corpora_and_mutations) {
+BOOST_AUTO_TEST_CASE(decoders_tolerate_corpora_and_mutations) {
     for (const fuzz_target& target : fuzz_targets()) {
         const fuzz_result result =
             run_target(target, read_corpus("tests/fuzz/corpus", target.m_name), 300, 1);
-        BOOST_CHECK_MESSAGE(result.m_wrong.empty(), target.m_name << ": " << result.m_wrong);
+        BOOST_CHECK_MESSAGE(result.m_fault.empty(), target.m_name << ": " << result.m_fault);
     }
 }
 
