--- a/Makefile
+++ b/Makefile
@@ -1,18 +1,18 @@
 # carawaytray: build, test, demo and bench. README.md explains the targets.
 
 # SANITIZE=thread or SANITIZE=address,undefined builds with those sanitizers of the compiler. Each set
-# has a build folder of its own, because instrumented objects don't mix with others.
+# has its own build folder, because instrumented objects can't be linked with other objects.
 SANITIZE ?=
 comma    := ,
 BUILD    ?= build$(if $(SANITIZE),-$(subst $(comma),-,$(SANITIZE)))
 CXX      := g++
 CXXFLAGS ?= $(if $(SANITIZE),-O1,-O2) -g1
-# Coroutines change stacks, which the sanitizers must be told of; see src/base/sanitizer_fibers.cpp.
-# The thread sanitizer knows no fences; without them Asio synchronises by its mutexes alone.
+# The sanitizers must be notified when a coroutine switches stacks; see src/base/sanitizer_fibers.cpp.
+# The thread sanitizer doesn't support fences; without them Asio synchronises with its mutexes only.
 FIBER_FLAGS    := $(if $(findstring address,$(SANITIZE)),-DBOOST_USE_UCONTEXT -DBOOST_USE_ASAN) \
                   $(if $(findstring thread,$(SANITIZE)),-DBOOST_USE_UCONTEXT -DBOOST_USE_TSAN \
                     -DBOOST_ASIO_DISABLE_FENCED_BLOCK)
-# Instrumented code misleads the compiler's warning about uninitialised variables.
+# Instrumented code causes false warnings about uninitialised variables.
 SANITIZE_FLAGS := $(if $(SANITIZE),-fsanitize=$(SANITIZE) -fno-omit-frame-pointer \
                     -fno-sanitize-recover=undefined -Wno-maybe-uninitialized)
 CXXFLAGS += -std=c++20 -Wall -Wextra -Wpedantic -Werror -Wshadow $(SANITIZE_FLAGS)
@@ -20,24 +20,24 @@
 LDLIBS   := -lboost_json -lboost_context -lnng -lprotobuf -lfmt -lpopt -lprometheus-cpp-core \
             -lxxhash -lzstd -lssl -lcrypto -pthread
 CCACHE   := $(shell command -v ccache)
-# Work trees share compiled objects.
+# Lets ccache share compiled objects between work trees.
 export CCACHE_NOHASHDIR := 1
 export CCACHE_SLOPPINESS := pch_defines,time_macros
 
-# One static library for all folders under src that hold no main.
+# One static library of all folders under src without a main function, and of platform.
 LIB_SRC  := $(wildcard src/base/*.cpp src/config/*.cpp src/ctl/*.cpp src/decide/*.cpp src/store/*.cpp \
               src/peer/*.cpp src/observe/*.cpp src/traffic/*.cpp src/node/*.cpp platform/*.cpp)
 GEN_SRC  := $(wildcard src/peer/gen/*.cc)
 LIB_OBJ  := $(LIB_SRC:%.cpp=$(BUILD)/%.o) $(GEN_SRC:%.cc=$(BUILD)/%.o)
 LIB      := $(BUILD)/libcaraway.a
 
-# Programs: one folder or file each.
+# Programs: each has one folder under src or one file under standins.
 PROGRAMS := $(patsubst src/%/main.cpp,%,$(wildcard src/*/main.cpp))
 STANDINS := $(patsubst standins/%.cpp,%,$(wildcard standins/*_main.cpp))
 BINS     := $(PROGRAMS:%=$(BUILD)/bin/%) $(STANDINS:%_main=$(BUILD)/bin/%)
 STANDIN_OBJ := $(patsubst %.cpp,$(BUILD)/%.o,$(filter-out %_main.cpp,$(wildcard standins/*.cpp)))
 
-# Tests: every tests/*_test.cpp is one Boost.Test module of the test program.
+# Tests: all tests/*.cpp and the fuzz targets form one Boost.Test program.
 FUZZ_SRC := tests/fuzz/targets.cpp tests/fuzz/driver.cpp
 TEST_SRC := $(wildcard tests/*.cpp) $(FUZZ_SRC)
 TEST_OBJ := $(TEST_SRC:%.cpp=$(BUILD)/%.o)
@@ -67,7 +67,7 @@
 	@mkdir -p $(@D)
 	$(CCACHE) $(CXX) $(CPPFLAGS) $(CXXFLAGS) -MMD -MP -c $< -o $@
 
-# Generated code is committed; it is not held to the project's warnings.
+# Generated code is committed and compiled without the project's warnings.
 $(BUILD)/src/peer/gen/%.o: src/peer/gen/%.cc
 	@mkdir -p $(@D)
 	$(CCACHE) $(CXX) $(CPPFLAGS) -O2 -std=c++20 -w $(SANITIZE_FLAGS) -MMD -MP -c $< -o $@
@@ -98,7 +98,7 @@
 unit: $(BUILD)/bin/unit_tests
 	tools/run_unit_tests $(BUILD)/bin/unit_tests
 
-# Fuzzes every decoder of bytes from outside, the same inputs on every run.
+# Fuzzes every decoder of untrusted input; the same seed generates the same inputs.
 FUZZ_MUTATIONS ?= 10000
 FUZZ_SEED      ?= 1
 fuzz: $(BUILD)/bin/fuzz
@@ -108,7 +108,7 @@
 	@mkdir -p $(@D)
 	$(CXX) $^ $(SANITIZE_FLAGS) $(LDLIBS) -o $@
 
-# The same targets under clang's libFuzzer, where it is installed; FUZZ_TARGET names one at run time.
+# Runs the fuzz targets under clang's libFuzzer, if installed; FUZZ_TARGET selects one at run time.
 LIBFUZZER_SRC := $(wildcard src/base/*.cpp src/config/*.cpp src/decide/*.cpp) src/ctl/audit.cpp \
                  src/ctl/records.cpp src/observe/log.cpp src/observe/span.cpp src/peer/wire.cpp \
                  src/store/store_json.cpp src/traffic/http_message.cpp tests/fuzz/targets.cpp \
@@ -126,14 +126,14 @@
 	@mkdir -p $(BUILD)/bin
 	tools/run_integration $(BUILD)/bin
 
-# Runs the fault soak: seeds 1 to 3, those of SEED (N, N,N or N..N), or FRESH new ones.
+# Runs the fault soak with the seeds of SEED (N, N,N or N..N; 1 to 3 by default) or with FRESH new ones.
 SEED    ?= 1..3
 SECONDS ?= 12
 FRESH   ?= 0
 soak: all
 	python3 tests/soak/soak.py $(BUILD)/bin --seeds $(SEED) --fresh $(FRESH) --seconds $(SECONDS)
 
-# Replays the recorded traces; a change that means to alter no decision keeps the signature.
+# Replays the recorded traces; a change that preserves every decision keeps the signature.
 signature: $(BUILD)/bin/replay
 	$(BUILD)/bin/replay tests/traces
 
@@ -156,7 +156,7 @@
 TIDY_STAMPS := $(patsubst %.cpp,$(BUILD)/tidy/%.ok,$(filter %.cpp,$(FORMAT_FILES)))
 tidy: $(TIDY_STAMPS)
 
-# A file is linted again when it or a header it includes has changed.
+# Lints a file again when it or an included header has changed.
 $(BUILD)/tidy/%.ok: %.cpp .clang-tidy $(BUILD)/%.o
 	@mkdir -p $(@D)
 	clang-tidy --quiet $< -- $(CPPFLAGS) -std=c++20 2>/dev/null
--- a/bench/call_cost.cpp
+++ b/bench/call_cost.cpp
@@ -1,5 +1,6 @@
-// Measures what a node adds to a call: the same requests directly to a backend server, over one
-// node and over two, in the same run. Prints a table and a JSON object. usage: call_cost [SECONDS]
+// Measures the latency and processor time that nodes add to a call. Sends the same requests
+// directly to a backend server, through one node and through two nodes in the same run. Prints a
+// table and a JSON object. usage: call_cost [SECONDS [THREADS_PER_NODE]]
 #include <algorithm>
 #include <array>
 #include <atomic>
@@ -29,25 +30,27 @@
 
 namespace {
 
-// Calls a second of one node at the planned scale.
+// Call rate of one node at the planned scale.
 constexpr int planned_calls_per_second = 70;
-// The target for the added time at 99 of 100 calls.
+// Target for the increase of the 99th percentile latency through two nodes, in microseconds.
 constexpr double target_added_p99_us = 520;
 constexpr int saturation_connections = 24;
 constexpr std::size_t body_bytes = 512;
-// The node raises its cold-start limit for some seconds before it takes the full load.
+// A node raises its cold-start limit over some seconds before it accepts the full load.
 constexpr std::chrono::seconds warm_up_time{6};
 
+// Returns the processor time of the given clock in seconds.
 double cpu_seconds(clockid_t clock) {
     timespec value{};
     ::clock_gettime(clock, &value);
     return static_cast<double>(value.tv_sec) + 1e-9 * static_cast<double>(value.tv_nsec);
 }
 
-// Processor time of the threads that are not the node's: callers, backend server, log reader.
+// Processor time in seconds of all threads outside the nodes: callers, backend server, log reader.
 std::atomic<double> s_non_node_cpu_s{0};
 
-// Adds the processor time of the thread it lives on.
+// Adds the processor time of its thread to s_non_node_cpu_s. Must be destroyed on the thread that
+// created it.
 class thread_cpu_meter {
 public:
     thread_cpu_meter() : m_begin(cpu_seconds(CLOCK_THREAD_CPUTIME_ID)) {}
@@ -66,7 +69,7 @@
     double m_begin;
 };
 
-// Sends the log through a pipe, as a supervisor would read it.
+// Redirects stderr to a pipe that a thread reads, as a supervisor would read the log.
 void drain_log() {
     std::array<int, 2> pipe_ends{};
     if (::pipe(pipe_ends.data()) != 0) {
@@ -82,7 +85,7 @@
     }).detach();
 }
 
-// A backend server that answers at once with the request's body.
+// Backend server that immediately echoes the request body.
 class echo_server {
 public:
     echo_server() : m_acceptor(m_io, {asio::ip::address_v4::loopback(), 0}) {
@@ -128,7 +131,7 @@
     tcp::acceptor m_acceptor;
 };
 
-// One caller's connection.
+// Caller with one keep-alive connection.
 class caller {
 public:
     explicit caller(std::uint16_t port) : m_socket(m_io) {
@@ -140,7 +143,8 @@
         m_request.body() = std::string(body_bytes, 'x');
         m_request.prepare_payload();
     }
-    // Returns the time of one call in microseconds, or nothing if it was not answered.
+    // Returns the latency of one call in microseconds, or nothing if the answer is not 200 with the
+    // request's body.
     std::optional<double> call() {
         const auto begin = steady::now();
         http::write(m_socket, m_request);
@@ -166,12 +170,13 @@
     std::unique_ptr<traffic_server> m_server;
 };
 
+// Returns a port that was free a moment ago.
 std::uint16_t free_port() {
     asio::io_context io;
     return tcp::acceptor(io, {asio::ip::address_v4::loopback(), 0}).local_endpoint().port();
 }
 
-// Starts an entry node and a node beside the backend server.
+// Starts an entry node and a node beside the backend server, in this order. Exits on failure.
 std::vector<std::unique_ptr<bench_node>>
 start_nodes(std::uint16_t server_port, const clock_source& clock, std::uint32_t threads) {
     std::vector<std::unique_ptr<bench_node>> nodes;
@@ -223,13 +228,14 @@
     return nodes;
 }
 
+// Measurements of one path from the caller to the backend server.
 struct path_result {
     std::string m_name;
     std::uint16_t m_port = 0;
     std::vector<double> m_latencies_us;
     std::uint64_t m_failed_calls = 0;
     double m_calls_per_second = 0;
-    double m_node_us_per_call = 0; // processor time of the nodes
+    double m_node_us_per_call = 0; // processor time of all nodes
 
     double percentile(double quantile) {
         if (m_latencies_us.empty()) {
@@ -241,7 +247,7 @@
     }
 };
 
-// Calls the paths in turn, each at the planned rate, so that all see the same machine.
+// Calls the paths in turn, each at the planned rate, so that all run under the same machine load.
 void run_planned(std::vector<path_result>& paths, std::chrono::seconds time) {
     const thread_cpu_meter cpu_meter;
     std::vector<std::unique_ptr<caller>> callers;
@@ -266,7 +272,7 @@
     }
 }
 
-// Calls one path from many connections without a pause.
+// Calls one path from many connections in a closed loop without pauses.
 void run_saturated(path_result& path, std::chrono::seconds time, int connections) {
     std::atomic<std::uint64_t> calls{0};
     std::atomic<std::uint64_t> failed{0};
@@ -308,6 +314,7 @@
         1e6 * node_cpu / static_cast<double>(std::max<std::uint64_t>(1, calls + failed));
 }
 
+// Prints a table row for each path and returns the rows as JSON. The first path is the baseline.
 boost::json::array report(std::string_view load, std::vector<path_result>& paths) {
     boost::json::array rows;
     const double direct_50 = paths.front().percentile(0.5);
@@ -342,7 +349,7 @@
     log_identity("bench", "north", log_level::info);
     drain_log();
     static const system_clock_source clock;
-    static echo_server server; // its thread runs until the process ends
+    static echo_server server; // its detached thread runs until the process exits
     const auto nodes = start_nodes(server.port(), clock, threads);
     const std::vector<path_result> paths{
         {"direct", server.port(), {}, 0, 0, 0},
@@ -373,6 +380,6 @@
                                                {"target_met", added_p99_us <= target_added_p99_us},
                                                {"rows", std::move(rows)}}));
     std::fflush(stdout);
-    // The detached threads of the backend server and of the log reader end with the process.
+    // Skips destructors, since the backend server's and log reader's detached threads still run.
     ::_exit(0);
 }
--- a/bench/control_cost.cpp
+++ b/bench/control_cost.cpp
@@ -1,7 +1,7 @@
-// Measures what the membership costs one node at several table sizes: processor time and bytes per
-// second of protocol time, the hashes for the comparison of tables, and the memory of the table.
-// Packet sizes are the estimates that the node itself uses to fill packets. The churn is that of
-// the target scale: 1,545 restarts and failures a day among 14,000 members.
+// Measures the cost of the membership protocol for one node at several table sizes: processor time
+// and bytes per second of protocol time, the time to hash the table for anti-entropy, and the
+// memory of the table. Packet sizes are the estimates with which the node itself fills packets. The
+// churn is that of the target scale: 1,545 restarts and failures a day among 14,000 members.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -23,13 +23,14 @@
 constexpr int measured_seconds = 600;
 constexpr double churn_per_member = 1'545.0 / 14'000 / 86'400;
 
+// Returns the processor time of the process in seconds.
 double cpu_seconds() {
     std::timespec now{};
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &now);
     return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) * 1e-9;
 }
 
-// The node that is measured, with counters of its packets.
+// The measured node with its traffic counters and the processor time of its protocol functions.
 struct measured_node {
     membership_table m_table;
     std::uint64_t m_packets_out = 0;
@@ -39,13 +40,15 @@
     double m_cpu_s = 0;
 };
 
+// Returns the member with this index, in one of 2,600 services.
 member make_member(std::size_t index) {
     member entry = node_entry(index, 1'000'000);
     entry.m_service = fmt::format("service-{}", index % 2'600);
     return entry;
 }
 
-// Counts what the node sent and collects the pings, which the measurement answers.
+// Counts the packets that the node sends. Appends its pings to pings, unless that is null, so that
+// the benchmark can answer them.
 void count_sent(measured_node& node, const std::vector<membership_action>& actions,
                 std::deque<packet>* pings) {
     for (const membership_action& action : actions) {
@@ -60,6 +63,7 @@
     }
 }
 
+// Passes a packet to the node and measures the time that it takes to process it.
 void deliver(measured_node& node, const packet& value, const ip_endpoint& from, time_point now,
              std::deque<packet>* pings) {
     ++node.m_packets_in;
@@ -81,9 +85,9 @@
     return value;
 }
 
-// Plays the other members: one ping a second from a random one, acks to the node's pings, and the
-// updates of the churn. Each update reaches the node as often as it sends one itself, since in the
-// mean every node receives what it sends.
+// Simulates the other members: one ping per second from a random member, acks to the node's pings,
+// and the updates caused by churn. The node receives each update as often as it sends one itself,
+// because on average every node receives as many updates as it sends.
 void run_protocol(measured_node& node, std::vector<member>& members, time_point& now,
                   random_source& random, int seconds) {
     std::deque<packet> pings;
@@ -133,7 +137,7 @@
             add_updates(rumour);
             deliver(node, rumour, sender.m_udp, now, &pings);
         }
-        // A restart is a leave, an entry of a higher incarnation, and its becoming ready.
+        // A restart produces three updates: left, a higher incarnation, and ready.
         pending_changes += churn_per_member * static_cast<double>(members.size()) / 20;
         for (; pending_changes >= 1; pending_changes -= 1) {
             member& changed = members[random.below(members.size())];
@@ -149,6 +153,7 @@
     }
 }
 
+// Measures one table size, prints its row and returns it as a JSON object.
 std::string measure(std::size_t count) {
     std::vector<member> members;
     for (std::size_t index = 0; index < count; ++index) {
@@ -164,7 +169,7 @@
     const double merge_s = cpu_seconds() - merge_start;
     const std::size_t after = mallinfo2().uordblks;
     random_source random(count);
-    // The first half minute is that of a newly started node and is left out.
+    // The first 40 s show the behaviour of a newly started node and are not counted.
     run_protocol(node, members, now, random, 40);
     node.m_packets_out = node.m_bytes_out = node.m_packets_in = node.m_bytes_in = 0;
     node.m_cpu_s = 0;
--- a/bench/move_simulation.hpp
+++ b/bench/move_simulation.hpp
@@ -1,5 +1,5 @@
-// Drives the decision code of version moves with a manual clock and generated calls. Used by the
-// bench and by the tests; every run is determined by its seed.
+// Simulates version moves: runs the decision code with a manual clock and generated calls. The
+// benchmark and the unit tests share it. The seed determines every run completely.
 #pragma once
 
 #include <algorithm>
@@ -19,6 +19,7 @@
 
 namespace caraway::bench {
 
+// Scenarios of a move: how the new version behaves, and what else goes wrong during the move.
 enum class move_kind : std::uint8_t {
     good,
     fails_at_once,
@@ -51,6 +52,7 @@
     move_kind::fails_store_and_holder_down,
 };
 
+// Returns the name of the scenario in tables and JSON.
 inline std::string_view move_kind_name(move_kind kind) {
     constexpr std::array names{"good",
                                "fails at once",
@@ -68,39 +70,40 @@
     return names[static_cast<std::size_t>(kind)];
 }
 
+// Returns whether the new version of this scenario has no defect, so that its move must succeed.
 inline bool is_good_kind(move_kind kind) {
     return kind == move_kind::good || kind == move_kind::good_under_overload ||
            kind == move_kind::good_store_down || kind == move_kind::good_cold_starts ||
            kind == move_kind::good_holder_dies || kind == move_kind::good_server_crashes;
 }
 
-// The policy under test: the decision code, or fixed steps with an error threshold of 5%.
+// Policy under test: the decision code, or a baseline of fixed steps with an error threshold of 5%.
 enum class move_policy : std::uint8_t { sequential, fixed_steps };
 
 struct simulation_options {
-    double m_time_limit_s = 300; // from the start to the deadline
-    double m_min_rate = 50; // calls a second of the service; a run draws one between the bounds
+    double m_time_limit_s = 300; // from the start of the move to its deadline
+    double m_min_rate = 50; // calls per second of the service; each run draws a rate between both
     double m_max_rate = 500;
 };
 
 struct move_result {
     move_state m_state = move_state::running;
     double m_rate = 0;
-    double m_ended_s = 0; // final state written, or suspended where that came first
+    double m_ended_s = 0; // when the final state was written
     bool m_in_time = false;
-    std::optional<double> m_defect_visible_s;  // third harmed call of the new version
-    std::optional<double> m_traffic_stopped_s; // no call goes to the new version any more
-    std::uint32_t m_max_weight_before_visible =
-        0;                              // largest weight in permille before the defect was visible
-    double m_share_before_visible = 0;  // share of all calls until then that it served
-    std::uint64_t m_harmed_calls = 0;   // calls of the new version failed or slowed by the defect
-    std::uint64_t m_calls_after_3s = 0; // calls of the new version later than visible + 3 s
+    std::optional<double> m_defect_visible_s;      // when the defect harmed its third call
+    std::optional<double> m_traffic_stopped_s;     // from when the new version gets no calls
+    std::uint32_t m_max_weight_before_visible = 0; // permille
+    double m_share_before_visible = 0;  // share of all calls that the new version served until then
+    std::uint64_t m_harmed_calls = 0;   // calls that the defect failed or slowed down
+    std::uint64_t m_calls_after_3s = 0; // calls to the new version more than 3 s after visibility
     std::uint32_t m_final_writes = 0;
-    bool m_suspended_locally = false; // suspended by a local test
+    bool m_suspended_locally = false; // a node suspended the version on its local evidence
     std::string m_reason;
 };
 
-// One simulated service: 5 instances of each version, routes of unequal traffic.
+// Simulates one move of a service with 5 instances of each version and 4 routes that get unequal
+// shares of the traffic.
 class move_simulation {
 public:
     move_simulation(move_kind kind, move_policy policy, std::uint64_t seed,
@@ -109,6 +112,7 @@
         draw_parameters();
     }
 
+    // Runs the move until its final state or until 1.5 times the time limit. Call it only once.
     move_result run() {
         m_record = start_move("move", "service", "v1", "v2",
                               m_clock.wall_now() + to_ms(m_options.m_time_limit_s), "holder-0",
@@ -117,7 +121,7 @@
         for (move_evidence& evidence : m_local_evidence) {
             evidence.m_instances = instances;
         }
-        // Half as long again as the time given, so that a verdict after the deadline shows.
+        // Runs for 1.5 times the time limit, so that a verdict after the deadline is detected.
         const auto intervals = static_cast<int>(m_options.m_time_limit_s * 1.5 / interval_s);
         for (int interval = 0; interval < intervals && !has_ended(); ++interval) {
             serve_interval(interval * interval_s);
@@ -138,23 +142,25 @@
 
 private:
     static constexpr std::size_t instances = 5;
-    static constexpr std::size_t entry_nodes = 4; // nodes that callers' calls come in at
+    static constexpr std::size_t entry_nodes = 4; // nodes that receive the callers' calls
     static constexpr std::size_t routes = 4;
     static constexpr std::array<double, routes> route_shares{0.6, 0.25, 0.1, 0.05};
     static constexpr std::array<const char*, routes> route_names{"/a", "/b", "/c", "/d"};
-    // A suspension rumour and a new record reach the entry sides within this time.
+    // Time until a suspension rumour or a new record has reached all entry nodes.
     static constexpr double propagation_s = 0.5;
     static constexpr double cold_start_s = 20;
-    static constexpr double interval_s = 0.5; // between reports
+    static constexpr double interval_s = 0.5; // between evidence reports
 
     static milliseconds to_ms(double seconds) {
         return milliseconds(static_cast<std::int64_t>(seconds * 1000));
     }
     double uniform(double low, double high) { return low + (high - low) * m_random.unit(); }
+    // Draws from the standard normal distribution (Box-Muller transform).
     double normal() {
         const double radius = std::sqrt(-2 * std::log(1 - m_random.unit()));
         return radius * std::cos(2 * std::numbers::pi * m_random.unit());
     }
+    // Draws from a Poisson distribution; a mean above 50 uses the normal approximation.
     std::uint64_t poisson(double expected) {
         if (expected > 50) {
             return static_cast<std::uint64_t>(
@@ -168,6 +174,7 @@
         return count;
     }
 
+    // Draws the parameters of the run. The order of the draws is part of what a seed means.
     void draw_parameters() {
         const double time_limit_s = m_options.m_time_limit_s;
         m_result.m_rate = m_options.m_min_rate *
@@ -193,19 +200,21 @@
         }
         if (m_kind == move_kind::fails_store_down ||
             m_kind == move_kind::fails_store_and_holder_down) {
-            m_disturbance_begin_s = uniform(0, 0.5) * time_limit_s; // before the move is done
+            m_disturbance_begin_s =
+                uniform(0, 0.5) * time_limit_s; // starts before the move can be done
             m_disturbance_end_s = m_disturbance_begin_s + time_limit_s / 3;
             m_defect_onset_s = m_disturbance_begin_s;
         }
     }
 
+    // Returns whether the store is unreachable at this time.
     bool store_down(double now) const {
         return (m_kind == move_kind::good_store_down || m_kind == move_kind::fails_store_down ||
                 m_kind == move_kind::fails_store_and_holder_down) &&
                now >= m_disturbance_begin_s && now < m_disturbance_end_s;
     }
 
-    // Whether the defect harms calls of the new version on a route now.
+    // Returns whether the defect affects calls to the new version on this route at this time.
     bool is_defect_active(std::size_t route, double now) const {
         switch (m_kind) {
         case move_kind::fails_at_once:
@@ -224,6 +233,7 @@
         }
     }
 
+    // Generates the calls of one report interval and fills m_reports with their outcomes.
     void serve_interval(double begin) {
         m_reports.clear();
         for (std::size_t arm = 0; arm < 2; ++arm) {
@@ -236,7 +246,7 @@
             }
         }
         if (m_kind == move_kind::good_cold_starts && m_random.unit() < 0.02 * interval_s) {
-            // A server turns cold without warning; old and new ones alike.
+            // A server of either version becomes cold without warning.
             m_cold_until_s[m_random.below(2)][m_random.below(instances)] = begin + cold_start_s;
         }
         for (std::size_t route = 0; route < routes; ++route) {
@@ -250,7 +260,7 @@
             }
         }
         if (m_kind == move_kind::good_server_crashes && m_random.unit() < 0.01 * interval_s) {
-            // A server of either version crashes and cuts the calls in its slots.
+            // A server of either version crashes, which fails the calls in its slots (up to 12).
             evidence_report& report = m_reports[m_random.below(2 * instances)];
             for (auto& [route, counts] : report.m_routes) {
                 const std::uint32_t aborted = std::min<std::uint32_t>(counts.m_calls, 12);
@@ -259,6 +269,7 @@
         }
     }
 
+    // Routes one call to a version and an instance and counts its outcome.
     void serve_call(std::size_t route, double at, std::array<arm_counts*, 2 * instances>& counts) {
         ++m_all_calls;
         const bool is_new = choose_new_version(m_version_shares[m_random.below(entry_nodes)],
@@ -302,7 +313,7 @@
                    std::chrono::microseconds(static_cast<std::int64_t>(latency * 1000)), cold);
     }
 
-    // The weight that entry sides use: changes arrive after the spread time.
+    // Returns the weight that the entry nodes use; a change takes effect after propagation_s.
     std::uint32_t weight_at(double at) const {
         return at < m_weight_visible_s ? m_previous_weight : m_weight;
     }
@@ -322,8 +333,9 @@
 
     bool has_ended() const { return m_record.m_state != move_state::running; }
 
-    // One second of the holder and of the local tests. While the store is down the holder writes
-    // nothing but goes on testing; where it is down too, nodes judge by their own calls alone.
+    // Runs the holder and every node's local test on one interval of reports. While the store is
+    // down, the holder continues to test but writes nothing. While the holder is down too, each
+    // node decides on its own calls alone.
     void decide_sequential(double now) {
         const bool is_down = store_down(now);
         const bool no_holder =
@@ -351,7 +363,7 @@
             }
         }
         if (m_kind == move_kind::good_holder_dies && m_random.unit() < 0.01 * interval_s) {
-            // The next holder begins after a lease period, without evidence.
+            // The next holder takes over after a lease period of 5 s and starts without evidence.
             m_next_holder_s = now + 5;
             m_evidence = {};
             m_record = take_over_move(m_record, "holder-" + std::to_string(++m_holder_count));
@@ -373,6 +385,7 @@
         }
     }
 
+    // Stores the record as the holder does, and resets the evidence if the stage has changed.
     void write(const move_record& record, double now) {
         if (record.m_stage != m_record.m_stage) {
             begin_stage(m_evidence);
@@ -389,8 +402,9 @@
         set_weight(m_record.m_weight_permille, now);
     }
 
-    // The baseline: five steps of equal length over two thirds of the time given; taken back when
-    // more than 5% of the last ten seconds' calls of the new version failed (at least 20 calls).
+    // Baseline policy: five steps of equal length over two thirds of the time limit. Takes the
+    // move back when more than 5% of the new version's calls failed within the last 10 s, given at
+    // least 20 calls.
     void decide_fixed_steps(double now) {
         constexpr std::array<std::uint32_t, 5> weights{10, 50, 250, 500, 1000};
         std::uint64_t calls = 0;
@@ -466,6 +480,7 @@
     std::array<std::array<double, instances>, 2> m_cold_until_s{};
 };
 
+// Runs one simulated move and returns its result.
 inline move_result simulate_move(move_kind kind, move_policy policy, std::uint64_t seed,
                                  const simulation_options& options) {
     return move_simulation(kind, policy, seed, options).run();
--- a/bench/moves.cpp
+++ b/bench/moves.cpp
@@ -1,4 +1,5 @@
-// Measures version moves: the decision code against fixed steps with an error threshold.
+// Compares the decision code for version moves with fixed steps and an error threshold, in
+// simulated moves. Prints a table; --json also writes the results to a file.
 #include <cstdio>
 #include <fstream>
 #include <string>
@@ -15,6 +16,7 @@
 
 namespace {
 
+// Returns the value at the given quantile (0 to 1), or 0 if there are no values.
 double quantile(std::vector<double> values, double share) {
     if (values.empty()) {
         return 0;
@@ -24,7 +26,7 @@
     return values[static_cast<std::size_t>(std::lround(share * last))];
 }
 
-// Runs one kind under one policy, prints its row and returns it as JSON.
+// Simulates one scenario under one policy, prints its row and returns the row as JSON.
 boost::json::object measure(move_kind kind, move_policy policy, int runs, std::uint64_t seed,
                             const simulation_options& options) {
     int taken_back = 0;
@@ -88,13 +90,15 @@
     double min_rate = 50;
     double max_rate = 500;
     const std::array option_table{
-        poptOption{"json", 0, POPT_ARG_STRING, &json_file, 0, "write the results here", "FILE"},
-        poptOption{"runs", 0, POPT_ARG_INT, &runs, 0, "runs of each kind", "N"},
+        poptOption{"json", 0, POPT_ARG_STRING, &json_file, 0, "write the results to FILE", "FILE"},
+        poptOption{"runs", 0, POPT_ARG_INT, &runs, 0, "runs of each scenario", "N"},
         poptOption{"seed", 0, POPT_ARG_LONG, &seed, 0, "seed of the first run", "N"},
-        poptOption{"given", 0, POPT_ARG_DOUBLE, &time_limit_s, 0, "time given to a move",
+        poptOption{"given", 0, POPT_ARG_DOUBLE, &time_limit_s, 0, "time limit of a move",
                    "SECONDS"},
-        poptOption{"min-rate", 0, POPT_ARG_DOUBLE, &min_rate, 0, "least calls a second", "N"},
-        poptOption{"max-rate", 0, POPT_ARG_DOUBLE, &max_rate, 0, "most calls a second", "N"},
+        poptOption{"min-rate", 0, POPT_ARG_DOUBLE, &min_rate, 0, "lowest rate in calls per second",
+                   "N"},
+        poptOption{"max-rate", 0, POPT_ARG_DOUBLE, &max_rate, 0, "highest rate in calls per second",
+                   "N"},
         poptOption{nullptr, 0, POPT_ARG_INCLUDE_TABLE,
                    poptHelpOptions, // NOLINT(cppcoreguidelines-pro-type-cstyle-cast): popt's macro
                    0, "Help options:", nullptr},
@@ -102,7 +106,7 @@
     poptContext context = poptGetContext("moves", argc, argv, option_table.data(), 0);
     const int parsed = poptGetNextOpt(context);
     if (parsed < -1 || runs < 1 || time_limit_s < 10 || min_rate <= 0 || max_rate < min_rate) {
-        fmt::print(stderr, "moves: bad arguments; see --help\n");
+        fmt::print(stderr, "moves: invalid arguments; see --help\n");
         poptFreeContext(context);
         return 2;
     }
--- a/bench/parse_text.cpp
+++ b/bench/parse_text.cpp
@@ -1,6 +1,6 @@
-// Measures parse_mesh on a text near the largest size: 8 data centres, 2,600 services with
-// dependencies and two routes each. Every node parses every accepted text.
-// usage: parse_text [ROUNDS]
+// Measures parse_mesh and match_route on a configuration text close to the size limit: 8 data
+// centres and 2,600 services with dependencies and two routes each. The parse time matters because
+// every node parses every accepted text. usage: parse_text [ROUNDS]
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -17,7 +17,7 @@
 using namespace caraway;
 
 constexpr int service_count = 2'600;
-// A little below max_text_bytes; comments fill the rest, as an operators' text has them.
+// Slightly below max_text_bytes. Comments pad the text, since operators' texts contain comments.
 constexpr std::size_t text_bytes = 1'000'000;
 
 std::string make_text() {
--- a/bench/replay.cpp
+++ b/bench/replay.cpp
@@ -1,9 +1,12 @@
-// Replays recorded decisions against the outcomes that are stated for them, and trims recordings.
-// usage: replay FOLDER                    replays the traces of a folder, prints their signature
-//        replay check OUTCOMES LOG...     replays the logs of one run
+// Replays recorded decisions, checks them against their expected outcomes, and trims recordings.
+// usage: replay FOLDER                    replays all traces of a folder and prints their signature
+//        replay check OUTCOMES LOG...     replays the logs of one run and checks OUTCOMES
 //        replay trim TARGET [--admission-of INSTANCE]... LOG...
-// Logs are those of all nodes of a run with log.record_lines above 0, compressed by zstd or not.
-// Exits with 1 if an action differs or an outcome is not kept, with 2 if a file can't be used.
+//                                         writes the inputs needed for a replay to TARGET; keeps
+//                                         the admission decisions of the named instances only
+// The logs are those of all nodes of one run with log.record_lines above 0, plain or compressed
+// with zstd. Exits with 1 if an action differs or an outcome is missed, with 2 if a file is
+// unusable.
 #include <cstdio>
 #include <fstream>
 #include <iterator>
@@ -19,11 +22,13 @@
 
 using namespace caraway;
 
+// Prints the error and returns the exit status for unusable files.
 int report_error(const error& reason) {
     fmt::print(stderr, "{}\n", reason.m_text);
     return 2;
 }
 
+// Prints the report and returns whether all actions and outcomes are as expected.
 bool print_report(std::string_view name, const replay_report& report) {
     fmt::print("{}: {} inputs, {} actions differ, {} breaches, signature {:016x}\n", name,
                report.m_inputs, report.m_differing_actions, report.m_breaches, report.m_signature);
--- a/bench/spread.cpp
+++ b/bench/spread.cpp
@@ -1,6 +1,6 @@
-// Measures how fast news spreads and how well the failure detector judges: many nodes' decisions in
-// one thread under a manual clock, with seeded delay and loss. Times are protocol times.
-// usage: spread [LARGEST_COUNT]
+// Measures how fast updates propagate and how accurate the failure detector is. Simulates many
+// nodes in one thread with a manual clock and with seeded packet delay and loss. Times are protocol
+// times. usage: spread [LARGEST_COUNT]
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -22,12 +22,12 @@
     return std::chrono::duration<double>(value).count();
 }
 
-// Results of one scenario over all seeds.
+// Measurements of one scenario, one value per finished run.
 struct scenario_result {
     std::vector<double> m_seconds;
     std::vector<double> m_packets; // per node
     std::vector<double> m_bytes;   // per node
-    std::size_t m_unfinished = 0;
+    std::size_t m_unfinished = 0;  // runs that reached their time limit
 };
 
 double median(std::vector<double> values) {
@@ -42,7 +42,8 @@
     return values.empty() ? 0 : *std::max_element(values.begin(), values.end());
 }
 
-// Lets nodes that are warm react to one event and waits until the condition holds.
+// For each seed, copies the warmed-up schedule, triggers one event and runs until the condition
+// holds or the limit expires.
 template <typename Start, typename Done>
 scenario_result measure(const node_schedule& warmed_up, double loss, duration limit,
                         const Start& trigger, const Done& is_done) {
@@ -71,6 +72,7 @@
     return result;
 }
 
+// Prints the table row of a scenario and appends it to the JSON rows.
 void print(std::string& json, std::size_t count, double loss, std::string_view event,
            const scenario_result& value) {
     fmt::print("{:>6} {:>5.0f}% {:<28} {:>8.2f} {:>8.2f} {:>9.1f} {:>10.0f} {:>10}\n", count,
@@ -85,6 +87,7 @@
                         value.m_unfinished);
 }
 
+// Measures all scenarios at one node count and packet loss.
 void measure_count(std::string& json, std::size_t count, double loss) {
     using std::chrono::seconds;
     node_schedule warmed_up = make_schedule(count, count, mean_delay, loss);
@@ -92,7 +95,7 @@
     for (std::size_t index = 0; index < count; ++index) {
         read_store(warmed_up, index);
     }
-    // The entries of the start have spread by then; a thousand of them take longest.
+    // Waits until the entries of the start have propagated, which takes longest with 1,000 nodes.
     run_for(warmed_up, seconds(count < 1'000 ? 60 : 300));
 
     print(json, count, loss, "new version in force",
@@ -174,7 +177,8 @@
               }));
 }
 
-// Counts suspicions of members that are up, while one member's packets are late both ways.
+// Counts false suspicions and false deaths within an hour while one member's packets are delayed by
+// 400 ms in both directions.
 void measure_slow_member(std::string& json, std::size_t count, double loss) {
     node_schedule schedule = make_schedule(count, count + 1, mean_delay, loss);
     auto fast = seeded_link(mean_delay, loss, 99);
--- a/bench/watch_baseline.cpp
+++ b/bench/watch_baseline.cpp
@@ -1,5 +1,5 @@
-// Baseline for the spread of configurations: every node watches the store itself and reads the
-// whole text on each change. Prints one JSON object.
+// Baseline for the distribution of configurations: every node watches the store itself and reads
+// the whole text after each change. Prints one JSON object.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -27,19 +27,21 @@
 constexpr milliseconds call_timeout{10'000};
 constexpr milliseconds pause_between_changes{1'000};
 
+// Sums over all watchers' store calls.
 struct store_totals {
     std::uint64_t m_calls = 0;
     std::uint64_t m_bytes = 0;
     std::uint64_t m_throttled = 0;
 };
 
-// One node of the baseline.
+// A node of the baseline, which watches the store on its own.
 struct watcher {
     std::unique_ptr<store_client> m_client;
-    std::uint64_t m_watch_revision = 0;
-    std::uint64_t m_last_read_change = 0; // last change whose text was read
+    std::uint64_t m_watch_revision = 0;   // the watch returns later changes
+    std::uint64_t m_last_read_change = 0; // number of the last change whose text it read
 };
 
+// State of the whole measurement; used on one thread only.
 struct measurement {
     boost::asio::io_context m_context{1};
     std::vector<std::unique_ptr<watcher>> m_watchers;
@@ -53,6 +55,7 @@
 
 void watch(measurement& state, watcher& node);
 
+// Reads the text of a change, retries until that succeeds, records the delay and watches again.
 void read_text(measurement& state, watcher& node, std::uint64_t change) {
     node.m_client->get(text_key, [&state, &node, change](const store_reply& reply) {
         if (reply.m_kind != error_kind::none) {
@@ -79,7 +82,7 @@
                          });
 }
 
-// Runs the context until the time has passed or the condition holds.
+// Runs the event loop until the condition holds or the limit expires.
 template <typename Condition>
 void run_until(measurement& state, milliseconds limit, Condition is_met) {
     const auto end = std::chrono::steady_clock::now() + limit;
@@ -88,6 +91,7 @@
     }
 }
 
+// Writes a new text and a new accepted version, then waits until every watcher has read the text.
 void apply_change(measurement& state, store_client& writer, const std::string& text) {
     state.m_delays_ms.clear();
     ++state.m_change;
@@ -124,8 +128,8 @@
         poptOption{"store", 0, POPT_ARG_STRING, &store_address, 0, "address of the store",
                    "IP:PORT"},
         poptOption{"text", 0, POPT_ARG_STRING, &text_file, 0, "text to write", "FILE"},
-        poptOption{"nodes", 0, POPT_ARG_INT, &nodes, 0, "watching nodes", nullptr},
-        poptOption{"changes", 0, POPT_ARG_INT, &changes, 0, "changes to make", nullptr},
+        poptOption{"nodes", 0, POPT_ARG_INT, &nodes, 0, "number of watching nodes", nullptr},
+        poptOption{"changes", 0, POPT_ARG_INT, &changes, 0, "number of changes", nullptr},
         poptOption POPT_AUTOHELP poptOption POPT_TABLEEND};
     const std::unique_ptr<poptContext_s, decltype(&poptFreeContext)> context(
         poptGetContext(nullptr, argc, const_cast<const char**>(argv), options.data(), 0),
--- a/tests/fuzz/driver.cpp
+++ b/tests/fuzz/driver.cpp
@@ -12,15 +12,18 @@
 namespace caraway {
 namespace {
 
-// Inputs don't grow beyond the largest datagram by much, so that the time goes into many inputs.
+// Limits the growth of inputs to little more than the largest datagram, so that the time is spent
+// on many inputs rather than on large ones.
 constexpr std::size_t max_mutated_bytes = 16U << 10U;
 constexpr std::uint64_t max_mutations_per_input = 8;
 constexpr std::uint64_t max_block_bytes = 80;
 
-// Bytes at the edges of encoded numbers: varints, signs, text.
+// Boundary values of encoded numbers: varints, signs and text.
 constexpr std::array<unsigned char, 10> edge_bytes{0x00, 0x01, 0x0a, 0x22, 0x2d,
                                                    0x39, 0x7f, 0x80, 0xfe, 0xff};
 
+// Applies one random mutation to the input, with tokens of the dictionary or parts of
+// splice_source.
 void mutate(std::string& input, const std::string& splice_source,
             std::span<const std::string_view> dictionary, random_source& random) {
     const std::size_t position = random.below(input.size() + 1);
@@ -101,7 +104,7 @@
         std::string input = corpus[random.below(corpus.size())];
         const std::string& splice_source = corpus[random.below(corpus.size())];
         const std::size_t limit = std::max(input.size(), max_mutated_bytes);
-        // Mostly few changes: binary messages are refused early after many.
+        // Favours few mutations, because decoders reject binary messages early after many.
         for (std::uint64_t remaining = 1 + random.below(1 + random.below(max_mutations_per_input));
              remaining > 0; --remaining) {
             mutate(input, splice_source, target.m_dictionary, random);
--- a/tests/fuzz/driver.hpp
+++ b/tests/fuzz/driver.hpp
@@ -1,5 +1,5 @@
-// Runs a fuzz target on its seed corpus and on seeded mutations of it. The same seed gives the same
-// inputs everywhere.
+// Runs a fuzz target on its seed corpus and on seeded mutations of it. The same seed produces the
+// same inputs on every machine.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,19 @@
 
 namespace caraway {
 
-// Reads the files of a target's corpus below the folder, ordered by name.
+// Returns the contents of the files in folder/target, ordered by file name; empty if the folder
+// does not exist.
 std::vector<std::string> read_corpus(const std::string& folder, std::string_view target);
 
 struct fuzz_result {
     std::uint64_t m_inputs = 0;
-    std::string m_fault; // what the target found wrong, empty if nothing
-    std::string m_input; // the input that showed it
+    std::string m_fault; // description of the first fault, empty if none
+    std::string m_input; // input that caused the fault
 };
 
-// Checks every input of the corpus as it is, then the given number of mutated ones,
-// times the target's weight. Each input is passed to before, if given, ahead of its check.
+// Checks every input of the corpus unchanged, then (mutations * target weight) mutated inputs.
+// Stops at the first fault; an empty corpus is a fault. Calls before_check, if set, with each input
+// before its check.
 fuzz_result run_target(const fuzz_target& target, const std::vector<std::string>& corpus,
                        std::uint64_t mutations, std::uint64_t seed,
                        const std::function<void(const std::string&)>& before_check = {});
--- a/tests/fuzz/libfuzzer_main.cpp
+++ b/tests/fuzz/libfuzzer_main.cpp
@@ -1,4 +1,4 @@
-// The same targets under libFuzzer: FUZZ_TARGET names the one to run.
+// Entry point for libFuzzer. The environment variable FUZZ_TARGET selects the target.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -9,6 +9,7 @@
 
 namespace {
 
+// Returns the target that FUZZ_TARGET names; exits with 2 if there is none.
 const caraway::fuzz_target& selected_target() {
     const char* name = std::getenv("FUZZ_TARGET");
     for (const caraway::fuzz_target& target : caraway::fuzz_targets()) {
@@ -16,7 +17,7 @@
             return target;
         }
     }
-    fmt::print(stderr, "FUZZ_TARGET names no target\n");
+    fmt::print(stderr, "FUZZ_TARGET does not name a fuzz target\n");
     std::exit(2);
 }
 
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -27,7 +27,7 @@
 namespace caraway {
 namespace {
 
-// Tags and lengths of protobuf fields, extreme varints, the magic number of a zstd frame.
+// Tags and lengths of protobuf fields, extreme varints and the magic number of a zstd frame.
 constexpr std::array<std::string_view, 12> wire_dictionary{
     "\x0a\x02",
     "\x12\x7f",
@@ -144,13 +144,13 @@
     "\xff",
 };
 
-// Parts of records that decisions and multiplications rely on.
+// Checks the ranges of a decoded move record that decisions and multiplications rely on.
 std::string check_record(const move_record& record) {
     if (record.m_weight_permille > 1000 || record.m_stage >= stage_weights_permille.size()) {
-        return "a move record with an impossible weight or stage";
+        return "a move record has a weight or stage out of range";
     }
     if (record.m_started_ms < 0 || record.m_raised_ms < 0 || record.m_deadline_ms < 0) {
-        return "a move record with a time before the epoch";
+        return "a move record has a time before the epoch";
     }
     return {};
 }
@@ -169,16 +169,16 @@
     error reason;
     const auto decoded = decode_packet(bytes, reason);
     if (!decoded) {
-        return reason.m_kind == error_kind::none ? "refused without a reason" : "";
+        return reason.m_kind == error_kind::none ? "the input was rejected without a reason" : "";
     }
     const std::string reencoded = encode_packet(*decoded);
     if (!decode_packet(reencoded, reason)) {
-        return "a decoded packet can't be sent on";
+        return "a decoded packet can't be encoded and decoded again";
     }
     return check_records(decoded->m_records);
 }
 
-// The text that deltas of the seed corpus refer to.
+// Returns the base text of the deltas in the seed corpus.
 const std::string& base_text() {
     static const std::string text = [] {
         std::string out = "format = 1\n";
@@ -194,7 +194,7 @@
     error reason;
     const auto text = unpack_text(packed, base_text(), reason);
     if (text && (text->size() > max_text_bytes || hash_bytes(*text) != packed.m_hash)) {
-        return "an unpacked text above its limit or with another hash";
+        return "an unpacked text exceeds the size limit or has the wrong hash";
     }
     return {};
 }
@@ -212,7 +212,7 @@
     return body.m_config ? check_unpacked(*body.m_config) : "";
 }
 
-// Every other message holds nothing that needs a check of its own.
+// All other messages have no fields that need a check.
 template <typename Body>
 std::string check_body(const Body& /*body*/) {
     return {};
@@ -222,10 +222,10 @@
     error reason;
     const auto decoded = decode_request(bytes, reason);
     if (!decoded) {
-        return reason.m_kind == error_kind::none ? "refused without a reason" : "";
+        return reason.m_kind == error_kind::none ? "the input was rejected without a reason" : "";
     }
     if (!decode_request(encode_request(*decoded), reason)) {
-        return "a decoded request can't be encoded";
+        return "a decoded request can't be encoded and decoded again";
     }
     return std::visit([](const auto& body) { return check_body(body); }, *decoded);
 }
@@ -234,21 +234,21 @@
     error reason;
     const auto decoded = decode_reply(bytes, reason);
     if (!decoded) {
-        return reason.m_kind == error_kind::none ? "refused without a reason" : "";
+        return reason.m_kind == error_kind::none ? "the input was rejected without a reason" : "";
     }
     if (!decode_reply(encode_reply(*decoded), reason)) {
-        return "a decoded reply can't be encoded";
+        return "a decoded reply can't be encoded and decoded again";
     }
     return std::visit([](const auto& body) { return check_body(body); }, *decoded);
 }
 
-// previous: the mesh that the text would replace, or null.
+// Checks that parsing is consistent. previous is the mesh that the text would replace, or null.
 std::string check_mesh(std::string_view text, const mesh* previous) {
     std::vector<text_fault> faults;
     const wall_time now{std::chrono::seconds(1'800'000'000)};
     const auto parsed = parse_mesh(text, now, previous, faults);
     if (parsed.has_value() != faults.empty() || faults.size() > max_text_faults) {
-        return "a mesh with faults, neither, or too many faults";
+        return "parse_mesh returned a mesh and faults, neither, or too many faults";
     }
     if (!parsed) {
         return {};
@@ -256,18 +256,18 @@
     for (const route_spec& route : parsed->m_routes) {
         if (match_route(*parsed, route.m_path) != &route ||
             !parsed->m_services.contains(route.m_service)) {
-            return "a route that doesn't match itself or leads to no service";
+            return "a route doesn't match its own path or names an unknown service";
         }
     }
-    // A node parses the accepted text again, however late, and must come to the same mesh.
+    // Nodes parse an accepted text again at any later time and must get the same mesh.
     if (parse_mesh(text, wall_time{}, previous, faults) != parsed) {
-        return "an accepted text that another node refuses or reads differently";
+        return "an accepted text parses differently at another time";
     }
     return diff_mesh(*parsed, *parsed).empty() ? "" : "a mesh differs from itself";
 }
 
 std::string check_text(std::string_view text) {
-    // The first text that was accepted serves as the one to be replaced.
+    // The first accepted text serves as the previous one.
     static std::optional<mesh> s_previous;
     if (!s_previous) {
         std::vector<text_fault> faults;
@@ -280,7 +280,9 @@
 std::string check_settings(std::string_view text) {
     std::vector<text_fault> faults;
     const auto parsed = parse_settings(text, faults);
-    return parsed.has_value() == faults.empty() ? "" : "settings with faults, or neither";
+    return parsed.has_value() == faults.empty()
+               ? ""
+               : "parse_settings returned settings and faults, or neither";
 }
 
 std::string check_store_value(std::string_view value) {
@@ -288,7 +290,7 @@
     if (const auto record = decode_accepted(value, reason)) {
         if (record->m_accepted_ms < 0 ||
             decode_accepted(encode_accepted(*record), reason) != record) {
-            return "an accepted record that isn't the same when written again";
+            return "an accepted record changes when encoded and decoded again";
         }
     }
     if (const auto record = decode_move(value, 7)) {
@@ -297,15 +299,15 @@
             return fault;
         }
         if (decode_move(encode_move(*record), 7) != record) {
-            return "a move record that isn't the same when written again";
+            return "a move record changes when encoded and decoded again";
         }
     }
     if (const auto endpoint = parse_endpoint(value)) {
         if (parse_endpoint(format_endpoint(*endpoint)) != endpoint) {
-            return "an address that isn't the same when written again";
+            return "an address changes when formatted and parsed again";
         }
     }
-    // carawayctl prints whatever the store holds.
+    // carawayctl parses and prints any value of the store.
     if (const auto view = parse_accepted(value)) {
         describe(*view);
     }
@@ -321,7 +323,7 @@
 
 std::string check_store_json(std::string_view body) {
     if (const auto lease = decode_lease(body)) {
-        return lease->empty() ? "a lease without an identifier" : "";
+        return lease->empty() ? "a lease has no identifier" : "";
     }
     decode_entries(body);
     return {};
@@ -344,19 +346,19 @@
         const auto number = numeric_header_value(message, name);
         set_numeric_header(message, header::exchange, number.value_or(1));
         if (numeric_header_value(message, header::exchange) != number.value_or(1)) {
-            return "a number that isn't the same when read again";
+            return "a numeric header changes when written and read again";
         }
     }
     if (const auto kind = error_kind_from_name(header_value(message, header::reason))) {
         if (answer_for(*kind).m_name != header_value(message, header::reason)) {
-            return "a reason read as another";
+            return "a reason header is decoded as another reason";
         }
     }
     outcome_from_name(header_value(message, header::outcome));
     if constexpr (is_request) {
         const std::string target(message.target());
         if (path_of(target).find('?') != std::string_view::npos) {
-            return "a path with a query";
+            return "path_of returned a path with a query";
         }
     }
     std::vector<std::string> listed_headers;
@@ -368,11 +370,13 @@
     strip_hop_by_hop_headers(message);
     for (const std::string& name : listed_headers) {
         if (message.find(name) != message.end()) {
-            return "a header that Connection named is passed on";
+            return "a header listed in Connection was not stripped";
         }
     }
     strip_internal_headers(message, {});
-    return message.find(std::string(header::exchange)) == message.end() ? "" : "an internal header";
+    return message.find(std::string(header::exchange)) == message.end()
+               ? ""
+               : "an internal header was not stripped";
 }
 
 std::string check_http(std::string_view bytes) {
@@ -381,13 +385,14 @@
     const trace_context next = continue_trace(format_traceparent(trace), random);
     if (next.m_trace_high != trace.m_trace_high || next.m_trace_low != trace.m_trace_low ||
         next.m_parent != trace.m_span || next.m_sampled != trace.m_sampled) {
-        return "a trace that isn't the same at the next hop";
+        return "a trace context changes at the next hop";
     }
     return bytes.starts_with("HTTP/") ? check_http_message<false>(bytes)
                                       : check_http_message<true>(bytes);
 }
 
-// The audit reads files, so each input becomes one, twice: lines of two processes are merged.
+// The audit reads files, so the input is written to a file. The file is passed twice, because the
+// audit merges the lines of several processes.
 std::string check_audit(std::string_view lines) {
     static const std::string path =
         (std::filesystem::temp_directory_path() / fmt::format("caraway-fuzz-{}.log", getpid()))
@@ -400,7 +405,7 @@
     std::filesystem::remove(path);
     if (!report.m_unreadable_files.empty() || report.m_unreadable_lines > report.m_lines ||
         report.m_breaches.size() > max_audit_breaches) {
-        return "an audit report that contradicts itself";
+        return "an audit report is inconsistent";
     }
     return {};
 }
--- a/tests/fuzz/targets.hpp
+++ b/tests/fuzz/targets.hpp
@@ -1,5 +1,4 @@
-// The decoders of bytes from outside, each as a function from bytes to what is wrong with the
-// result.
+// Fuzz targets: the decoders of untrusted input, each with a check of the decoded result.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +9,13 @@
 namespace caraway {
 
 struct fuzz_target {
-    std::string_view m_name;                        // also the folder of its seed corpus
-    std::span<const std::string_view> m_dictionary; // lead into rare states of the decoder
-    std::uint64_t m_weight = 1;                     // cheap decoders run on more inputs
-    std::string (*m_check)(std::string_view){};     // returns what is wrong, empty if nothing
+    std::string_view m_name;                        // also the folder name of its seed corpus
+    std::span<const std::string_view> m_dictionary; // tokens that reach rare decoder states
+    std::uint64_t m_weight = 1; // factor for the number of inputs; higher for cheap decoders
+    std::string (*m_check)(std::string_view){}; // returns a fault description, empty if none
 };
 
+// Returns all targets.
 std::span<const fuzz_target> fuzz_targets();
 
 } // namespace caraway
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -1,4 +1,4 @@
-// A short run of the fuzz targets, so that every change is checked against the seed corpora.
+// Runs the fuzz targets briefly on their seed corpora and on a few mutations.
 #include "tests/fuzz/driver.hpp"
 #include "tests/support.hpp"
 
@@ -6,7 +6,8 @@
 
 BOOST_AUTO_TEST_SUITE(fuzz)
 
-// Guards against decoders that crash or accept what the program can't bear. Long runs: make fuzz.
+// Guards against decoders that crash on malformed input or accept values that the program can't
+// handle. Use make fuzz for long runs.
 BOOST_AUTO_TEST_CASE(decoders_tolerate_corpora_and_mutations) {
     for (const fuzz_target& target : fuzz_targets()) {
         const fuzz_result result =
