--- a/standins/backend_server_main.cpp
+++ b/standins/backend_server_main.cpp
@@ -32,12 +32,12 @@
 constexpr double warm_up_calls_per_slot = 25;            // answered calls that warm up one slot
 constexpr std::chrono::seconds overload_failure_time{1}; // duration of a failure under load
 constexpr double slow_version_factor = 5.0; // multiplies the handler time of a slow version
-constexpr std::size_t max_counted_requests = 1'000'000; // distinct request numbers
-constexpr std::size_t max_listed_duplicates = 1'000;    // request numbers run repeatedly
-constexpr std::size_t max_answer_bytes = 8U << 20U;     // upper bound of x-response-bytes
+constexpr std::size_t max_counted_requests = 1'000'000; // distinct request numbers counted
+constexpr std::size_t max_listed_duplicates = 1'000; // request numbers listed as run more than once
+constexpr std::size_t max_answer_bytes = 8U << 20U;  // larger x-response-bytes are reduced to it
 constexpr std::chrono::seconds drain_timeout{30};
 constexpr milliseconds health_sample_interval{500};
-constexpr std::size_t health_lag_samples = 10;         // 5 s
+constexpr std::size_t health_lag_samples = 10;         // a lag of 5 s
 constexpr milliseconds default_onward_timeout{30'000}; // for calls without a deadline
 
 // Command-line options, some of which the control address can change at run time.
@@ -49,10 +49,8 @@
     std::string m_behaviour_route;
     std::string m_health = "honest";
     std::int64_t m_behaviour_permille = -1; // share of calls affected, -1: default
-
     std::int64_t m_behaviour_after_s = 10;
     std::int64_t m_behaviour_after_calls = 0; // 0: no such limit
-
     std::int64_t m_slots = 12;
     std::int64_t m_connections = 110;
     std::int64_t m_connection_ms = 1;
@@ -105,11 +103,12 @@
     double m_served_since_cold = 0;
     time_point m_overload_failure_until{};
     bool m_draining = false;
-    std::unordered_map<std::uint64_t, std::uint32_t>
-        m_executions;                                  // count by hash of the request number
-    std::map<std::string, std::uint32_t> m_duplicates; // count by request number, limited
-    std::uint64_t m_duplicate_count = 0; // request numbers run more than once, not limited
-
+    // Number of executions by hash of the request number.
+    std::unordered_map<std::uint64_t, std::uint32_t> m_executions;
+    // Number of executions by request number, for at most max_listed_duplicates that ran
+    // repeatedly.
+    std::map<std::string, std::uint32_t> m_duplicates;
+    std::uint64_t m_duplicate_count = 0; // all request numbers that ran more than once
     std::deque<json::object> m_health_samples;
     std::unique_ptr<http_client> m_egress; // to the own node, null without --egress
 };
--- a/standins/fault_proxy_main.cpp
+++ b/standins/fault_proxy_main.cpp
@@ -30,12 +30,11 @@
 using boost::system::error_code;
 using std::chrono::steady_clock;
 
-constexpr std::size_t chunk_bytes = 16U << 10U; // read from a TCP socket at once
-
+constexpr std::size_t chunk_bytes = 16U << 10U;     // read from a TCP socket at once
 constexpr std::size_t datagram_bytes = 4U << 10U;   // datagrams of this size or more are dropped
 constexpr std::size_t max_queued_bytes = 1U << 20U; // per direction; reading pauses above it
-constexpr std::size_t max_udp_senders =
-    4096; // per link; datagrams from further senders are dropped
+// Per link. Datagrams from further senders are dropped.
+constexpr std::size_t max_udp_senders = 4096;
 // A sender's socket is closed after this idle time, because one process doesn't have enough file
 // descriptors for all pairs of nodes in a large mesh.
 constexpr std::chrono::seconds udp_sender_idle{10};
@@ -47,15 +46,12 @@
 // Faults to inject on a link, set through the control address.
 struct link_faults {
     milliseconds m_delay{0};
-    bool m_cut = false; // drops datagrams, resets and refuses connections
-
+    bool m_cut = false;    // drops datagrams, resets and refuses connections
     bool m_freeze = false; // holds back all data until it is cleared
-
     // Only clients with these addresses are cut off.
     std::set<asio::ip::address> m_cut_sources;
-    std::uint64_t m_loss_permille = 0; // datagrams dropped; for TCP, reads that reset
-
-    std::optional<std::size_t> m_truncate_after; // bytes; applies to one connection
+    std::uint64_t m_loss_permille = 0; // share of datagrams dropped and of TCP reads that reset
+    std::optional<std::size_t> m_truncate_after; // bytes of the next answer only
     std::uint64_t m_bandwidth_kbps = 0;          // kilobits per second, 0: no limit
 };
 
@@ -99,8 +95,7 @@
     bool m_closed = false;
 };
 
-// A UDP client and the socket through which its datagrams reach the target. Replies arrive there
-// too.
+// A UDP client and the socket that forwards its datagrams to the target and receives the replies.
 struct udp_sender {
     udp_sender(asio::io_context& context, udp::endpoint client)
         : m_client(client), m_upstream(context) {}
@@ -127,8 +122,8 @@
     udp::socket m_socket;
     std::map<udp::endpoint, std::shared_ptr<udp_sender>> m_senders;
     std::deque<std::function<void()>> m_held_datagrams;
-    std::array<time_point, 2>
-        m_line_free_at{}; // when the last byte so far is sent at the limited bandwidth
+    // When the last byte so far has been sent at the limited bandwidth, by direction.
+    std::array<time_point, 2> m_line_free_at{};
     std::array<std::uint64_t, 2> m_bytes{};
     std::array<std::uint64_t, 2> m_datagrams{};
     std::uint64_t m_connections = 0;
@@ -193,7 +188,7 @@
 }
 
 // Reads one direction until its end and queues the chunks with their delivery times. A loss resets
-// the connection, because TCP itself would hide it by retransmission.
+// the connection.
 void read_loop(network_link& link, tcp_pair& pair, tcp_flow& flow, direction flow_direction,
                asio::yield_context yield) {
     std::string buffer(chunk_bytes, '\0');
@@ -230,8 +225,8 @@
 }
 
 // Shortens a chunk if the truncation limit of its connection is reached. Returns true if the
-// connection must be closed after this chunk. The first connection that sends takes the link's
-// truncation fault.
+// connection must be closed after this chunk. The first connection on which the target answers
+// takes the link's truncation fault.
 bool truncate(network_link& link, tcp_flow& flow, std::string& bytes) {
     if (link.m_faults.m_truncate_after && !flow.m_bytes_until_truncation) {
         flow.m_bytes_until_truncation = std::exchange(link.m_faults.m_truncate_after, std::nullopt);
@@ -331,8 +326,8 @@
         }
         if (ec) {
             asio::steady_timer timer(link.m_context);
-            wait_until(timer, steady_clock::now() + milliseconds(10),
-                       yield); // retries later, probably out of file descriptors
+            // Probably out of file descriptors: retries later.
+            wait_until(timer, steady_clock::now() + milliseconds(10), yield);
             continue;
         }
         if (is_cut_off(link, socket.remote_endpoint(ec).address())) {
--- a/standins/http_server.cpp
+++ b/standins/http_server.cpp
@@ -132,8 +132,9 @@
     http_server_options m_options;
     http_handler m_handler;
     tcp::acceptor m_acceptor;
-    std::uint64_t m_accept_generation =
-        0; // incremented on every open and close, which ends the previous accept loop
+    // Incremented whenever the listening socket is opened or closed, which ends the old accept
+    // loop.
+    std::uint64_t m_accept_generation = 0;
     std::set<std::shared_ptr<session>> m_sessions;
     std::uint64_t m_accepted_connections = 0;
     std::size_t m_calls_in_progress = 0;
@@ -173,8 +174,8 @@
                 return;
             }
             if (ec) {
-                timer.expires_after(
-                    milliseconds(10)); // retries later, probably out of file descriptors
+                // Probably out of file descriptors: retries later.
+                timer.expires_after(milliseconds(10));
                 timer.async_wait(yield[ec]);
                 continue;
             }
--- a/standins/http_server.hpp
+++ b/standins/http_server.hpp
@@ -42,7 +42,7 @@
     std::string m_body;
     bool m_caller_closed = false; // the caller closed its connection
     boost::asio::steady_timer m_timer;
-    std::function<void()> m_on_close; // called once at that moment
+    std::function<void()> m_on_close; // called once when the caller closes its connection
 
     // Returns the value of a query parameter, or nothing if the request doesn't have it.
     std::optional<std::string> query(const std::string& name) const;
@@ -58,7 +58,7 @@
     std::string m_body;
     http_headers m_headers;
     bool m_reset_connection = false; // sends a TCP reset instead of the answer
-    std::optional<std::size_t> m_truncate_body_after = {}; // closes after this many body bytes
+    std::optional<std::size_t> m_truncate_body_after = {}; // closes after so many body bytes
     bool m_close_connection = false;                       // closes the connection after the answer
 };
 
--- a/standins/kv_store_main.cpp
+++ b/standins/kv_store_main.cpp
@@ -79,10 +79,8 @@
 
 // Faults to inject, set through the control address.
 struct faults {
-    bool m_down = false; // refuses and resets all connections
-
+    bool m_down = false;  // refuses and resets all connections
     bool m_stall = false; // delays all calls until it is cleared
-
     milliseconds m_latency{2};
     std::uint64_t m_lose_answers_permille = 0;
     std::uint64_t m_drop_watch_events_permille = 0;
--- a/standins/load_generator_main.cpp
+++ b/standins/load_generator_main.cpp
@@ -25,19 +25,20 @@
 namespace json = boost::json;
 using std::chrono::steady_clock;
 
-constexpr std::int64_t max_in_flight =
-    20'000; // in open loop; arrivals above it are counted as not sent
+// In open loop. Arrivals above it are counted as not sent.
+constexpr std::int64_t max_in_flight = 20'000;
 constexpr milliseconds default_answer_timeout{30'000}; // for requests without a deadline
-constexpr milliseconds deadline_grace{
-    1'000}; // extra time for the answer that reports a passed deadline
+// Extra time for the answer that reports a passed deadline.
+constexpr milliseconds deadline_grace{1'000};
 constexpr int max_resends = 3;
-constexpr std::size_t max_counted_names =
-    256; // per kind of name, such as versions, reasons and statuses
+// Per kind of name, such as versions, reasons and statuses.
+constexpr std::size_t max_counted_names = 256;
 
 // Histogram of latencies in microseconds. It has 64 buckets per power of two, so a percentile is at
 // most 1.6% too high.
 class histogram {
 public:
+    // Counts a latency.
     void add(std::uint64_t us) {
         ++m_counts[index(us)];
         ++m_total;
@@ -71,14 +72,15 @@
         return ((bucket - shift * exact_buckets + 1) << shift) - 1;
     }
 
-    // Returns an upper bound of the value below which the given fraction of the values lies.
+    // Returns an upper bound of the given quantile, with the fraction from 0 to 1, or 0 without
+    // values.
     std::uint64_t quantile(double fraction) const {
-        const auto requested_bytes =
+        const auto target_count =
             static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(m_total)));
         std::uint64_t cumulative = 0;
         for (std::size_t i = 0; i < s_size; ++i) {
             cumulative += m_counts[i];
-            if (cumulative >= requested_bytes && cumulative > 0) {
+            if (cumulative >= target_count && cumulative > 0) {
                 return std::min(upper_bound(i), m_max);
             }
         }
@@ -452,8 +454,8 @@
             timer.expires_at(next);
             timer.async_wait(yield[ec]);
         } else {
-            asio::post(generator.m_context,
-                       yield); // behind schedule: lets other coroutines read answers
+            // Behind schedule: lets other coroutines read answers.
+            asio::post(generator.m_context, yield);
         }
         if (is_finished(generator)) {
             break;
