--- a/bench/call_cost.cpp
+++ b/bench/call_cost.cpp
@@ -1,5 +1,6 @@
-// Measures what a node adds to a call: the same requests directly to a backend server, over one
-// node and over two, in the same run. Prints a table and a JSON object. usage: call_cost [SECONDS]
+// Measures the latency and processor time that nodes add to a call. Sends the same requests
+// directly to a backend server, through one node and through two nodes in the same run. Prints a
+// table and a JSON object. usage: call_cost [SECONDS [THREADS_PER_NODE]]
 #include <algorithm>
 #include <array>
 #include <atomic>
@@ -29,36 +30,38 @@
 
 namespace {
 
-// Calls a second of one node at the planned scale.
-constexpr int planned_rate = 70;
-// The target for the added time at 99 of 100 calls.
-constexpr double target_us = 520;
+// Call rate of one node at the planned scale.
+constexpr int planned_calls_per_second = 70;
+// Target for the increase of the 99th percentile latency through two nodes, in microseconds.
+constexpr double target_added_p99_us = 520;
 constexpr int saturation_connections = 24;
 constexpr std::size_t body_bytes = 512;
-// The node raises its cold-start limit for some seconds before it takes the full load.
-constexpr std::chrono::seconds warm_up{6};
+// A node raises its cold-start limit over some seconds before it accepts the full load.
+constexpr std::chrono::seconds warm_up_time{6};
 
+// Returns the processor time of the given clock in seconds.
 double cpu_seconds(clockid_t clock) {
     timespec value{};
     ::clock_gettime(clock, &value);
     return static_cast<double>(value.tv_sec) + 1e-9 * static_cast<double>(value.tv_nsec);
 }
 
-// Processor time of the threads that are not the node's: callers, backend server, log reader.
-std::atomic<double> s_other_cpu{0};
+// Processor time in seconds of all threads outside the nodes: callers, backend server, log reader.
+std::atomic<double> s_non_node_cpu_s{0};
 
-// Adds the processor time of the thread it lives on.
-class cpu_account {
+// Adds the processor time of its thread to s_non_node_cpu_s. Must be destroyed on the thread that
+// created it.
+class thread_cpu_meter {
 public:
-    cpu_account() : m_begin(cpu_seconds(CLOCK_THREAD_CPUTIME_ID)) {}
-    cpu_account(const cpu_account&) = delete;
-    cpu_account& operator=(const cpu_account&) = delete;
-    cpu_account(cpu_account&&) = delete;
-    cpu_account& operator=(cpu_account&&) = delete;
-    ~cpu_account() { settle(); }
-    void settle() {
+    thread_cpu_meter() : m_begin(cpu_seconds(CLOCK_THREAD_CPUTIME_ID)) {}
+    thread_cpu_meter(const thread_cpu_meter&) = delete;
+    thread_cpu_meter& operator=(const thread_cpu_meter&) = delete;
+    thread_cpu_meter(thread_cpu_meter&&) = delete;
+    thread_cpu_meter& operator=(thread_cpu_meter&&) = delete;
+    ~thread_cpu_meter() { add_elapsed(); }
+    void add_elapsed() {
         const double now = cpu_seconds(CLOCK_THREAD_CPUTIME_ID);
-        s_other_cpu.fetch_add(now - m_begin);
+        s_non_node_cpu_s.fetch_add(now - m_begin);
         m_begin = now;
     }
 
@@ -66,32 +69,32 @@
     double m_begin;
 };
 
-// Sends the log through a pipe, as a supervisor would read it.
+// Redirects stderr to a pipe that a thread reads, as a supervisor would read the log.
 void drain_log() {
-    std::array<int, 2> ends{};
-    if (::pipe(ends.data()) != 0) {
+    std::array<int, 2> pipe_ends{};
+    if (::pipe(pipe_ends.data()) != 0) {
         std::abort();
     }
-    ::dup2(ends[1], STDERR_FILENO);
-    std::thread([from = ends[0]] {
-        cpu_account account;
+    ::dup2(pipe_ends[1], STDERR_FILENO);
+    std::thread([from = pipe_ends[0]] {
+        thread_cpu_meter cpu_meter;
         std::vector<char> bytes(1U << 16U);
         while (::read(from, bytes.data(), bytes.size()) > 0) {
-            account.settle();
+            cpu_meter.add_elapsed();
         }
     }).detach();
 }
 
-// A backend server that answers at once with the request's body.
+// Backend server that immediately echoes the request body.
 class echo_server {
 public:
     echo_server() : m_acceptor(m_io, {asio::ip::address_v4::loopback(), 0}) {
         asio::spawn(
             m_io, [this](asio::yield_context yield) { accept_all(yield); }, asio::detached);
         std::thread([this] {
-            cpu_account account;
+            thread_cpu_meter cpu_meter;
             while (m_io.run_one() > 0) {
-                account.settle();
+                cpu_meter.add_elapsed();
             }
         }).detach();
     }
@@ -128,7 +131,7 @@
     tcp::acceptor m_acceptor;
 };
 
-// One caller's connection.
+// Caller with one keep-alive connection.
 class caller {
 public:
     explicit caller(std::uint16_t port) : m_socket(m_io) {
@@ -140,7 +143,8 @@
         m_request.body() = std::string(body_bytes, 'x');
         m_request.prepare_payload();
     }
-    // Returns the time of one call in microseconds, or nothing if it was not answered.
+    // Returns the latency of one call in microseconds, or nothing if the answer is not 200 with the
+    // request's body.
     std::optional<double> call() {
         const auto begin = steady::now();
         http::write(m_socket, m_request);
@@ -166,40 +170,41 @@
     std::unique_ptr<traffic_server> m_server;
 };
 
+// Returns a port that was free a moment ago.
 std::uint16_t free_port() {
     asio::io_context io;
     return tcp::acceptor(io, {asio::ip::address_v4::loopback(), 0}).local_endpoint().port();
 }
 
-// Starts an entry node and a node beside the backend server.
+// Starts an entry node and a node beside the backend server, in this order. Exits on failure.
 std::vector<std::unique_ptr<bench_node>>
 start_nodes(std::uint16_t server_port, const clock_source& clock, std::uint32_t threads) {
     std::vector<std::unique_ptr<bench_node>> nodes;
     for (const char* name : {"entry", "beside"}) {
-        auto made = std::make_unique<bench_node>();
-        made->m_settings.m_instance = name;
-        made->m_settings.m_data_centre = "north";
-        made->m_settings.m_service = nodes.empty() ? "front" : "pour";
-        made->m_settings.m_version = "v1";
-        made->m_settings.m_traffic = {"127.0.0.1", free_port()};
-        made->m_settings.m_backend_server = {"127.0.0.1", server_port};
-        made->m_settings.m_health_interval = milliseconds(0);
-        made->m_settings.m_threads = threads;
-        made->m_metrics = node_metrics::create(name, "north");
-        nodes.push_back(std::move(made));
+        auto new_node = std::make_unique<bench_node>();
+        new_node->m_settings.m_instance = name;
+        new_node->m_settings.m_data_centre = "north";
+        new_node->m_settings.m_service = nodes.empty() ? "front" : "pour";
+        new_node->m_settings.m_version = "v1";
+        new_node->m_settings.m_traffic = {"127.0.0.1", free_port()};
+        new_node->m_settings.m_backend_server = {"127.0.0.1", server_port};
+        new_node->m_settings.m_health_interval = milliseconds(0);
+        new_node->m_settings.m_threads = threads;
+        new_node->m_metrics = node_metrics::create(name, "north");
+        nodes.push_back(std::move(new_node));
     }
     auto config = std::make_shared<mesh>();
     service_spec& spec = config->m_services["pour"];
     spec.m_name = "pour";
     spec.m_version = "v1";
     config->m_routes = {{"/pour", "pour", milliseconds(5'000), false, urgency::normal}};
-    for (const auto& each : nodes) {
+    for (const auto& node : nodes) {
         auto next = std::make_shared<routing_snapshot>();
         next->m_config_version = 1;
         next->m_ready = true;
         next->m_mesh = config;
-        next->m_own.m_service = each->m_settings.m_service;
-        next->m_own.m_version = each->m_settings.m_version;
+        next->m_own_server.m_service = node->m_settings.m_service;
+        next->m_own_server.m_version = node->m_settings.m_version;
         service_view& view = next->m_services["pour"];
         view.m_spec = spec;
         view.m_old_version = "v1";
@@ -207,15 +212,15 @@
         backend.m_instance = "beside";
         backend.m_version = "v1";
         backend.m_own_data_centre = true;
-        backend.m_own = each == nodes.back();
+        backend.m_is_own = node == nodes.back();
         backend.m_traffic = nodes.back()->m_settings.m_traffic;
         backend.m_counters = std::make_shared<backend_counters>();
         view.m_backends.push_back(backend);
-        each->m_snapshot.store(next);
+        node->m_snapshot.store(next);
         error reason;
-        each->m_server = traffic_server::start(each->m_settings, clock, each->m_snapshot,
-                                               *each->m_metrics, {}, reason);
-        if (!each->m_server) {
+        node->m_server = traffic_server::start(node->m_settings, clock, node->m_snapshot,
+                                               *node->m_metrics, {}, reason);
+        if (!node->m_server) {
             fmt::print("start: {}\n", reason.m_text);
             std::exit(1);
         }
@@ -223,90 +228,93 @@
     return nodes;
 }
 
+// Measurements of one path from the caller to the backend server.
 struct path_result {
     std::string m_name;
     std::uint16_t m_port = 0;
-    std::vector<double> m_times_us;
-    std::uint64_t m_failed = 0;
+    std::vector<double> m_latencies_us;
+    std::uint64_t m_failed_calls = 0;
     double m_calls_per_second = 0;
-    double m_node_us_per_call = 0; // processor time of the nodes
+    double m_node_us_per_call = 0; // processor time of all nodes
 
-    double percentile(double share) {
-        if (m_times_us.empty()) {
+    double percentile(double quantile) {
+        if (m_latencies_us.empty()) {
             return 0;
         }
-        std::sort(m_times_us.begin(), m_times_us.end());
-        const auto last = static_cast<double>(m_times_us.size() - 1);
-        return m_times_us[static_cast<std::size_t>(share * last)];
+        std::sort(m_latencies_us.begin(), m_latencies_us.end());
+        const auto last_index = static_cast<double>(m_latencies_us.size() - 1);
+        return m_latencies_us[static_cast<std::size_t>(quantile * last_index)];
     }
 };
 
-// Calls the paths in turn, each at the planned rate, so that all see the same machine.
+// Calls the paths in turn, each at the planned rate, so that all run under the same machine load.
 void run_planned(std::vector<path_result>& paths, std::chrono::seconds time) {
-    const cpu_account account;
+    const thread_cpu_meter cpu_meter;
     std::vector<std::unique_ptr<caller>> callers;
     callers.reserve(paths.size());
     for (const path_result& path : paths) {
         callers.push_back(std::make_unique<caller>(path.m_port));
     }
-    const auto pause =
-        std::chrono::microseconds(1'000'000 / planned_rate / static_cast<int>(paths.size()));
+    const auto pause = std::chrono::microseconds(1'000'000 / planned_calls_per_second /
+                                                 static_cast<int>(paths.size()));
     auto next = steady::now();
     const auto end = next + time;
     while (next < end) {
         for (std::size_t i = 0; i < paths.size(); ++i) {
             next += pause;
             std::this_thread::sleep_until(next);
-            if (const auto took = callers[i]->call()) {
-                paths[i].m_times_us.push_back(*took);
+            if (const auto latency_us = callers[i]->call()) {
+                paths[i].m_latencies_us.push_back(*latency_us);
             } else {
-                ++paths[i].m_failed;
+                ++paths[i].m_failed_calls;
             }
         }
     }
 }
 
-// Calls one path from many connections without a pause.
+// Calls one path from many connections in a closed loop without pauses.
 void run_saturated(path_result& path, std::chrono::seconds time, int connections) {
     std::atomic<std::uint64_t> calls{0};
     std::atomic<std::uint64_t> failed{0};
     std::mutex mutex;
-    const double other_before = s_other_cpu;
+    const double non_node_before = s_non_node_cpu_s;
     const double process_before = cpu_seconds(CLOCK_PROCESS_CPUTIME_ID);
     const auto end = steady::now() + time;
     std::vector<std::thread> threads;
     threads.reserve(static_cast<std::size_t>(connections));
     for (int i = 0; i < connections; ++i) {
         threads.emplace_back([&] {
-            const cpu_account account;
+            const thread_cpu_meter cpu_meter;
             caller connection(path.m_port);
-            std::vector<double> times;
-            std::uint64_t own_failed = 0;
+            std::vector<double> latencies_us;
+            std::uint64_t thread_failed = 0;
             while (steady::now() < end) {
-                if (const auto took = connection.call()) {
-                    times.push_back(*took);
+                if (const auto latency_us = connection.call()) {
+                    latencies_us.push_back(*latency_us);
                 } else {
-                    ++own_failed;
+                    ++thread_failed;
                 }
             }
-            calls += times.size();
-            failed += own_failed;
+            calls += latencies_us.size();
+            failed += thread_failed;
             const std::lock_guard lock(mutex);
-            path.m_times_us.insert(path.m_times_us.end(), times.begin(), times.end());
+            path.m_latencies_us.insert(path.m_latencies_us.end(), latencies_us.begin(),
+                                       latencies_us.end());
         });
     }
     for (std::thread& thread : threads) {
         thread.join();
     }
-    const double node_cpu =
-        (cpu_seconds(CLOCK_PROCESS_CPUTIME_ID) - process_before) - (s_other_cpu - other_before);
-    path.m_failed = failed;
+    const double node_cpu = (cpu_seconds(CLOCK_PROCESS_CPUTIME_ID) - process_before) -
+                            (s_non_node_cpu_s - non_node_before);
+    path.m_failed_calls = failed;
     path.m_calls_per_second =
         static_cast<double>(calls) / std::chrono::duration<double>(time).count();
     path.m_node_us_per_call =
         1e6 * node_cpu / static_cast<double>(std::max<std::uint64_t>(1, calls + failed));
 }
 
+// Prints a table row for each path and returns the rows as JSON. The first path is the baseline.
 boost::json::array report(std::string_view load, std::vector<path_result>& paths) {
     boost::json::array rows;
     const double direct_50 = paths.front().percentile(0.5);
@@ -316,12 +324,12 @@
         const double p99 = path.percentile(0.99);
         fmt::print(
             "{:<10} {:<9} {:>8} {:>7} {:>9.0f} {:>9.0f} {:>9.0f} {:>9.0f} {:>9.0f} {:>9.1f}\n",
-            load, path.m_name, path.m_times_us.size(), path.m_failed, p50, p99, p50 - direct_50,
-            p99 - direct_99, path.m_calls_per_second, path.m_node_us_per_call);
+            load, path.m_name, path.m_latencies_us.size(), path.m_failed_calls, p50, p99,
+            p50 - direct_50, p99 - direct_99, path.m_calls_per_second, path.m_node_us_per_call);
         rows.push_back({{"load", load},
                         {"path", path.m_name},
-                        {"calls", path.m_times_us.size()},
-                        {"failed", path.m_failed},
+                        {"calls", path.m_latencies_us.size()},
+                        {"failed", path.m_failed_calls},
                         {"p50_us", p50},
                         {"p99_us", p99},
                         {"added_p50_us", p50 - direct_50},
@@ -338,40 +346,40 @@
     const std::chrono::seconds time(argc > 1 ? std::atoi(argv[1]) : 20);
     const auto threads =
         argc > 2 ? static_cast<std::uint32_t>(std::atoi(argv[2])) : node_settings{}.m_threads;
-    log_identity("bench", "north", log_level::info);
+    set_log_identity("bench", "north", log_level::info);
     drain_log();
     static const system_clock_source clock;
-    static echo_server server; // its thread runs until the process ends
+    static echo_server server; // its detached thread runs until the process exits
     const auto nodes = start_nodes(server.port(), clock, threads);
     const std::vector<path_result> paths{
         {"direct", server.port(), {}, 0, 0, 0},
         {"one node", nodes[1]->m_settings.m_traffic.m_port, {}, 0, 0, 0},
         {"two nodes", nodes[0]->m_settings.m_traffic.m_port, {}, 0, 0, 0}};
-    auto warming = paths;
-    run_planned(warming, warm_up);
+    auto warm_up_paths = paths;
+    run_planned(warm_up_paths, warm_up_time);
     auto planned = paths;
     run_planned(planned, time);
     auto saturated = paths;
     for (path_result& path : saturated) {
         path_result ramp = path;
-        run_saturated(ramp, warm_up, saturation_connections);
+        run_saturated(ramp, warm_up_time, saturation_connections);
         run_saturated(path, time, saturation_connections);
     }
     fmt::print("{:<10} {:<9} {:>8} {:>7} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9}\n", "load", "path",
                "calls", "failed", "p50 us", "p99 us", "+p50 us", "+p99 us", "calls/s", "cpu us");
     auto rows = report("70/s", planned);
-    const double added = planned[2].percentile(0.99) - planned[0].percentile(0.99);
+    const double added_p99_us = planned[2].percentile(0.99) - planned[0].percentile(0.99);
     for (auto& row : report("saturated", saturated)) {
         rows.push_back(std::move(row));
     }
-    fmt::print("{}\n",
-               boost::json::serialize(boost::json::object{{"measurement", "call_cost"},
-                                                          {"seconds", time.count()},
-                                                          {"threads_per_node", threads},
-                                                          {"target_added_p99_us", target_us},
-                                                          {"target_met", added <= target_us},
-                                                          {"rows", std::move(rows)}}));
+    fmt::print("{}\n", boost::json::serialize(
+                           boost::json::object{{"measurement", "call_cost"},
+                                               {"seconds", time.count()},
+                                               {"threads_per_node", threads},
+                                               {"target_added_p99_us", target_added_p99_us},
+                                               {"target_met", added_p99_us <= target_added_p99_us},
+                                               {"rows", std::move(rows)}}));
     std::fflush(stdout);
-    // The detached threads of the backend server and of the log reader end with the process.
+    // Skips destructors, since the backend server's and log reader's detached threads still run.
     ::_exit(0);
 }
--- a/src/carawayd/main.cpp
+++ b/src/carawayd/main.cpp
@@ -1,4 +1,4 @@
-// carawayd: the process beside each backend server instance.
+// carawayd: the node process beside each backend server instance.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -24,13 +24,15 @@
 
 constexpr const char* version_text = "carawayd 0.1.0\n";
 
+// The parsed command line.
 struct arguments {
-    bool m_check = false;
-    bool m_version = false;
-    bool m_platform = false;
-    std::string m_file;
+    bool m_check_only = false;
+    bool m_print_version = false;
+    bool m_use_platform = false;
+    std::string m_settings_file;
 };
 
+// Parses the command line. On failure, prints the reason or the usage and returns nothing.
 std::optional<arguments> parse_arguments(int argc, char** argv) {
     int check = 0;
     int version = 0;
@@ -40,7 +42,7 @@
         poptOption{"version", 'V', POPT_ARG_NONE, &version, 0, "print the version and exit",
                    nullptr},
         poptOption{"platform", 'p', POPT_ARG_NONE, &platform, 0,
-                   "speak with the platform instead of the product's own surroundings", nullptr},
+                   "use the platform's interfaces instead of the built-in ones", nullptr},
         poptOption POPT_AUTOHELP poptOption POPT_TABLEEND};
     const std::unique_ptr<poptContext_s, decltype(&poptFreeContext)> context(
         poptGetContext(nullptr, argc, const_cast<const char**>(argv), options.data(), 0),
@@ -51,35 +53,37 @@
         fmt::print(stderr, "{}: {}\n", poptBadOption(context.get(), 0), poptStrerror(status));
         return std::nullopt;
     }
-    arguments out{check != 0, version != 0, platform != 0, {}};
+    arguments result{check != 0, version != 0, platform != 0, {}};
     const char* file = poptGetArg(context.get());
-    if (file == nullptr && !out.m_version) {
+    if (file == nullptr && !result.m_print_version) {
         poptPrintUsage(context.get(), stderr, 0);
         return std::nullopt;
     }
-    out.m_file = file == nullptr ? "" : file;
-    return out;
+    result.m_settings_file = file == nullptr ? "" : file;
+    return result;
 }
 
+// Loads and validates the settings file. On failure, prints every fault and returns nothing.
 std::optional<node_settings> load_settings(const arguments& parsed) {
-    std::ifstream in(parsed.m_file, std::ios::binary);
+    std::ifstream in(parsed.m_settings_file, std::ios::binary);
     if (!in) {
-        fmt::print(stderr, "{}: can't be read\n", parsed.m_file);
+        fmt::print(stderr, "{}: cannot be read\n", parsed.m_settings_file);
         return std::nullopt;
     }
     const std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
     std::vector<text_fault> faults;
     auto settings = parse_settings(text, faults);
     for (const text_fault& fault : faults) {
-        fmt::print(stderr, "{}\n", format_fault(parsed.m_file, fault));
+        fmt::print(stderr, "{}\n", format_fault(parsed.m_settings_file, fault));
     }
-    if (settings && parsed.m_platform) {
-        settings->m_edge = platform::make_edge_headers();
+    if (settings && parsed.m_use_platform) {
+        settings->m_edge_headers = platform::make_edge_headers();
     }
     return settings;
 }
 
-// Waits for SIGHUP again and again; settings that can't be read leave those in force.
+// Reloads the settings on each SIGHUP. If the new ones are invalid, the current settings stay in
+// force.
 void reload_on_hangup(boost::asio::signal_set& hangups, node& running, const arguments& parsed) {
     hangups.async_wait([&hangups, &running, &parsed](const boost::system::error_code& ec, int) {
         if (ec) {
@@ -88,22 +92,23 @@
         if (auto settings = load_settings(parsed)) {
             running.reload(*settings);
         } else {
-            log_event(log_level::error, "settings_rejected", {{"file", parsed.m_file}});
+            log_event(log_level::error, "settings_rejected", {{"file", parsed.m_settings_file}});
         }
         reload_on_hangup(hangups, running, parsed);
     });
 }
 
+// Runs a node until SIGTERM or SIGINT has shut it down; returns the exit code.
 int run(const node_settings& settings, const arguments& parsed) {
     const system_clock_source clock;
     boost::asio::io_context context(1);
     error reason;
-    const std::unique_ptr<node> running =
-        node::start(context, settings, parsed.m_platform ? platform::make_adapter() : own_adapter(),
-                    clock, reason);
+    const std::unique_ptr<node> running = node::start(
+        context, settings, parsed.m_use_platform ? platform::make_adapter() : default_adapter(),
+        clock, reason);
     if (!running) {
         log_event(log_level::error, "start_failed", {{"reason", reason.m_text}});
-        return answer_for(reason.m_kind).m_exit_code;
+        return error_info_for(reason.m_kind).m_exit_code;
     }
     boost::asio::signal_set hangups(context, SIGHUP);
     reload_on_hangup(hangups, *running, parsed);
@@ -123,15 +128,15 @@
     std::signal(SIGPIPE, SIG_IGN);
     const auto parsed = parse_arguments(argc, argv);
     if (!parsed) {
-        return answer_for(error_kind::usage).m_exit_code;
+        return error_info_for(error_kind::usage).m_exit_code;
     }
-    if (parsed->m_version) {
+    if (parsed->m_print_version) {
         fmt::print("{}", version_text);
         return 0;
     }
     const auto settings = load_settings(*parsed);
     if (!settings) {
-        return answer_for(error_kind::invalid_settings).m_exit_code;
+        return error_info_for(error_kind::invalid_settings).m_exit_code;
     }
-    return parsed->m_check ? 0 : run(*settings, *parsed);
+    return parsed->m_check_only ? 0 : run(*settings, *parsed);
 }
--- a/src/ctl/current_text.cpp
+++ b/src/ctl/current_text.cpp
@@ -10,24 +10,25 @@
 namespace caraway {
 namespace {
 
-// Reads a text that is stored whole. A value in another form is the text itself.
-store_reply read_whole_text(const store_calls& store, std::uint64_t version,
+// Reads a text that is stored whole, without a delta. A value that is not in the stored-text
+// encoding is returned as it is.
+store_reply read_whole_text(const store_interface& store, std::uint64_t version,
                             std::string_view hash) {
     store_reply reply = store.m_get(fmt::format("caraway/accepted-text/{}-{}", version, hash));
     error reason;
     const auto packed =
         reply.m_kind == error_kind::none ? decode_stored_text(reply.m_value, reason) : std::nullopt;
     if (packed) {
-        auto text = load_whole_text(reply.m_value, packed->m_hash, reason);
+        auto text = decode_whole_text(reply.m_value, packed->m_hash, reason);
         reply.m_kind = text ? error_kind::none : error_kind::store_not_found;
         reply.m_value = std::move(text).value_or(std::string{});
     }
     return reply;
 }
 
-// Reads the accepted text, from its delta and the base unless it is stored whole. store_not_found
-// also when a value is damaged.
-store_reply read_text_of(const store_calls& store, const accepted_view& accepted) {
+// Reads the accepted text. Unless it is stored whole, restores it from its delta and the base text.
+// The reply's kind is store_not_found if a value is missing or damaged.
+store_reply read_accepted_text(const store_interface& store, const accepted_view& accepted) {
     if (accepted.m_base_version == 0) {
         return read_whole_text(store, accepted.m_version, accepted.m_hash);
     }
@@ -50,7 +51,8 @@
 
 } // namespace
 
-std::optional<store_reply> read_current(const store_calls& store, current_state& state) {
+std::optional<store_reply> read_accepted_config(const store_interface& store,
+                                                accepted_config& config) {
     const store_reply record = store.m_get("caraway/state/accepted");
     if (record.m_kind == error_kind::store_not_found) {
         return std::nullopt;
@@ -58,11 +60,11 @@
     if (record.m_kind != error_kind::none) {
         return record;
     }
-    state.m_accepted = read_accepted(record.m_value);
-    if (!state.m_accepted) {
+    config.m_accepted = parse_accepted(record.m_value);
+    if (!config.m_accepted) {
         return std::nullopt;
     }
-    auto restored = read_text_of(store, *state.m_accepted);
+    auto restored = read_accepted_text(store, *config.m_accepted);
     if (restored.m_kind == error_kind::store_not_found) {
         return std::nullopt;
     }
@@ -70,8 +72,8 @@
         return restored;
     }
     std::vector<text_fault> faults;
-    state.m_text = std::move(restored.m_value);
-    state.m_mesh = parse_mesh(state.m_text, wall_time{}, nullptr, faults);
+    config.m_text = std::move(restored.m_value);
+    config.m_mesh = parse_mesh(config.m_text, wall_time{}, nullptr, faults);
     return std::nullopt;
 }
 
--- a/src/ctl/records.cpp
+++ b/src/ctl/records.cpp
@@ -18,6 +18,7 @@
     return std::move(parsed.get_object());
 }
 
+// Returns a string field, or an empty string if it is absent or of another type.
 std::string text_at(const json::object& object, json::string_view key) {
     const json::value* value = object.if_contains(key);
     if (value == nullptr || !value->is_string()) {
@@ -27,6 +28,7 @@
     return {text.data(), text.size()};
 }
 
+// Returns a numeric field, or zero if it is absent, of another type or out of range.
 template <typename number_type>
 number_type number_at(const json::object& object, json::string_view key) {
     const json::value* value = object.if_contains(key);
@@ -39,7 +41,7 @@
 
 } // namespace
 
-std::optional<accepted_view> read_accepted(std::string_view value) {
+std::optional<accepted_view> parse_accepted(std::string_view value) {
     const auto object = parse_object(value);
     if (!object || !object->contains("version")) {
         return std::nullopt;
@@ -55,7 +57,7 @@
     return view;
 }
 
-std::optional<refused_view> read_refused(std::string_view value) {
+std::optional<refused_view> parse_refused(std::string_view value) {
     const auto object = parse_object(value);
     if (!object || !object->contains("source_revision")) {
         return std::nullopt;
@@ -76,7 +78,7 @@
     return view;
 }
 
-std::optional<move_view> read_move(std::string_view value) {
+std::optional<move_view> parse_move(std::string_view value) {
     const auto object = parse_object(value);
     if (!object || !object->contains("move_id")) {
         return std::nullopt;
@@ -99,7 +101,7 @@
     return !move.m_state.empty() && move.m_state != "running";
 }
 
-std::optional<config_verdict_view> read_config_verdict(std::string_view value) {
+std::optional<config_verdict_view> parse_config_verdict(std::string_view value) {
     const auto object = parse_object(value);
     if (!object || !object->contains("version")) {
         return std::nullopt;
@@ -126,13 +128,13 @@
     return verdict.m_members > 0 && verdict.m_in_force >= verdict.m_members;
 }
 
-std::string format_unix_ms(std::int64_t at) {
-    if (at < 0 || at > max_unix_ms) {
-        return fmt::format("{} ms", at);
+std::string format_unix_ms(std::int64_t unix_milliseconds) {
+    if (unix_milliseconds < 0 || unix_milliseconds > max_unix_ms) {
+        return fmt::format("{} ms", unix_milliseconds);
     }
-    const std::chrono::sys_time<milliseconds> time{milliseconds(at)};
+    const std::chrono::sys_time<milliseconds> time{milliseconds(unix_milliseconds)};
     return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z",
-                       std::chrono::floor<std::chrono::seconds>(time), at % 1000);
+                       std::chrono::floor<std::chrono::seconds>(time), unix_milliseconds % 1000);
 }
 
 std::string describe(const accepted_view& accepted) {
--- a/src/ctl/replay.cpp
+++ b/src/ctl/replay.cpp
@@ -19,12 +19,12 @@
 namespace caraway {
 namespace {
 
-// Traces are kept in the repository, so their size counts more than the time of one compression.
+// Traces are committed to the repository, so their size matters more than the compression time.
 constexpr int compression_level = 19;
-// Decompressed size of one file; a trace of a minute has some 10 MB.
+// Upper bound of a file's decompressed size. A trace of one minute has about 10 MB.
 constexpr std::size_t max_trace_bytes = 256U << 20U;
 
-std::vector<std::string_view> lines_of(std::string_view text) {
+std::vector<std::string_view> split_lines(std::string_view text) {
     std::vector<std::string_view> lines;
     while (!text.empty()) {
         const std::size_t end = std::min(text.find('\n'), text.size());
@@ -37,24 +37,28 @@
 std::optional<std::string> read_file(const std::string& file, error& reason) {
     std::ifstream in(file, std::ios::binary);
     if (!in) {
-        return fail(reason, error_kind::usage, fmt::format("{}: can't be read", file));
+        return fail(reason, error_kind::usage, fmt::format("{}: the file can't be read", file));
     }
     return std::string(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
 }
 
+// Reads a log file and decompresses it if its name ends in .zst.
 std::optional<std::string> read_log(const std::string& file, error& reason) {
     auto bytes = read_file(file, reason);
     if (!bytes || !file.ends_with(".zst")) {
         return bytes;
     }
     const unsigned long long size = ZSTD_getFrameContentSize(bytes->data(), bytes->size());
-    if (size > max_trace_bytes) { // also the values for an unknown size and an error
-        return fail(reason, error_kind::invalid_text, fmt::format("{}: no zstd frame", file));
+    if (size > max_trace_bytes) { // covers the return values for an unknown size and an error
+        return fail(reason, error_kind::invalid_text,
+                    fmt::format("{}: no zstd frame of a known and permitted size", file));
     }
     std::string text(static_cast<std::size_t>(size), '\0');
-    const std::size_t got = ZSTD_decompress(text.data(), text.size(), bytes->data(), bytes->size());
-    if (ZSTD_isError(got) != 0 || got != text.size()) {
-        return fail(reason, error_kind::invalid_text, fmt::format("{}: damaged", file));
+    const std::size_t decompressed_size =
+        ZSTD_decompress(text.data(), text.size(), bytes->data(), bytes->size());
+    if (ZSTD_isError(decompressed_size) != 0 || decompressed_size != text.size()) {
+        return fail(reason, error_kind::invalid_text,
+                    fmt::format("{}: the compressed data are damaged", file));
     }
     return text;
 }
@@ -65,11 +69,11 @@
     }
 }
 
-// Replays one line. After a gap the state of the instance is unknown, so its further lines count as
-// breaches until it starts again.
-void replay_line(const replay_input& input, std::uint64_t line, outcome_watch& watch,
-                 outcome_watch::process_map& processes, replay_report& report) {
-    if (input.m_part == "node") {
+// Replays one line. After dropped lines the state of the instance is unknown, so all its further
+// lines count as breaches until it restarts.
+void replay_line(const replay_input& input, std::uint64_t line, outcome_checker& checker,
+                 outcome_checker::process_map& processes, replay_report& report) {
+    if (input.m_component == "node") {
         replayed_process process;
         process.m_instance = input.m_instance;
         process.m_service = input.text("service");
@@ -77,43 +81,47 @@
         processes[input.m_instance] = std::move(process);
     }
     const auto found = processes.find(input.m_instance);
-    if (input.m_part == dropped_event || found == processes.end()) {
+    if (input.m_component == dropped_decisions_event || found == processes.end()) {
         ++report.m_breaches;
-        add_fault(report, fmt::format("line {}: {} has a gap", line, input.m_instance));
+        add_fault(report, fmt::format("line {}: decisions of {} are missing before this line", line,
+                                      input.m_instance));
         processes.erase(input.m_instance);
         return;
     }
     const std::string action = replay(found->second, input);
     ++report.m_inputs;
     report.m_signature = hash_bytes(
-        fmt::format("{} {} {} {}", input.m_instance, input.m_part, input.m_input, action),
+        fmt::format("{} {} {} {}", input.m_instance, input.m_component, input.m_input_name, action),
         report.m_signature);
     if (action != input.m_action) {
-        ++report.m_different;
+        ++report.m_differing_actions;
         add_fault(report, fmt::format("line {}: {} {} {}: recorded \"{}\", replayed \"{}\"", line,
-                                      input.m_instance, input.m_part, input.m_input, input.m_action,
-                                      action));
+                                      input.m_instance, input.m_component, input.m_input_name,
+                                      input.m_action, action));
     }
-    watch.observe(processes, found->second, input, action);
-    if (input.is_damaged() || !found->second.m_consistent) {
+    checker.observe(processes, found->second, input, action);
+    if (input.is_damaged() || !found->second.m_suspension_matches) {
         ++report.m_breaches;
-        add_fault(report, fmt::format("line {}: {} {} {}: {}", line, input.m_instance, input.m_part,
-                                      input.m_input,
-                                      input.is_damaged() ? "a field is missing"
-                                                         : "the suspension was not recorded"));
+        add_fault(report,
+                  fmt::format("line {}: {} {} {}: {}", line, input.m_instance, input.m_component,
+                              input.m_input_name,
+                              input.is_damaged()
+                                  ? "a field is missing or has the wrong type"
+                                  : "the recorded suspension flag differs from the replayed one"));
     }
 }
 
-// A line with the time by which files are merged: the latest that its file had so far, since lines
-// of several threads may be some microseconds out of order.
+// A line with its merge time, which is the latest time in its file up to this line. The line's own
+// time is not used because lines of different threads may be some microseconds out of order.
 struct timed_line {
-    time_point m_at;
+    time_point m_time;
     std::string_view m_text;
 };
 
+// Appends the decision lines of one log.
 void append_decisions(std::string_view log, std::vector<timed_line>& lines) {
     time_point latest{};
-    for (const std::string_view line : lines_of(log)) {
+    for (const std::string_view line : split_lines(log)) {
         if (const auto input = replay_input::parse(line)) {
             latest = std::max(latest, input->m_now);
             lines.push_back({latest, line});
@@ -125,31 +133,31 @@
 
 std::optional<replay_report> replay_trace(std::string_view trace, std::string_view outcomes,
                                           error& reason) {
-    const auto stated = parse_outcomes(outcomes, reason);
-    if (!stated) {
+    const auto expected = parse_outcomes(outcomes, reason);
+    if (!expected) {
         return std::nullopt;
     }
     milliseconds cold_hold{0};
-    for (const stated_outcome& outcome : *stated) {
+    for (const expected_outcome& outcome : *expected) {
         cold_hold = outcome.m_check == "cold_start_share" ? outcome.m_limit : cold_hold;
     }
     replay_report report;
-    outcome_watch watch(cold_hold);
-    outcome_watch::process_map processes;
+    outcome_checker checker(cold_hold);
+    outcome_checker::process_map processes;
     std::uint64_t line = 0;
-    for (const std::string_view text : lines_of(trace)) {
+    for (const std::string_view text : split_lines(trace)) {
         ++line;
         if (const auto input = replay_input::parse(text)) {
-            replay_line(*input, line, watch, processes, report);
+            replay_line(*input, line, checker, processes, report);
         } else {
             ++report.m_breaches;
-            add_fault(report, fmt::format("line {}: no decision", line));
+            add_fault(report, fmt::format("line {}: not a decision line", line));
         }
     }
-    for (const stated_outcome& outcome : *stated) {
-        const outcome_watch::verdict verdict = watch.judge(outcome);
-        report.m_outcomes.push_back((verdict.m_kept ? "kept   " : "BROKEN ") + verdict.m_text);
-        report.m_breaches += verdict.m_kept ? 0 : 1;
+    for (const expected_outcome& outcome : *expected) {
+        const outcome_checker::check_result result = checker.check(outcome);
+        report.m_outcomes.push_back((result.m_passed ? "kept   " : "BROKEN ") + result.m_text);
+        report.m_breaches += result.m_passed ? 0 : 1;
     }
     return report;
 }
@@ -168,7 +176,7 @@
         append_decisions(log, lines);
     }
     std::stable_sort(lines.begin(), lines.end(),
-                     [](const timed_line& a, const timed_line& b) { return a.m_at < b.m_at; });
+                     [](const timed_line& a, const timed_line& b) { return a.m_time < b.m_time; });
     std::string trace;
     for (const timed_line& line : lines) {
         trace += line.m_text;
@@ -177,16 +185,16 @@
     return trace;
 }
 
-std::string trim_trace(std::string_view trace, const std::set<std::string>& admission_of) {
+std::string trim_trace(std::string_view trace, const std::set<std::string>& admission_instances) {
     std::string trimmed;
-    for (const std::string_view line : lines_of(trace)) {
+    for (const std::string_view line : split_lines(trace)) {
         boost::json::value parsed =
             boost::json::parse(boost::json::string_view(line.data(), line.size()));
         boost::json::object& object = parsed.as_object();
         const auto* part = object.if_contains("part");
         const auto& instance = object.at("instance").as_string();
         if (part != nullptr && part->as_string() == "admission" &&
-            !admission_of.contains(std::string(instance.data(), instance.size()))) {
+            !admission_instances.contains(std::string(instance.data(), instance.size()))) {
             continue;
         }
         for (const std::string_view unused : {"level", "data_centre", "config_version"}) {
@@ -208,7 +216,7 @@
     }
     out.close();
     if (ZSTD_isError(size) != 0 || !out) {
-        fail(reason, error_kind::usage, fmt::format("{}: can't be written", file));
+        fail(reason, error_kind::usage, fmt::format("{}: the file can't be written", file));
         return false;
     }
     return true;
@@ -223,7 +231,8 @@
         }
     }
     if (failed || files.empty()) {
-        return fail(reason, error_kind::usage, fmt::format("{}: no traces", folder));
+        return fail(reason, error_kind::usage,
+                    fmt::format("{}: the folder can't be read or contains no .zst file", folder));
     }
     std::sort(files.begin(), files.end());
     folder_report folder_result;
--- a/src/ctl/report_commands.cpp
+++ b/src/ctl/report_commands.cpp
@@ -1,4 +1,4 @@
-// The commands that only read the store: status and verdicts.
+// The commands status and verdicts, which only read the store.
 #include "ctl/commands.hpp"
 
 #include <algorithm>
@@ -26,9 +26,10 @@
 constexpr std::string_view move_verdict_prefix = "caraway/verdict/move/";
 constexpr std::string_view config_verdict_prefix = "caraway/verdict/config/";
 
+// Prints a failed store call and returns the exit code.
 int report_store_failure(const console& out, const store_reply& reply) {
     const std::string text =
-        fmt::format("store: {} ({})", answer_for(reply.m_kind).m_name, reply.m_text);
+        fmt::format("store: {} ({})", error_info_for(reply.m_kind).m_name, reply.m_text);
     if (out.m_json) {
         out.m_out(json::serialize(json::object{{"result", "unreachable"}, {"text", text}}));
     } else {
@@ -79,34 +80,35 @@
     return {{"source_revision", refused.m_source_revision}, {"faults", std::move(faults)}};
 }
 
-// What status shows, as read from the store.
+// The state of the mesh as read from the store.
 struct mesh_status {
-    std::uint64_t m_text_revision = 0; // 0: no text yet
+    std::uint64_t m_text_revision = 0; // 0: no text submitted yet
     std::optional<accepted_view> m_accepted;
     std::optional<refused_view> m_refused;
     std::vector<move_view> m_moves;
     std::optional<config_verdict_view> m_verdict;
-    std::vector<std::pair<std::string, std::string>> m_leases; // key below the prefix, holder
+    std::vector<std::pair<std::string, std::string>> m_leases; // key without lease_prefix, holder
 };
 
-// True when the refusal concerns the text that stands in the store now.
-bool is_refused_now(const mesh_status& status) {
+// Returns whether the refusal applies to the text that is in the store now.
+bool is_current_text_refused(const mesh_status& status) {
     return status.m_refused && status.m_refused->m_source_revision == status.m_text_revision;
 }
 
-// Reads everything; returns the failed reply when the store can't be read.
-std::optional<store_reply> read_status(const store_calls& store, mesh_status& status) {
+// Reads the status from the store. Returns the failed reply if the store can't be read, otherwise
+// nothing.
+std::optional<store_reply> read_status(const store_interface& store, mesh_status& status) {
     const store_reply states = store.m_list("caraway/state/");
     if (states.m_kind != error_kind::none) {
         return states;
     }
     for (const store_entry& entry : states.m_entries) {
         if (entry.m_key == accepted_key) {
-            status.m_accepted = read_accepted(entry.m_value);
+            status.m_accepted = parse_accepted(entry.m_value);
         } else if (entry.m_key == refused_key) {
-            status.m_refused = read_refused(entry.m_value);
+            status.m_refused = parse_refused(entry.m_value);
         } else if (entry.m_key.starts_with(move_prefix)) {
-            if (auto move = read_move(entry.m_value)) {
+            if (auto move = parse_move(entry.m_value)) {
                 status.m_moves.push_back(std::move(*move));
             }
         }
@@ -116,7 +118,7 @@
         return leases;
     }
     for (const store_entry& entry : leases.m_entries) {
-        // The value is the holder's name and the lease's identity.
+        // The value consists of the holder's name and the lease's id, separated by a blank.
         status.m_leases.emplace_back(entry.m_key.substr(lease_prefix.size()),
                                      entry.m_value.substr(0, entry.m_value.find(' ')));
     }
@@ -130,7 +132,7 @@
         const store_reply verdict =
             store.m_get(fmt::format("{}{}", config_verdict_prefix, status.m_accepted->m_version));
         if (verdict.m_kind == error_kind::none) {
-            status.m_verdict = read_config_verdict(verdict.m_value);
+            status.m_verdict = parse_config_verdict(verdict.m_value);
         } else if (verdict.m_kind != error_kind::store_not_found) {
             return verdict;
         }
@@ -141,7 +143,8 @@
 json::object to_json(const mesh_status& status) {
     json::object object{{"text_revision", status.m_text_revision}};
     object["accepted"] = status.m_accepted ? json::value(to_json(*status.m_accepted)) : nullptr;
-    object["refused"] = is_refused_now(status) ? json::value(to_json(*status.m_refused)) : nullptr;
+    object["refused"] =
+        is_current_text_refused(status) ? json::value(to_json(*status.m_refused)) : nullptr;
     object["verdict"] = status.m_verdict ? json::value(to_json(*status.m_verdict)) : nullptr;
     json::array moves;
     for (const move_view& move : status.m_moves) {
@@ -159,7 +162,7 @@
 void print_status(const console& out, const mesh_status& status) {
     out.m_out(status.m_accepted ? fmt::format("accepted: {}", describe(*status.m_accepted))
                                 : std::string("accepted: nothing yet"));
-    if (is_refused_now(status)) {
+    if (is_current_text_refused(status)) {
         out.m_out(fmt::format("refused: revision {}", status.m_text_revision));
         for (const text_fault& fault : status.m_refused->m_faults) {
             out.m_out(fmt::format("  {}", format_fault("text", fault)));
@@ -167,11 +170,12 @@
     } else if (status.m_text_revision != 0 &&
                (!status.m_accepted ||
                 status.m_accepted->m_source_revision != status.m_text_revision)) {
-        out.m_out(fmt::format("pending: revision {} isn't judged yet", status.m_text_revision));
+        out.m_out(fmt::format("pending: revision {} is neither accepted nor refused yet",
+                              status.m_text_revision));
     }
     if (status.m_accepted) {
         out.m_out(status.m_verdict ? fmt::format("verdict: {}", describe(*status.m_verdict))
-                                   : fmt::format("verdict: none yet on version {}",
+                                   : fmt::format("verdict: none yet for version {}",
                                                  status.m_accepted->m_version));
     }
     for (const move_view& move : status.m_moves) {
@@ -182,22 +186,23 @@
     }
 }
 
-// The service of a move's key below a prefix, as in caraway/verdict/move/SERVICE/MOVEID.
+// Returns the service in the key of a move, which follows the prefix as in
+// caraway/verdict/move/SERVICE/MOVEID.
 std::string_view service_of(std::string_view key, std::string_view prefix) {
     key.remove_prefix(prefix.size());
     return key.substr(0, key.find('/'));
 }
 
-// What show_verdicts prints and remembers while it follows.
-struct verdict_feed {
+// Output and state of show_verdicts.
+struct verdict_printer {
     const console* m_out = nullptr;
     const verdict_options* m_options = nullptr;
-    std::set<std::string> m_final_moves;   // move ids whose final state was printed
-    std::optional<move_view> m_last_final; // the latest of them
+    std::set<std::string> m_printed_move_ids; // moves whose final state was printed
+    std::optional<move_view> m_last_final;    // the final state printed last
 };
 
-void print_move(const verdict_feed& feed, const move_view& move) {
-    const console& out = *feed.m_out;
+void print_move(const verdict_printer& printer, const move_view& move) {
+    const console& out = *printer.m_out;
     if (out.m_json) {
         json::object object = to_json(move);
         object["kind"] = is_final(move) ? "move_verdict" : "move_progress";
@@ -207,8 +212,8 @@
     }
 }
 
-void print_verdict(const verdict_feed& feed, const config_verdict_view& verdict) {
-    const console& out = *feed.m_out;
+void print_verdict(const verdict_printer& printer, const config_verdict_view& verdict) {
+    const console& out = *printer.m_out;
     if (out.m_json) {
         json::object object = to_json(verdict);
         object["kind"] = verdict.m_final ? "config_verdict" : "config_progress";
@@ -218,43 +223,45 @@
     }
 }
 
-// Prints one verdict or one step of a move, if it was asked for.
-void print_entry(verdict_feed& feed, const store_entry& entry) {
-    const std::string& service = feed.m_options->m_service;
+// Prints one verdict or one step of a move if the options include it.
+void print_entry(verdict_printer& printer, const store_entry& entry) {
+    const std::string& service = printer.m_options->m_service;
     if (entry.m_deleted) {
         return;
     }
     if (entry.m_key.starts_with(config_verdict_prefix)) {
-        const auto verdict = read_config_verdict(entry.m_value);
-        if (verdict && service.empty() && (verdict->m_final || feed.m_options->m_follow)) {
-            print_verdict(feed, *verdict);
+        const auto verdict = parse_config_verdict(entry.m_value);
+        if (verdict && service.empty() && (verdict->m_final || printer.m_options->m_follow)) {
+            print_verdict(printer, *verdict);
         }
         return;
     }
-    const bool final_key = entry.m_key.starts_with(move_verdict_prefix);
-    if (!final_key && !entry.m_key.starts_with(move_prefix)) {
+    const bool is_verdict_key = entry.m_key.starts_with(move_verdict_prefix);
+    if (!is_verdict_key && !entry.m_key.starts_with(move_prefix)) {
         return;
     }
-    const std::string_view named =
-        service_of(entry.m_key, final_key ? move_verdict_prefix : move_prefix);
-    if (!service.empty() && named != service) {
+    const std::string_view entry_service =
+        service_of(entry.m_key, is_verdict_key ? move_verdict_prefix : move_prefix);
+    if (!service.empty() && entry_service != service) {
         return;
     }
-    const auto move = read_move(entry.m_value);
-    // A final state stands in the move's record and in its verdict, and is printed once.
-    if (!move || (is_final(*move) && !feed.m_final_moves.insert(move->m_move_id).second) ||
-        (!is_final(*move) && !feed.m_options->m_follow)) {
+    const auto move = parse_move(entry.m_value);
+    // The store holds a final state twice, in the move's record and in its verdict. It is printed
+    // once.
+    if (!move || (is_final(*move) && !printer.m_printed_move_ids.insert(move->m_move_id).second) ||
+        (!is_final(*move) && !printer.m_options->m_follow)) {
         return;
     }
-    print_move(feed, *move);
+    print_move(printer, *move);
     if (is_final(*move)) {
-        feed.m_last_final = move;
+        printer.m_last_final = move;
     }
 }
 
-// Lists verdicts and move records, oldest first. Returns the store's revision.
-std::optional<std::uint64_t> print_present(const console& out, const store_calls& store,
-                                           verdict_feed& feed) {
+// Prints the verdicts and move records in the store, oldest first. Returns the store's revision, or
+// nothing after a failure, which it prints.
+std::optional<std::uint64_t> print_stored(const console& out, const store_interface& store,
+                                          verdict_printer& printer) {
     store_reply listed = store.m_list(verdict_prefix);
     const store_reply moves =
         listed.m_kind == error_kind::none ? store.m_list(move_prefix) : store_reply{};
@@ -267,14 +274,14 @@
     std::sort(listed.m_entries.begin(), listed.m_entries.end(),
               [](const auto& a, const auto& b) { return a.m_revision < b.m_revision; });
     for (const store_entry& entry : listed.m_entries) {
-        print_entry(feed, entry);
+        print_entry(printer, entry);
     }
     return listed.m_revision;
 }
 
 } // namespace
 
-int show_status(const console& out, const store_calls& store) {
+int show_status(const console& out, const store_interface& store) {
     mesh_status status;
     if (const auto failure = read_status(store, status)) {
         return report_store_failure(out, *failure);
@@ -284,7 +291,7 @@
     } else {
         print_status(out, status);
     }
-    if (is_refused_now(status)) {
+    if (is_current_text_refused(status)) {
         return exit_refused;
     }
     const bool negative =
@@ -292,49 +299,52 @@
     return negative ? exit_negative : exit_done;
 }
 
-int show_verdicts(const console& out, const store_calls& store, const verdict_options& options) {
-    verdict_feed feed{&out, &options, {}, {}};
-    const auto revision = print_present(out, store, feed);
+int show_verdicts(const console& out, const store_interface& store,
+                  const verdict_options& options) {
+    verdict_printer printer{&out, &options, {}, {}};
+    const auto revision = print_stored(out, store, printer);
     if (!revision) {
         return exit_unreachable;
     }
-    const auto service_code = [&] {
-        const bool negative = feed.m_last_final && feed.m_last_final->m_state != "done";
+    const auto exit_code = [&] {
+        const bool negative = printer.m_last_final && printer.m_last_final->m_state != "done";
         return !options.m_service.empty() && negative ? exit_negative : exit_done;
     };
     if (!options.m_follow) {
-        return service_code();
+        return exit_code();
     }
-    // With a service, following ends with the verdict on the move of the accepted text. The record
-    // alone doesn't tell: right after an acceptance it may still be the former move's.
-    std::string awaited;
+    // With a service, following ends with the verdict on the move in the accepted text. The stored
+    // move record is not enough to identify this move: right after an acceptance it may still be
+    // the previous move's record.
+    std::string awaited_move_id;
     if (!options.m_service.empty()) {
-        current_state current;
-        if (const auto failure = read_current(store, current)) {
+        accepted_config current;
+        if (const auto failure = read_accepted_config(store, current)) {
             return report_store_failure(out, *failure);
         }
         if (current.m_mesh) {
             const auto service = current.m_mesh->m_services.find(options.m_service);
             if (service != current.m_mesh->m_services.end() && service->second.m_move) {
-                awaited = move_id(options.m_service, *service->second.m_move);
+                awaited_move_id = move_id(options.m_service, *service->second.m_move);
             }
         }
-        if (awaited.empty() || feed.m_final_moves.contains(awaited)) {
-            return service_code();
+        if (awaited_move_id.empty() || printer.m_printed_move_ids.contains(awaited_move_id)) {
+            return exit_code();
         }
     }
     const std::array<std::string, 2> prefixes{std::string(verdict_prefix),
                                               std::string(move_prefix)};
-    const error_kind ended =
-        store.m_follow(prefixes, *revision, options.m_limit, [&](const store_entry& entry) {
-            print_entry(feed, entry);
-            return awaited.empty() || !feed.m_final_moves.contains(awaited);
+    const error_kind follow_result =
+        store.m_follow(prefixes, *revision, options.m_timeout, [&](const store_entry& entry) {
+            print_entry(printer, entry);
+            return awaited_move_id.empty() || !printer.m_printed_move_ids.contains(awaited_move_id);
         });
-    if (ended != error_kind::none && !awaited.empty()) {
-        out.m_err(fmt::format("no verdict on {} in the time given", options.m_service));
+    if (follow_result != error_kind::none && !awaited_move_id.empty()) {
+        out.m_err(
+            fmt::format("no verdict on the move of {} within the timeout", options.m_service));
         return exit_negative;
     }
-    return service_code();
+    return exit_code();
 }
 
 } // namespace caraway
--- a/src/ctl/text_commands.cpp
+++ b/src/ctl/text_commands.cpp
@@ -1,4 +1,4 @@
-// The commands that read and write the operators' text: check, diff, fetch and apply.
+// The commands check, diff, fetch and apply, which read and write the configuration text.
 #include "ctl/commands.hpp"
 
 #include <array>
@@ -24,17 +24,17 @@
 
 namespace json = boost::json;
 
-constexpr std::string_view text_key_name = "caraway/text";
-constexpr std::string_view text_delta_key_name = "caraway/text-delta";
+constexpr std::string_view text_key = "caraway/text";
+constexpr std::string_view text_delta_key = "caraway/text-delta";
 constexpr std::string_view accepted_key = "caraway/state/accepted";
 constexpr std::string_view refused_key = "caraway/state/refused";
 constexpr std::string_view config_verdict_prefix = "caraway/verdict/config/";
 
-// Begins the last line of a submitted text. The store keeps no author, so apply writes one into the
-// text; a lost race can then name the winner.
+// Start of the last line of a submitted text. The store records no author, so apply writes the
+// author into the text. An operator who loses a race is then told who won it.
 constexpr std::string_view attribution_prefix = "# carawayctl: applied by ";
 
-// Largest author name in the attribution line, in bytes.
+// Upper bound of the author's name in the attribution line, in bytes.
 constexpr std::size_t max_author_bytes = 64;
 
 std::optional<std::string> read_file(const std::string& path) {
@@ -49,7 +49,8 @@
     return text;
 }
 
-// Writes beside the file and renames, so that an interrupted command leaves no half a file.
+// Writes to a temporary file and renames it, so that an interrupted command leaves no partial file.
+// Returns false on failure.
 bool write_file(const std::string& path, std::string_view text) {
     const std::string partial = path + ".partial";
     {
@@ -125,30 +126,33 @@
 int report_store_failure(const console& out, const store_reply& reply) {
     return report_failure(
         out, exit_unreachable, "unreachable",
-        fmt::format("store: {} ({})", answer_for(reply.m_kind).m_name, reply.m_text));
+        fmt::format("store: {} ({})", error_info_for(reply.m_kind).m_name, reply.m_text));
 }
 
 int report_unreadable(const console& out, const std::string& file) {
-    return report_failure(out, exit_usage, "usage", fmt::format("{}: can't be read", file));
+    return report_failure(out, exit_usage, "usage",
+                          fmt::format("{}: the file can't be read", file));
 }
 
+// Returns the last attribution of a text, without attribution_prefix, or an empty view if it has
+// none.
 std::string_view attribution_of(std::string_view text) {
-    const std::size_t at = text.rfind(attribution_prefix);
-    if (at == std::string_view::npos || (at > 0 && text[at - 1] != '\n')) {
+    const std::size_t line_begin = text.rfind(attribution_prefix);
+    if (line_begin == std::string_view::npos || (line_begin > 0 && text[line_begin - 1] != '\n')) {
         return {};
     }
-    const std::string_view line = text.substr(at, text.find('\n', at) - at);
+    const std::string_view line = text.substr(line_begin, text.find('\n', line_begin) - line_begin);
     return line.substr(attribution_prefix.size());
 }
 
-// Puts a fresh attribution line at the end, in place of an old one there. Lines before it keep
-// their numbers, so that faults point into the operator's file.
-std::string attribute(std::string_view text, std::string_view by, wall_time now,
-                      std::uint64_t from) {
-    const std::size_t at = text.rfind(attribution_prefix);
-    if (at != std::string_view::npos && (at == 0 || text[at - 1] == '\n') &&
-        text.find('\n', at) >= text.size() - 1) {
-        text = text.substr(0, at);
+// Appends an attribution line, which replaces an existing one at the end of the text. All other
+// lines keep their numbers, so that faults refer to lines of the operator's file.
+std::string add_attribution(std::string_view text, std::string_view by, wall_time now,
+                            std::uint64_t from) {
+    const std::size_t line_begin = text.rfind(attribution_prefix);
+    if (line_begin != std::string_view::npos && (line_begin == 0 || text[line_begin - 1] == '\n') &&
+        text.find('\n', line_begin) >= text.size() - 1) {
+        text = text.substr(0, line_begin);
     }
     std::string author;
     for (const char c : by.substr(0, max_author_bytes)) {
@@ -159,10 +163,12 @@
                        author.empty() ? "unknown" : author, format_unix_ms(unix_ms(now)), from);
 }
 
+// Returns the name of the file that stores the revision of a fetched or applied text.
 std::string revision_file(const std::string& file) {
     return file + ".revision";
 }
 
+// Reads the revision stored for a file. Returns nothing if there is none or it is malformed.
 std::optional<std::uint64_t> read_revision(const std::string& file) {
     const auto text = read_file(revision_file(file));
     if (!text) {
@@ -175,9 +181,9 @@
     return failure == std::errc{} && ends ? std::optional(revision) : std::nullopt;
 }
 
-// Reports a lost race: who won, and how the winner's text differs from the file.
-int report_lost(const console& out, const apply_options& options, std::uint64_t from,
-                const write_result& result, const mesh& submitted) {
+// Reports a lost race: who won it, and how the file differs from the winner's text.
+int report_lost_race(const console& out, const apply_options& options, std::uint64_t from,
+                     const write_result& result, const mesh& submitted) {
     std::vector<text_fault> faults;
     std::vector<std::string> changes;
     if (const auto winner = parse_mesh(result.m_value, wall_time{}, nullptr, faults)) {
@@ -190,31 +196,32 @@
                                                {"from", from},
                                                {"revision", result.m_revision},
                                                {"by", by},
-                                               {"may_have_run", result.m_may_have_run},
+                                               {"may_have_run", result.m_may_have_been_stored},
                                                {"changes", to_json(changes)}}));
         return exit_refused;
     }
     out.m_err(fmt::format("{}: edited from revision {}, but the text is at revision {}, applied by "
                           "{}",
                           options.m_file, from, result.m_revision, by));
-    out.m_err(result.m_may_have_run
-                  ? "an answer of the store was lost: this text may have stood before the winner's"
+    out.m_err(result.m_may_have_been_stored
+                  ? "a reply of the store was lost: this text may have stood before the winner's"
                   : "nothing was changed; fetch the text, edit it and apply it again");
     for (const std::string& line : changes) {
-        out.m_err(fmt::format("this file against the winner's: {}", line));
+        out.m_err(fmt::format("change from the winner's text to this file: {}", line));
     }
     return exit_refused;
 }
 
-// What following a submitted text has seen so far.
+// Progress of waiting for the verdict on a submitted text.
 struct wait_state {
-    std::uint64_t m_revision = 0; // of the submitted text
-    std::uint64_t m_version = 0;  // accepted as, 0 before
-    std::optional<int> m_code;    // the exit code, once known
+    std::uint64_t m_revision = 0;         // of the submitted text
+    std::uint64_t m_accepted_version = 0; // version that it was accepted as; 0 until then
+    std::optional<int> m_exit_code;       // set once the wait is over
 };
 
-void report_step(const console& out, std::string_view result, std::uint64_t version,
-                 std::string_view text) {
+// Prints one step of a submitted text.
+void report_progress(const console& out, std::string_view result, std::uint64_t version,
+                     std::string_view text) {
     if (out.m_json) {
         out.m_out(json::serialize(
             json::object{{"result", result}, {"version", version}, {"text", text}}));
@@ -223,94 +230,100 @@
     }
 }
 
-// A later version in force everywhere means that no instance is behind this one either. With a
-// change every few seconds many versions are overtaken before they have a verdict of their own.
-void see_verdict(const console& out, const config_verdict_view& verdict, wait_state& state) {
-    if (state.m_version == 0 || verdict.m_version < state.m_version) {
+// Handles the verdict on a version. If a later version is in force everywhere, no instance is
+// behind the submitted one either, so the wait ends successfully. When the text changes every few
+// seconds, many versions are superseded before they get a verdict of their own.
+void handle_verdict(const console& out, const config_verdict_view& verdict, wait_state& state) {
+    if (state.m_accepted_version == 0 || verdict.m_version < state.m_accepted_version) {
         return;
     }
     if (is_in_force(verdict)) {
-        report_step(out, "in_force", verdict.m_version, describe(verdict));
-        state.m_code = exit_done;
-    } else if (verdict.m_final && verdict.m_version == state.m_version) {
-        report_step(out, "not_in_force", verdict.m_version, describe(verdict));
-        state.m_code = exit_negative;
+        report_progress(out, "in_force", verdict.m_version, describe(verdict));
+        state.m_exit_code = exit_done;
+    } else if (verdict.m_final && verdict.m_version == state.m_accepted_version) {
+        report_progress(out, "not_in_force", verdict.m_version, describe(verdict));
+        state.m_exit_code = exit_negative;
     }
 }
 
-void see_accepted(const console& out, const accepted_view& accepted, wait_state& state) {
-    if (state.m_version != 0) {
+// Handles an acceptance, of the submitted text or of a later one.
+void handle_accepted(const console& out, const accepted_view& accepted, wait_state& state) {
+    if (state.m_accepted_version != 0) {
         return;
     }
     if (accepted.m_source_revision == state.m_revision) {
-        state.m_version = accepted.m_version;
-        report_step(out, "accepted", state.m_version, describe(accepted));
+        state.m_accepted_version = accepted.m_version;
+        report_progress(out, "accepted", state.m_accepted_version, describe(accepted));
     } else if (accepted.m_source_revision > state.m_revision) {
-        report_step(out, "superseded", accepted.m_version,
-                    fmt::format("a later text was accepted in its place: {}", describe(accepted)));
-        state.m_code = exit_refused;
+        report_progress(
+            out, "superseded", accepted.m_version,
+            fmt::format("a later text was accepted in its place: {}", describe(accepted)));
+        state.m_exit_code = exit_refused;
     }
 }
 
-// Handles one record while waiting.
-void see_record(const console& out, const std::string& file, std::string_view key,
-                std::string_view value, wait_state& state) {
+// Handles one changed record while waiting. file names the submitted file in messages.
+void handle_record(const console& out, const std::string& file, std::string_view key,
+                   std::string_view value, wait_state& state) {
     if (key == accepted_key) {
-        if (const auto accepted = read_accepted(value)) {
-            see_accepted(out, *accepted, state);
+        if (const auto accepted = parse_accepted(value)) {
+            handle_accepted(out, *accepted, state);
         }
     } else if (key == refused_key) {
-        const auto refused = read_refused(value);
+        const auto refused = parse_refused(value);
         if (refused && refused->m_source_revision == state.m_revision) {
-            state.m_code = report_faults(out, file, refused->m_faults);
+            state.m_exit_code = report_faults(out, file, refused->m_faults);
         }
     } else if (key.starts_with(config_verdict_prefix)) {
-        if (const auto verdict = read_config_verdict(value)) {
-            see_verdict(out, *verdict, state);
+        if (const auto verdict = parse_config_verdict(value)) {
+            handle_verdict(out, *verdict, state);
         }
     }
 }
 
-// Follows a submitted text until it is refused, superseded or has its in-force verdict. Everything
-// of interest is written after the text, so that following from the text's revision misses nothing.
-int wait_for_verdict(const console& out, const store_calls& store, const apply_options& options,
+// Waits until a submitted text is refused, superseded or has a verdict, and returns the exit code.
+// All relevant records are written after the text, so watching from the text's revision misses
+// none.
+int wait_for_verdict(const console& out, const store_interface& store, const apply_options& options,
                      std::uint64_t revision) {
     wait_state state;
     state.m_revision = revision;
     const std::array<std::string, 2> prefixes{"caraway/state/", std::string(config_verdict_prefix)};
-    const auto end = std::chrono::steady_clock::now() + options.m_limit;
-    while (!state.m_code) {
-        const auto left =
-            std::chrono::duration_cast<milliseconds>(end - std::chrono::steady_clock::now());
-        const bool waiting = state.m_version == 0;
+    const auto deadline = std::chrono::steady_clock::now() + options.m_timeout;
+    while (!state.m_exit_code) {
+        const auto time_left =
+            std::chrono::duration_cast<milliseconds>(deadline - std::chrono::steady_clock::now());
+        const bool version_unknown = state.m_accepted_version == 0;
         const change_handler handler = [&](const store_entry& entry) {
             if (!entry.m_deleted) {
-                see_record(out, options.m_file, entry.m_key, entry.m_value, state);
+                handle_record(out, options.m_file, entry.m_key, entry.m_value, state);
             }
-            // Once the version is known, verdicts that came before it are read again.
-            return !state.m_code && !(waiting && state.m_version != 0);
+            // Once the version is known, restarts the watch to read verdicts that arrived before
+            // it.
+            return !state.m_exit_code && !(version_unknown && state.m_accepted_version != 0);
         };
-        if (left.count() <= 0 ||
-            store.m_follow(prefixes, revision, left, handler) != error_kind::none) {
+        if (time_left.count() <= 0 ||
+            store.m_follow(prefixes, revision, time_left, handler) != error_kind::none) {
             return report_failure(out, exit_negative, "no_verdict",
                                   fmt::format("no verdict on revision {} within {} s", revision,
-                                              options.m_limit.count() / 1000));
+                                              options.m_timeout.count() / 1000));
         }
     }
-    return *state.m_code;
+    return *state.m_exit_code;
 }
 
-// Writes the submitted text's difference from the accepted text, so that the accepter need not read
-// the text whole. It names the revision that the store gave the text, so it can't be taken for the
-// difference of another writer's text. Without it the accepter reads the text itself after a short
-// wait, so failures are not reported.
-void submit_delta(const store_calls& store, const current_state& current, std::string_view text,
-                  std::uint64_t text_revision, std::uint64_t delta_revision) {
+// Writes the delta from the accepted text to the submitted text, so that the accepter need not read
+// the whole text. The delta contains the store revision of the text, so it can't be mistaken for
+// the delta of another writer's text. A failure is not reported, because without a delta the
+// accepter reads the whole text after a short wait.
+void submit_delta(const store_interface& store, const accepted_config& current,
+                  std::string_view text, std::uint64_t text_revision,
+                  std::uint64_t delta_revision) {
     const std::uint64_t base = current.m_accepted ? current.m_accepted->m_version : 0;
     const std::string value =
         encode_stored_text(pack_text(text_revision, hash_bytes(text), text, base, current.m_text));
     if (value.size() < text.size()) {
-        store.m_put(text_delta_key_name, value, delta_revision);
+        store.m_put(text_delta_key, value, delta_revision);
     }
 }
 
@@ -374,21 +387,22 @@
     return report_changes(out, diff_mesh(*old_mesh, *new_mesh));
 }
 
-int diff_accepted(const console& out, const store_calls& store, const std::string& file,
+int diff_accepted(const console& out, const store_interface& store, const std::string& file,
                   wall_time now) {
     const auto text = read_file(file);
     if (!text) {
         return report_unreadable(out, file);
     }
-    current_state current;
-    if (const auto failure = read_current(store, current)) {
+    accepted_config current;
+    if (const auto failure = read_accepted_config(store, current)) {
         return report_store_failure(out, *failure);
     }
     if (current.m_accepted && !current.m_mesh) {
-        return report_failure(out, exit_refused, "unreadable",
-                              fmt::format("the text of accepted version {} isn't in the store or "
-                                          "can't be read by this program",
-                                          current.m_accepted->m_version));
+        return report_failure(
+            out, exit_refused, "unreadable",
+            fmt::format("the text of accepted version {} is missing from the store "
+                        "or can't be parsed by this program",
+                        current.m_accepted->m_version));
     }
     std::vector<text_fault> faults;
     const auto after = parse_mesh(*text, now, current.m_mesh ? &*current.m_mesh : nullptr, faults);
@@ -398,20 +412,21 @@
     return report_changes(out, diff_mesh(current.m_mesh.value_or(mesh{}), *after));
 }
 
-int fetch_text(const console& out, const store_calls& store, const std::string& file) {
-    const store_reply reply = store.m_get(text_key_name);
+int fetch_text(const console& out, const store_interface& store, const std::string& file) {
+    const store_reply reply = store.m_get(text_key);
     if (reply.m_kind == error_kind::store_not_found) {
         return report_failure(out, exit_refused, "absent",
-                              "the store holds no text yet; apply the first one with --from 0");
+                              "the store has no text yet; apply the first one with --from 0");
     }
     if (reply.m_kind != error_kind::none) {
         return report_store_failure(out, reply);
     }
-    // The text is written first: a revision without its text would let an old file overwrite the
-    // newer text.
+    // The text is written before the revision. A new revision beside an old text would allow that
+    // old text to overwrite the newer one.
     if (!write_file(file, reply.m_value) ||
         !write_file(revision_file(file), fmt::format("{}\n", reply.m_revision))) {
-        return report_failure(out, exit_usage, "usage", fmt::format("{}: can't be written", file));
+        return report_failure(out, exit_usage, "usage",
+                              fmt::format("{}: the file can't be written", file));
     }
     if (out.m_json) {
         out.m_out(json::serialize(
@@ -424,44 +439,46 @@
     return exit_done;
 }
 
-int apply_text(const console& out, const store_calls& store, const apply_options& options,
+int apply_text(const console& out, const store_interface& store, const apply_options& options,
                wall_time now) {
     const auto text = read_file(options.m_file);
     if (!text) {
         return report_unreadable(out, options.m_file);
     }
-    const auto from = options.m_from ? options.m_from : read_revision(options.m_file);
+    const auto from =
+        options.m_from_revision ? options.m_from_revision : read_revision(options.m_file);
     if (!from) {
         return report_failure(out, exit_usage, "usage",
                               fmt::format("{}: no --from and no revision in {}; fetch the text "
                                           "first, or use --from 0 for the first one",
                                           options.m_file, revision_file(options.m_file)));
     }
-    current_state current;
-    if (const auto failure = read_current(store, current)) {
+    accepted_config current;
+    if (const auto failure = read_accepted_config(store, current)) {
         return report_store_failure(out, *failure);
     }
-    const std::string submitted = attribute(*text, options.m_by, now, *from);
+    const std::string submitted = add_attribution(*text, options.m_author, now, *from);
     std::vector<text_fault> faults;
     const auto parsed =
         parse_mesh(submitted, now, current.m_mesh ? &*current.m_mesh : nullptr, faults);
     if (!parsed) {
         return report_faults(out, options.m_file, faults);
     }
-    // Read before the text is written: a slower operator's difference doesn't replace a later
-    // one's.
-    const store_reply old_delta = store.m_get(text_delta_key_name);
-    const write_result result = write_if_unchanged(store, text_key_name, submitted, *from);
+    // The delta's revision is read before the text is written, so that a slow operator's delta
+    // doesn't replace the delta of a later text.
+    const store_reply old_delta = store.m_get(text_delta_key);
+    const write_result result = write_if_unchanged(store, text_key, submitted, *from);
     switch (result.m_kind) {
     case write_result::kind::written:
         break;
-    case write_result::kind::lost:
-        return report_lost(out, options, *from, result, *parsed);
+    case write_result::kind::lost_race:
+        return report_lost_race(out, options, *from, result, *parsed);
     case write_result::kind::too_large:
-        return report_failure(out, exit_refused, "refused", "the store refused the text's size");
+        return report_failure(out, exit_refused, "refused",
+                              "the store refused the text because it is too large");
     case write_result::kind::unreachable:
         return report_failure(out, exit_unreachable, "unreachable",
-                              fmt::format("store: nothing was written ({})", result.m_text));
+                              fmt::format("store: the text was not written ({})", result.m_text));
     case write_result::kind::unknown:
         return report_failure(out, exit_unreachable, "unknown",
                               fmt::format("store: the answer to the write was lost and the text "
@@ -469,12 +486,12 @@
                                           result.m_text));
     }
     submit_delta(store, current, submitted, result.m_revision, old_delta.m_revision);
-    // The next edit of the same file starts from what was just written.
+    // The next edit of the same file is based on the revision that was just written.
     if (!write_file(revision_file(options.m_file), fmt::format("{}\n", result.m_revision))) {
-        out.m_err(fmt::format("{}: can't be written", revision_file(options.m_file)));
+        out.m_err(fmt::format("{}: the file can't be written", revision_file(options.m_file)));
     }
-    report_step(out, "submitted", 0,
-                fmt::format("{}: submitted as revision {}", options.m_file, result.m_revision));
+    report_progress(out, "submitted", 0,
+                    fmt::format("{}: submitted as revision {}", options.m_file, result.m_revision));
     return options.m_wait ? wait_for_verdict(out, store, options, result.m_revision) : exit_done;
 }
 
--- a/src/node/config_sync.cpp
+++ b/src/node/config_sync.cpp
@@ -67,10 +67,11 @@
         bool was_taken_out = false;
         if (before != nullptr) {
             const auto old_spec = before->m_data_centres.find(name);
-            was_taken_out = old_spec != before->m_data_centres.end() && old_spec->second.m_out;
+            was_taken_out =
+                old_spec != before->m_data_centres.end() && old_spec->second.m_out_of_service;
         }
-        if (spec.m_out != was_taken_out) {
-            log_event(log_level::info, spec.m_out ? "data_centre_out" : "data_centre_in",
+        if (spec.m_out_of_service != was_taken_out) {
+            log_event(log_level::info, spec.m_out_of_service ? "data_centre_out" : "data_centre_in",
                       {{"of", name}, {"version", version}});
         }
     }
@@ -99,7 +100,7 @@
     state.m_parsed_configs.erase(state.m_parsed_configs.begin(), std::next(parsed));
     std::uint64_t previous_version = state.m_members.m_self.m_config_version;
     state.m_members.m_self.m_config_version = version;
-    log_config_version(version);
+    set_log_config_version(version);
     log_event(log_level::info, "config_applied",
               {{"version", version}, {"previous", previous_version}});
     log_data_centre_changes(before.get(), *state.m_mesh, version);
@@ -113,15 +114,15 @@
     }
 }
 
-// Requests a text newer than `current_version` from an instance.
-void fetch_version(control& state, const std::string& instance, std::uint64_t current_version) {
+// Requests from an instance a text newer than `have_version`, the highest version that this node
+// holds.
+void fetch_newer_text(control& state, const std::string& instance, std::uint64_t have_version) {
     const auto holder = state.m_members.m_members.find(instance);
     if (holder == state.m_members.m_members.end()) {
         perform(state, decide_fetch_failed(state));
         return;
     }
-    const fetch_config_request request{state.m_settings.m_instance, current_version,
-                                       current_version + 1};
+    const fetch_config_request request{state.m_settings.m_instance, have_version, have_version + 1};
     send_bulk(state, holder->second.m_member.m_bulk, request,
               [&state, instance](const std::optional<bulk_reply>& reply) {
                   const auto* fetched = reply ? std::get_if<fetch_config_reply>(&*reply) : nullptr;
@@ -139,7 +140,7 @@
     for (const distribution_action& action : actions) {
         switch (action.m_kind) {
         case distribution_action::kind::fetch:
-            fetch_version(state, action.m_instance, action.m_version);
+            fetch_newer_text(state, action.m_instance, action.m_version);
             break;
         case distribution_action::kind::parse:
             parse_version(state, action.m_version);
@@ -167,8 +168,8 @@
     perform(state, decide_version_announced(state, instance, version));
 }
 
-std::optional<packed_text> pack_text_for(control& state, std::uint64_t have_version,
-                                         std::uint64_t want_version) {
+std::optional<packed_text> pack_latest_text(control& state, std::uint64_t have_version,
+                                            std::uint64_t want_version) {
     const auto& texts = state.m_distribution.m_texts;
     if (texts.empty()) {
         return std::nullopt;
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -17,10 +17,10 @@
     const std::vector<std::uint64_t> own = member_bucket_hashes(state.m_members);
     for (std::uint32_t i = 0; i < own.size() && i < request.m_bucket_hashes.size(); ++i) {
         if (own[i] != request.m_bucket_hashes[i]) {
-            reply.m_differing.push_back(i);
+            reply.m_differing_buckets.push_back(i);
         }
     }
-    reply.m_members = members_in_buckets(state.m_members, reply.m_differing);
+    reply.m_members = members_in_buckets(state.m_members, reply.m_differing_buckets);
     return reply;
 }
 
@@ -34,7 +34,7 @@
     bulk_reply operator()(const fetch_config_request& request) const {
         handle_peer_version(m_state, request.m_instance, request.m_have_version);
         return fetch_config_reply{
-            pack_text_for(m_state, request.m_have_version, request.m_want_version)};
+            pack_latest_text(m_state, request.m_have_version, request.m_want_version)};
     }
     bulk_reply operator()(const facts_message& request) const {
         facts_message reply = collect_facts(m_state);
@@ -46,15 +46,15 @@
     }
     bulk_reply operator()(const merge_members_request& request) const {
         perform(m_state, membership_merge(m_state.m_members, request.m_members, m_state.now()));
-        return done_reply{};
+        return ack_reply{};
     }
     bulk_reply operator()(const evidence_report& request) const {
         receive_evidence(m_state, request);
         return m_state.m_move.m_old_version_sum;
     }
     bulk_reply operator()(const in_force_request& request) const {
-        receive_in_force(m_state, request);
-        return done_reply{};
+        receive_in_force_summary(m_state, request);
+        return ack_reply{};
     }
 };
 
@@ -80,8 +80,8 @@
 void send_packet(control& state, const membership_action& action) {
     const std::string bytes = encode_packet(action.m_packet);
     const bool rumour = action.m_packet.m_kind == packet_kind::rumour;
-    state.m_metrics->bytes().add(rumour ? byte_purpose::rumour : byte_purpose::probe,
-                                 scope_of(state, action.m_to), bytes.size());
+    state.m_metrics->moved_bytes().add(rumour ? byte_purpose::rumour : byte_purpose::probe,
+                                       scope_of(state, action.m_to), bytes.size());
     state.m_udp->send(action.m_to, bytes);
 }
 
@@ -123,10 +123,10 @@
                                          member_bucket_hashes(state.m_members)};
     send_bulk(state, to, request, [&state, to](const std::optional<bulk_reply>& reply) {
         const auto* digest = reply ? std::get_if<members_digest_reply>(&*reply) : nullptr;
-        if (digest == nullptr || digest->m_differing.empty()) {
+        if (digest == nullptr || digest->m_differing_buckets.empty()) {
             return;
         }
-        merge_members_request own{members_in_buckets(state.m_members, digest->m_differing)};
+        merge_members_request own{members_in_buckets(state.m_members, digest->m_differing_buckets)};
         perform(state, membership_merge(state.m_members, digest->m_members, state.now()));
         send_bulk(state, to, own, [](const std::optional<bulk_reply>&) {});
     });
@@ -178,8 +178,8 @@
         return encode_reply(reason.m_kind);
     }
     std::string reply = encode_reply(std::visit(bulk_request_handler{state}, *decoded));
-    state.m_metrics->bytes().add(std::visit(purpose_of{}, *decoded), byte_scope::served,
-                                 request.size() + reply.size());
+    state.m_metrics->moved_bytes().add(std::visit(purpose_of{}, *decoded), byte_scope::served,
+                                       request.size() + reply.size());
     return reply;
 }
 
@@ -188,11 +188,11 @@
     const byte_purpose purpose = std::visit(purpose_of{}, request);
     const byte_scope scope = scope_of(state, to);
     const std::string encoded = encode_request(request);
-    state.m_metrics->bytes().add(purpose, scope, encoded.size());
+    state.m_metrics->moved_bytes().add(purpose, scope, encoded.size());
     state.m_bulk->request(
         to, encoded, state.m_settings.m_fetch_timeout,
         [&state, purpose, scope, done = std::move(done)](error_kind kind, std::string_view bytes) {
-            state.m_metrics->bytes().add(purpose, scope, bytes.size());
+            state.m_metrics->moved_bytes().add(purpose, scope, bytes.size());
             error reason;
             done(kind == error_kind::none ? decode_reply(bytes, reason) : std::nullopt);
         });
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -22,7 +22,8 @@
 // new work, so that its leave spreads and calls sent before the senders learnt of it are answered.
 constexpr milliseconds min_drain_time{1'000};
 constexpr milliseconds refusal_time{300};
-// A second reader keeps watching until the lease of a dead one expires.
+// If one reader dies, the other still watches the store, so that no change is missed until the dead
+// reader's lease has expired and another node has taken it over.
 constexpr int readers_per_data_centre = 2;
 constexpr milliseconds gauge_interval{1'000};
 // Interval of the log lines with the byte and store call counts. They are written while the process
@@ -181,19 +182,20 @@
     }
 
 private:
-    // Returns the operation and the category of its key, as the label in the store_calls log line.
+    // Returns the operation and the category of its key, as the label in the store_interface log
+    // line.
     std::string store_call_label(const store_command& command) const {
         const auto category = [this, &command]() -> std::string_view {
             const adapter& platform_adapter = m_state.m_adapter;
             if (command.m_key.starts_with(entry_point_prefix)) {
                 return "entry_points";
             }
-            if (!platform_adapter.m_operator_prefix.empty() &&
-                command.m_key.starts_with(platform_adapter.m_operator_prefix)) {
+            if (!platform_adapter.m_operator_key_prefix.empty() &&
+                command.m_key.starts_with(platform_adapter.m_operator_key_prefix)) {
                 return "operator_items";
             }
-            if (!platform_adapter.m_move_prefix.empty() &&
-                command.m_key.starts_with(platform_adapter.m_move_prefix)) {
+            if (!platform_adapter.m_move_key_prefix.empty() &&
+                command.m_key.starts_with(platform_adapter.m_move_key_prefix)) {
                 return "moves";
             }
             return "other";
@@ -213,7 +215,7 @@
 
     void open_store() {
         m_state.m_store = store_client::create(
-            m_context, m_state.m_settings.m_store, m_state.m_adapter.m_store,
+            m_context, m_state.m_settings.m_store, m_state.m_adapter.m_store_codec,
             m_state.m_settings.m_store_timeout,
             [this](const store_command& command, error_kind result, std::uint64_t sent,
                    std::uint64_t received) {
@@ -245,14 +247,14 @@
             [&metrics](std::uint64_t sent, std::uint64_t received) {
                 metrics.count_control_bytes("bulk", sent, received);
             },
-            reason, m_state.m_settings.m_source);
+            reason, m_state.m_settings.m_source_address);
         return m_state.m_bulk != nullptr;
     }
 
     bool open_traffic(error& reason) {
         refresh_snapshot(m_state);
         traffic_hooks hooks;
-        hooks.m_version_heard = [this](const std::string& instance, std::uint64_t version) {
+        hooks.m_newer_version_seen = [this](const std::string& instance, std::uint64_t version) {
             boost::asio::post(m_context, [this, instance, version] {
                 handle_peer_version(m_state, instance, version);
             });
@@ -299,7 +301,7 @@
         m_state.m_next_gauges = now + gauge_interval;
         if (now >= m_state.m_next_byte_log) {
             m_state.m_next_byte_log = now + byte_log_interval;
-            log_bytes(m_state.m_metrics->bytes());
+            log_byte_counters(m_state.m_metrics->moved_bytes());
             log_store_calls();
         }
         std::map<member_state, std::uint64_t> counts;
@@ -334,12 +336,12 @@
             release_leases(m_state);
             return false;
         }
-        log_bytes(m_state.m_metrics->bytes());
+        log_byte_counters(m_state.m_metrics->moved_bytes());
         log_store_calls();
         log_event(log_level::info, "drained",
                   {{"calls_cut", static_cast<std::uint64_t>(calls_left)}});
         flush_recording();
-        batch_log(false);
+        set_log_batching(false);
         flush_log();
         m_context.stop();
         return true;
@@ -361,8 +363,8 @@
 std::unique_ptr<node> node::start(boost::asio::io_context& context, const node_settings& settings,
                                   adapter platform_adapter, const clock_source& clock,
                                   error& reason) {
-    log_identity(settings.m_instance, settings.m_data_centre, log_level::info);
-    batch_log(settings.m_flush_interval.count() > 0);
+    set_log_identity(settings.m_instance, settings.m_data_centre, log_level::info);
+    set_log_batching(settings.m_flush_interval.count() > 0);
     begin_recording(settings, clock.now());
     auto implementation =
         std::make_unique<impl>(context, settings, std::move(platform_adapter), clock);
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -22,10 +22,10 @@
 // call in step.
 constexpr milliseconds retry_pause{100};
 constexpr milliseconds max_retry_pause{800};
-// How often a node determines again whether it watches the store.
+// How often a node determines again whether it must watch the store.
 constexpr milliseconds candidate_interval{500};
-// The same until a configuration is in force: after a power loss of the whole fleet no node has
-// one, and every caller waits for the first watchers.
+// Replaces candidate_interval until a configuration is in force: after a power loss of the whole
+// fleet no node has one, and every caller waits for the first watchers.
 constexpr milliseconds first_candidate_interval{100};
 // Consecutive failed calls after which a watcher announces that it can't reach the store, so that
 // the next candidates start to watch.
@@ -58,7 +58,7 @@
     if (store_reached != watch.m_store_reachable) {
         watch.m_store_reachable = store_reached;
         log_event(log_level::info, store_reached ? "store_regained" : "store_lost",
-                  {{"reason", answer_for(reply.m_kind).m_name}, {"text", reply.m_text}});
+                  {{"reason", error_info_for(reply.m_kind).m_name}, {"text", reply.m_text}});
     }
 }
 
@@ -103,7 +103,7 @@
 void list_items(control& state) {
     operator_watch& watch = state.m_operator;
     watch.m_call_pending = true;
-    state.m_store->list(state.m_adapter.m_operator_prefix, [&state](const store_reply& reply) {
+    state.m_store->list(state.m_adapter.m_operator_key_prefix, [&state](const store_reply& reply) {
         operator_watch& current_watch = state.m_operator;
         current_watch.m_call_pending = false;
         update_store_access(state, reply);
@@ -151,8 +151,8 @@
             apply_items(state);
         }
     };
-    state.m_store->watch(state.m_adapter.m_operator_prefix, watch.m_watch_revision, watch_timeout,
-                         on_reply);
+    state.m_store->watch(state.m_adapter.m_operator_key_prefix, watch.m_watch_revision,
+                         watch_timeout, on_reply);
 }
 
 // Reads the records of all moves once, so that a node that starts after the end of a move knows the
@@ -160,7 +160,7 @@
 void read_records(control& state) {
     operator_watch& watch = state.m_operator;
     watch.m_records_call_pending = true;
-    state.m_store->list(state.m_adapter.m_move_prefix, [&state](const store_reply& reply) {
+    state.m_store->list(state.m_adapter.m_move_key_prefix, [&state](const store_reply& reply) {
         operator_watch& current_watch = state.m_operator;
         current_watch.m_records_call_pending = false;
         current_watch.m_records_retry_at = state.now() + store_retry_pause;
@@ -190,9 +190,9 @@
 // small mesh, one read for each node costs the store little.
 constexpr milliseconds max_member_wait{700};
 constexpr milliseconds member_wait_per_entry{15};
-// The same if the store listed hardly any entry points at the first read: all other nodes are
-// starting too, and few of them need to read.
-constexpr milliseconds first_start_member_wait{1'500};
+// Replaces max_member_wait if the store listed hardly any entry points at the first read, as at the
+// first start of the whole mesh: all other nodes are starting too, and few of them need to read.
+constexpr milliseconds mesh_first_start_member_wait{1'500};
 
 // Returns how long a starting node waits for members to supply the configuration before it reads
 // the store itself.
@@ -200,7 +200,7 @@
     const auto entry_point_count = static_cast<std::int64_t>(state.m_join.m_entry_points.size());
     const bool store_listed = state.m_join.m_entry_points_listed_at != time_point{};
     if (store_listed && state.m_join.m_mesh_first_start) {
-        return first_start_member_wait;
+        return mesh_first_start_member_wait;
     }
     return store_listed ? std::min(max_member_wait, entry_point_count * member_wait_per_entry)
                         : max_member_wait;
@@ -210,8 +210,8 @@
 // the store.
 constexpr milliseconds max_behind_time{400};
 
-// A node that finds no member within this time after its start watches the store itself.
-constexpr milliseconds max_alone_time{1'500};
+// A node that has found no other member this long after its start watches the store itself.
+constexpr milliseconds max_discovery_time{1'500};
 
 // Determines whether this node watches the store: it is among the first candidates of its data
 // centre, or among the first of those that reach the store.
@@ -232,7 +232,7 @@
     };
     // A node that knows no other member yet would rank itself first in its data centre.
     const bool membership_known =
-        state.m_join.m_complete || now >= watch.m_start_at + max_alone_time;
+        state.m_join.m_complete || now >= watch.m_start_at + max_discovery_time;
     const std::size_t watchers = watchers_per_data_centre(state.m_members.m_groups.size());
     const bool candidate =
         membership_known &&
--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -8,7 +8,7 @@
 bool accepts_work(const mesh& config, std::string_view data_centre) {
     const auto found = config.m_data_centres.find(data_centre);
     return found == config.m_data_centres.end() ? !config.m_lists_data_centres
-                                                : !found->second.m_out;
+                                                : !found->second.m_out_of_service;
 }
 
 // Returns the counters of an instance, which are created on first use.
@@ -27,7 +27,7 @@
     view.m_version = added.m_version;
     view.m_data_centre = added.m_data_centre;
     view.m_traffic = added.m_traffic;
-    view.m_own = added.m_instance == self.m_instance;
+    view.m_is_own = added.m_instance == self.m_instance;
     view.m_own_data_centre = added.m_data_centre == self.m_data_centre;
     view.m_counters = find_or_add_counters(counters, added.m_instance);
     return view;
@@ -139,7 +139,7 @@
     snapshot->m_ready = input.m_ready && input.m_mesh != nullptr;
     snapshot->m_draining = input.m_draining;
     snapshot->m_mesh = input.m_mesh;
-    snapshot->m_own = input.m_own;
+    snapshot->m_own_server = input.m_own;
     if (!input.m_mesh) {
         snapshot->m_own_refusal = error_kind::node_not_ready;
         return snapshot;
--- a/src/traffic/backend_side.cpp
+++ b/src/traffic/backend_side.cpp
@@ -12,19 +12,21 @@
 
 namespace asio = boost::asio;
 
-// Attempts to claim a key that another node had and withdrew.
+// Maximum number of attempts to claim a key. The second one is made when another node held the key
+// and has withdrawn its claim.
 constexpr int max_claim_rounds = 2;
 
-// How one attempt at the own backend server ended.
+// Result of one attempt at the own backend server.
 struct server_result {
     std::optional<http_response> m_answer;
     error m_reason;
     bool m_sent = false;
-    bool m_replayed = false; // the answer of an earlier attempt with the same key
-    duration m_room_after{}; // a refusal for want of room: until there may be some
+    bool m_replayed = false;  // the response is from an earlier attempt with the same key
+    duration m_retry_after{}; // if refused for overload: estimated time until there is capacity
 };
 
-// Waits until the own configuration reaches the sender's version, at most the settings' time.
+// Waits until this node's configuration reaches the sender's version, at most for the configured
+// time. Returns the current snapshot, whose version may still be lower.
 std::shared_ptr<const routing_snapshot> wait_for_config(traffic_context& context,
                                                         call_control& control,
                                                         std::uint64_t version,
@@ -39,7 +41,7 @@
     }
     const time_point until =
         std::min(control.deadline(), context.m_clock.now() + context.m_settings.m_behind_wait);
-    // Loaded again after the call was added, so that no change in between is missed.
+    // Load again after the call was added, so that a change in between is not missed.
     snapshot = context.m_snapshot.load();
     while (snapshot->m_config_version < version && !control.is_ended() &&
            context.m_clock.now() < until) {
@@ -50,9 +52,10 @@
     return snapshot;
 }
 
-// Reasons of this node to refuse a call before admission.
-std::optional<error> refusal_of(const traffic_context& context, const call_info& info,
-                                const routing_snapshot& snapshot, std::uint64_t sender_version) {
+// Returns the reason to refuse a call before admission, or nothing if it may continue.
+std::optional<error> refusal_before_admission(const traffic_context& context, const call_info& info,
+                                              const routing_snapshot& snapshot,
+                                              std::uint64_t sender_version) {
     if (info.m_hop > max_hops) {
         return error{error_kind::hop_limit, "the chain of calls is too deep"};
     }
@@ -68,11 +71,11 @@
     if (snapshot.m_config_version < sender_version) {
         return error{error_kind::config_behind, "the sender has a newer configuration"};
     }
-    // An instance may have been replaced by another one at the same address.
-    if (info.m_service != snapshot.m_own.m_service) {
+    // Another instance may have replaced the expected one at the same address.
+    if (info.m_service != snapshot.m_own_server.m_service) {
         return error{error_kind::version_not_served, "another service runs here"};
     }
-    if (info.m_version != snapshot.m_own.m_version) {
+    if (info.m_version != snapshot.m_own_server.m_version) {
         return error{error_kind::version_not_served, "another version runs here"};
     }
     if (snapshot.m_own_refusal != error_kind::none) {
@@ -81,16 +84,18 @@
     return std::nullopt;
 }
 
-// True when the answer names another request than the one sent, as a server that mixes up its
-// answers would do.
+// Returns true if the response carries the number of another request, as from a server that mixes
+// up its responses.
 bool is_mismatched(const traffic_context& context, const http_response& answer,
                    const call_info& info) {
-    const std::string_view number = header_of(answer, context.m_settings.m_edge.m_request_number);
+    const std::string_view number =
+        header_value(answer, context.m_settings.m_edge_headers.m_request_number);
     return !number.empty() && !info.m_request_number.empty() && number != info.m_request_number;
 }
 
-// Writes the line from which the auditor counts runs, directly before the first byte is sent.
-void log_start(const call_info& info, std::string_view version) {
+// Logs the start of a run, directly before the first byte is sent. The auditor counts runs by this
+// line.
+void log_call_start(const call_info& info, std::string_view version) {
     log_event(log_level::info, "backend_call_started",
               {{"request", info.m_request_number},
                {"key", info.m_key},
@@ -100,32 +105,33 @@
                {"idempotent", info.m_idempotent}});
 }
 
-// Prepares the request's headers for the own backend server. It keeps the time of the first try, so
-// that the server can pass it on with the keys of its onward calls: without it no registrar that
-// started within the retention time grants them.
+// Rewrites the request's headers for the own backend server. The time of the first attempt is kept,
+// so that the server can pass it on with the keys of its onward calls: without it, no registrar
+// that started within the retention time grants a claim for them.
 void rewrite_for_server(const traffic_context& context, const call_info& info,
                         const trace_context& trace, http_request& request) {
-    const edge_headers& edge = context.m_settings.m_edge;
-    const own_server_view& own = context.m_snapshot.load()->m_own;
-    if (!edge.m_expected_server.empty() && !own.m_server.empty()) {
-        set_header(request, edge.m_expected_server, own.m_server);
+    const edge_headers& edge = context.m_settings.m_edge_headers;
+    const own_server_view& own_server = context.m_snapshot.load()->m_own_server;
+    if (!edge.m_expected_server.empty() && !own_server.m_server.empty()) {
+        set_header(request, edge.m_expected_server, own_server.m_server);
     }
-    strip_internal(request, std::array{header::first_sent});
+    strip_internal_headers(request, std::array{header::first_sent});
     set_header(request, header::traceparent, format_traceparent(trace));
-    set_number(request, header::hop, info.m_hop);
+    set_numeric_header(request, header::hop, info.m_hop);
 }
 
-// Statuses with which a server can say that it did not run the request.
+// Statuses with which a server can state that it did not run the request.
 constexpr std::array<unsigned, 4> not_run_statuses{400, 421, 429, 503};
 constexpr unsigned misdirected_status = 421;
 
-// Turns an answer that states that the request did not run into a refusal, and one that the server
-// can't have made into a cut connection.
-void judge_answer(const traffic_context& context, connection& used, server_result& result) {
-    const edge_headers& edge = context.m_settings.m_edge;
+// Turns a response that states that the request did not run into a refusal, and a response that
+// cannot come from the server into a cut connection.
+void classify_answer(const traffic_context& context, connection& open_connection,
+                     server_result& result) {
+    const edge_headers& edge = context.m_settings.m_edge_headers;
     const unsigned status = result.m_answer->result_int();
-    const bool may_refuse = std::find(not_run_statuses.begin(), not_run_statuses.end(), status) !=
-                            not_run_statuses.end();
+    const bool may_mean_not_run = std::find(not_run_statuses.begin(), not_run_statuses.end(),
+                                            status) != not_run_statuses.end();
     if (status == misdirected_status && !edge.m_expected_server.empty()) {
         result.m_answer.reset();
         result.m_sent = false;
@@ -133,52 +139,54 @@
              "another backend server has the address");
         return;
     }
-    if (may_refuse && !header_of(*result.m_answer, edge.m_not_run).empty()) {
+    if (may_mean_not_run && !header_value(*result.m_answer, edge.m_not_run).empty()) {
         result.m_answer.reset();
         result.m_sent = false;
         fail(result.m_reason, error_kind::backend_shed, "the backend server is overloaded");
         return;
     }
-    if (!edge.m_server_seal.empty() && header_of(*result.m_answer, edge.m_server_seal).empty()) {
-        used.m_reusable = false;
+    if (!edge.m_server_marker.empty() &&
+        header_value(*result.m_answer, edge.m_server_marker).empty()) {
+        open_connection.m_reusable = false;
         result.m_answer.reset();
         fail(result.m_reason, error_kind::connection_cut, "the answer lacks the server's seal");
     }
 }
 
-// Sends the request over an open connection and classifies the end.
+// Sends the request over an open connection and classifies the result.
 server_result call_server(traffic_context& context, call_control& control, const call_info& info,
-                          connection& used, http_request& request, asio::yield_context yield) {
+                          connection& open_connection, http_request& request,
+                          asio::yield_context yield) {
     server_result result;
-    const std::uint64_t left = ms_left(control.deadline(), context.m_clock.now());
-    if (control.is_ended() || left == 0) {
+    const std::uint64_t left_ms = ms_left(control.deadline(), context.m_clock.now());
+    if (control.is_ended() || left_ms == 0) {
         fail(result.m_reason,
-             control.is_ended() ? control.ended_kind(false) : error_kind::deadline_before_send,
+             control.is_ended() ? control.end_reason(false) : error_kind::deadline_before_send,
              "the call ended before it was sent");
         return result;
     }
-    set_number(request, context.m_settings.m_edge.m_deadline_ms, left);
-    log_start(info, info.m_version);
+    set_numeric_header(request, context.m_settings.m_edge_headers.m_deadline_ms, left_ms);
+    log_call_start(info, info.m_version);
     result.m_sent = true;
-    const auto belongs = [&context, &info](const http_response& answer) {
+    const auto matches_request = [&context, &info](const http_response& answer) {
         return !is_mismatched(context, answer, info);
     };
-    result.m_answer =
-        exchange(control, used, request, context.limits(), belongs, yield, result.m_reason);
+    result.m_answer = exchange(control, open_connection, request, context.limits(), matches_request,
+                               yield, result.m_reason);
     if (result.m_answer) {
-        judge_answer(context, used, result);
+        classify_answer(context, open_connection, result);
     }
     return result;
 }
 
-// True for ends that speak against the backend server.
+// Returns true if the reason counts as a failure of the backend server.
 bool is_server_failure(error_kind reason) {
     return reason == error_kind::connect_failed || reason == error_kind::connection_cut ||
            reason == error_kind::answer_truncated || reason == error_kind::answer_too_large ||
            reason == error_kind::deadline_after_send;
 }
 
-// Adds a call that reached the server to the evidence of its version.
+// Adds a call that reached the server to the evidence for its version.
 void add_evidence(traffic_context& context, const call_info& info, bool failed, duration latency,
                   bool cold) {
     const std::lock_guard lock(context.m_evidence_mutex);
@@ -189,14 +197,16 @@
     count_call(found->second, failed, latency, cold);
 }
 
-// Tells admission (by its sample) and the evidence how a call ended that a connection was open for.
-void report_end(traffic_context& context, const call_info& info, const routing_snapshot& snapshot,
-                const server_result& result, duration latency, bool cold, call_sample& sample) {
+// Fills in the admission sample of a call that had an open connection, and adds the call to the
+// evidence if it reached the server.
+void record_call_result(traffic_context& context, const call_info& info,
+                        const routing_snapshot& snapshot, const server_result& result,
+                        duration latency, bool cold, call_sample& sample) {
     const error_kind reason = result.m_reason.m_kind;
     const auto service = snapshot.m_services.find(info.m_service);
-    const milliseconds limit = service == snapshot.m_services.end()
-                                   ? milliseconds(0)
-                                   : service->second.m_spec.m_latency_limit;
+    const milliseconds latency_limit = service == snapshot.m_services.end()
+                                           ? milliseconds(0)
+                                           : service->second.m_spec.m_latency_limit;
     const bool server_error = result.m_answer && result.m_answer->result_int() >= 500;
     const bool failed = server_error || is_server_failure(reason);
     sample.m_route = info.m_route;
@@ -206,102 +216,105 @@
     sample.m_shed = reason == error_kind::backend_shed;
     sample.m_cancelled = !sample.m_failed && !sample.m_shed && !result.m_answer;
     if (result.m_sent && (result.m_answer || failed)) {
-        add_evidence(context, info, failed || (limit.count() > 0 && latency > limit), latency,
+        add_evidence(context, info,
+                     failed || (latency_limit.count() > 0 && latency > latency_limit), latency,
                      cold);
     }
 }
 
-// What has changed at the own server since the call arrived, while it waited for a slot: a call is
-// not sent to a server that leaves, nor to another one than it was meant for.
-std::optional<error> late_refusal(const traffic_context& context,
-                                  const routing_snapshot& at_arrival) {
+// Returns the reason to refuse a call because the own server changed while the call waited for a
+// slot, or nothing. A call must not be sent to a server that is leaving, nor to another server than
+// the one it was meant for.
+std::optional<error> refusal_before_send(const traffic_context& context,
+                                         const routing_snapshot& at_arrival) {
     const auto current = context.m_snapshot.load();
     if (current->m_own_refusal != error_kind::none &&
         current->m_own_refusal != error_kind::draining) {
         return error{current->m_own_refusal, "the backend server takes no new work"};
     }
-    if (current->m_own.m_refusal != error_kind::none) {
-        return error{current->m_own.m_refusal, "the backend server leaves or is not there"};
+    if (current->m_own_server.m_refusal != error_kind::none) {
+        return error{current->m_own_server.m_refusal, "the backend server leaves or is not there"};
     }
-    if (current->m_own.m_server != at_arrival.m_own.m_server) {
+    if (current->m_own_server.m_server != at_arrival.m_own_server.m_server) {
         return error{error_kind::version_not_served, "the backend server was replaced"};
     }
     return std::nullopt;
 }
 
-// Runs an admitted call: connects, claims its key if it has one, and sends.
+// Runs an admitted call: connects, claims the idempotency key if there is one, and sends the
+// request.
 server_result run_admitted(traffic_context& context, call_control& control, const call_info& info,
                            const routing_snapshot& snapshot, bool cold, admission_slot& slot,
                            key_claim* key, http_request& request, asio::yield_context yield) {
     server_result result;
-    auto used = context.m_own_server.open(control, context.m_settings.m_backend_server, yield,
-                                          result.m_reason);
-    if (!used) {
+    auto open_connection = context.m_server_pool.open(control, context.m_settings.m_backend_server,
+                                                      yield, result.m_reason);
+    if (!open_connection) {
         slot.m_sample.m_failed = result.m_reason.m_kind == error_kind::connect_failed;
         if (slot.m_sample.m_failed && context.m_hooks.m_server_unreachable) {
-            context.m_hooks.m_server_unreachable(snapshot.m_own.m_server);
+            context.m_hooks.m_server_unreachable(snapshot.m_own_server.m_server);
         }
         slot.m_sample.m_cancelled = !slot.m_sample.m_failed;
         return result;
     }
     if (key != nullptr) {
         if (!key->claim(yield, result.m_reason)) {
-            context.m_own_server.give_back(std::move(used));
+            context.m_server_pool.return_connection(std::move(open_connection));
             return result;
         }
-        // The server may have closed the connection meanwhile.
-        if (is_readable_or_closed(used->m_socket)) {
-            used = context.m_own_server.open(control, context.m_settings.m_backend_server, yield,
-                                             result.m_reason);
-            if (!used) {
+        // The server may have closed the connection during the claim.
+        if (is_readable_or_closed(open_connection->m_socket)) {
+            open_connection = context.m_server_pool.open(
+                control, context.m_settings.m_backend_server, yield, result.m_reason);
+            if (!open_connection) {
                 return result;
             }
         }
     }
-    if (auto refused = late_refusal(context, snapshot)) {
-        context.m_own_server.give_back(std::move(used));
+    if (auto refused = refusal_before_send(context, snapshot)) {
+        context.m_server_pool.return_connection(std::move(open_connection));
         result.m_reason = std::move(*refused);
         return result;
     }
     const time_point sent_at = context.m_clock.now();
-    result = call_server(context, control, info, *used, request, yield);
+    result = call_server(context, control, info, *open_connection, request, yield);
     const duration latency = context.m_clock.now() - sent_at;
-    context.m_own_server.give_back(std::move(used));
-    report_end(context, info, snapshot, result, latency, cold, slot.m_sample);
+    context.m_server_pool.return_connection(std::move(open_connection));
+    record_call_result(context, info, snapshot, result, latency, cold, slot.m_sample);
     return result;
 }
 
-// Turns the end of a call at the own server into the reply of this node.
+// Converts the result of a call at the own server into this node's reply.
 call_reply make_reply(traffic_context& context, server_result result) {
     call_reply reply;
     if (result.m_answer) {
         reply.m_message = std::move(*result.m_answer);
-        strip_hop_by_hop(reply.m_message);
-        strip_internal(reply.m_message, {});
+        strip_hop_by_hop_headers(reply.m_message);
+        strip_internal_headers(reply.m_message, {});
         if (result.m_replayed) {
             set_header(reply.m_message, header::replayed, "1");
         }
         set_header(reply.m_message, header::outcome, outcome_name(outcome::answered));
-        set_header(reply.m_message, header::reason, answer_for(error_kind::none).m_name);
+        set_header(reply.m_message, header::reason, error_info_for(error_kind::none).m_name);
         set_header(reply.m_message, header::instance, context.m_settings.m_instance);
-        set_number(reply.m_message, header::config_version,
-                   context.m_snapshot.load()->m_config_version);
+        set_numeric_header(reply.m_message, header::config_version,
+                           context.m_snapshot.load()->m_config_version);
         reply.m_peer = context.m_settings.m_instance;
         reply.m_sent = !result.m_replayed;
     } else {
         reply = refuse(context, result.m_reason, result.m_sent);
         if (is_overload_refusal(result.m_reason.m_kind)) {
-            set_number(reply.m_message, header::room_after_us,
-                       static_cast<std::uint64_t>(to_us(result.m_room_after)));
+            set_numeric_header(reply.m_message, header::capacity_after_us,
+                               static_cast<std::uint64_t>(to_us(result.m_retry_after)));
         }
     }
-    reply.m_version = context.m_snapshot.load()->m_own.m_version;
+    reply.m_version = context.m_snapshot.load()->m_own_server.m_version;
     set_header(reply.m_message, header::backend_version, reply.m_version);
     const server_quality quality = context.m_gate.quality();
-    set_number(reply.m_message, header::load, quality.m_load_permille);
-    set_number(reply.m_message, header::failures, quality.m_failure_permille);
-    set_number(reply.m_message, header::latency_us,
-               static_cast<std::uint64_t>(to_us(quality.m_latency)));
+    set_numeric_header(reply.m_message, header::load, quality.m_load_permille);
+    set_numeric_header(reply.m_message, header::failures, quality.m_failure_permille);
+    set_numeric_header(reply.m_message, header::latency_us,
+                       static_cast<std::uint64_t>(to_us(quality.m_latency)));
     return reply;
 }
 
@@ -311,19 +324,20 @@
                             asio::yield_context yield) {
     server_result result;
     bool cold = false;
-    const admission_request asked{info.m_urgency, info.m_useful_until, info.m_route};
-    if (!context.m_gate.enter(control, asked, cold, result.m_room_after, yield, result.m_reason)) {
+    const admission_request slot_request{info.m_urgency, info.m_useful_until, info.m_route};
+    if (!context.m_gate.acquire_slot(control, slot_request, cold, result.m_retry_after, yield,
+                                     result.m_reason)) {
         return result;
     }
     admission_slot slot(context.m_gate);
     return run_admitted(context, control, info, snapshot, cold, slot, key, request, yield);
 }
 
-// Runs a call with an idempotency key, or finds the answer of the attempt that has the key. When
-// that attempt turns out to be withdrawn, the key is claimed once more.
-server_result run_keyed(traffic_context& context, call_control& control, const call_info& info,
-                        const routing_snapshot& snapshot, http_request& request,
-                        asio::yield_context yield) {
+// Runs a call with an idempotency key, or returns the response of the attempt that holds the key.
+// If that attempt turns out to be withdrawn, the key is claimed once more.
+server_result run_with_key(traffic_context& context, call_control& control, const call_info& info,
+                           const routing_snapshot& snapshot, http_request& request,
+                           asio::yield_context yield) {
     server_result result;
     if (info.m_key.size() > max_key_bytes) {
         fail(result.m_reason, error_kind::bad_request, "the idempotency key is too long");
@@ -334,51 +348,51 @@
         result = server_result{};
         if (key.reserve(yield, result.m_reason)) {
             result = admit_and_run(context, control, info, snapshot, &key, request, yield);
-            key.settle(result.m_answer, result.m_sent, yield);
+            key.complete(result.m_answer, result.m_sent, yield);
         }
-        const bool free_again = key.must_ask() && key.ask(yield, result.m_reason);
+        const bool claim_withdrawn = key.has_claimant() && key.fetch_result(yield, result.m_reason);
         if (auto replay = key.take_replay()) {
             result.m_answer = std::move(replay);
             result.m_replayed = true;
             result.m_reason = error{};
         }
-        if (!free_again || control.is_ended()) {
+        if (!claim_withdrawn || control.is_ended()) {
             break;
         }
     }
     return result;
 }
 
-// Runs a call if this node may take it under its present configuration.
+// Runs a call if this node accepts it under its current configuration.
 server_result check_and_run(traffic_context& context, call_control& control, const call_info& info,
                             std::uint64_t sender_version, http_request& request,
                             asio::yield_context yield) {
     server_result result;
     const auto snapshot = wait_for_config(context, control, sender_version, yield);
     if (control.is_ended()) {
-        fail(result.m_reason, control.ended_kind(false), "the call ended before it was sent");
+        fail(result.m_reason, control.end_reason(false), "the call ended before it was sent");
         return result;
     }
-    if (const auto refused = refusal_of(context, info, *snapshot, sender_version)) {
+    if (const auto refused = refusal_before_admission(context, info, *snapshot, sender_version)) {
         result.m_reason = *refused;
         return result;
     }
     const auto service = snapshot->m_services.find(info.m_service);
     if (service != snapshot->m_services.end()) {
         context.m_gate.set_limits(snapshot->m_config_version, service->second.m_spec,
-                                  snapshot->m_own);
+                                  snapshot->m_own_server);
     }
     if (info.m_key.empty() || info.m_idempotent) {
         return admit_and_run(context, control, info, *snapshot, nullptr, request, yield);
     }
-    return run_keyed(context, control, info, *snapshot, request, yield);
+    return run_with_key(context, control, info, *snapshot, request, yield);
 }
 
 } // namespace
 
-call_reply run_backend(traffic_context& context, call_control& control, const call_info& info,
-                       std::uint64_t sender_version, http_request& request,
-                       asio::yield_context yield) {
+call_reply run_backend_call(traffic_context& context, call_control& control, const call_info& info,
+                            std::uint64_t sender_version, http_request& request,
+                            asio::yield_context yield) {
     const time_point start = context.m_clock.now();
     const wall_time wall_start = context.m_clock.wall_now();
     trace_context trace = info.m_trace;
@@ -395,34 +409,36 @@
 
 namespace {
 
+// Returns true if the route sends calls to the service, directly or through its split.
 bool leads_to(const route_spec& route, std::string_view service) {
     return route.m_split.empty() ? route.m_service == service
                                  : std::any_of(route.m_split.begin(), route.m_split.end(),
-                                               [service](const route_part& part) {
+                                               [service](const weighted_service& part) {
                                                    return part.m_service == service;
                                                });
 }
 
 } // namespace
 
-call_reply handle_backend(traffic_context& context, call_control& control, http_request& request,
-                          asio::yield_context yield) {
+call_reply handle_backend_call(traffic_context& context, call_control& control,
+                               http_request& request, asio::yield_context yield) {
     const time_point now = context.m_clock.now();
     const auto snapshot = context.m_snapshot.load();
     call_info info;
-    info.m_service = header_of(request, header::service);
-    info.m_version = header_of(request, header::backend_version);
-    info.m_key = header_of(request, header::idempotency_key);
-    info.m_request_number = header_of(request, context.m_settings.m_edge.m_request_number);
-    info.m_first_sent_ms = number_header(request, header::first_sent);
-    info.m_hop = static_cast<std::uint32_t>(
-        std::min<std::uint64_t>(number_header(request, header::hop).value_or(1), max_hops + 1));
-    // The sender's span becomes the parent in run_backend.
-    info.m_trace = continue_trace(header_of(request, header::traceparent), control.random());
+    info.m_service = header_value(request, header::service);
+    info.m_version = header_value(request, header::backend_version);
+    info.m_key = header_value(request, header::idempotency_key);
+    info.m_request_number =
+        header_value(request, context.m_settings.m_edge_headers.m_request_number);
+    info.m_first_sent_ms = numeric_header_value(request, header::first_sent);
+    info.m_hop = static_cast<std::uint32_t>(std::min<std::uint64_t>(
+        numeric_header_value(request, header::hop).value_or(1), max_hops + 1));
+    // The sender's span becomes the parent in run_backend_call.
+    info.m_trace = continue_trace(header_value(request, header::traceparent), control.random());
     info.m_trace.m_span = info.m_trace.m_parent;
 
-    // The route may differ between the sender's configuration and the own one. Without a route of
-    // the named service, the call is taken as the most careful kind.
+    // The sender's route may differ from this node's. Without a route to the named service, the
+    // call gets the safest defaults: not idempotent, normal urgency and a timeout of one second.
     milliseconds timeout{1'000};
     if (snapshot->m_mesh) {
         const route_spec* route = match_route(
@@ -435,17 +451,18 @@
             timeout = route->m_timeout;
         }
     }
-    // 0 says that the answer is late already, which differs from not knowing.
-    if (const auto useful = time_left(request, header::useful_ms)) {
-        info.m_useful_until = now + *useful;
-    }
-    const milliseconds allowed = time_left(request).value_or(timeout);
-    const std::uint64_t sender_version = number_header(request, header::config_version).value_or(0);
-    context.note_version(header_of(request, header::instance), sender_version,
-                         snapshot->m_config_version);
-    strip_hop_by_hop(request);
-    control.begin_call(now + allowed);
-    return run_backend(context, control, info, sender_version, request, yield);
+    // A value of 0 means that the response is already late; an absent header means unknown.
+    if (const auto useful_left = remaining_time(request, header::useful_ms)) {
+        info.m_useful_until = now + *useful_left;
+    }
+    const milliseconds time_allowed = remaining_time(request).value_or(timeout);
+    const std::uint64_t sender_version =
+        numeric_header_value(request, header::config_version).value_or(0);
+    context.report_newer_version(header_value(request, header::instance), sender_version,
+                                 snapshot->m_config_version);
+    strip_hop_by_hop_headers(request);
+    control.begin_call(now + time_allowed);
+    return run_backend_call(context, control, info, sender_version, request, yield);
 }
 
 } // namespace caraway
--- a/src/traffic/traffic_context.cpp
+++ b/src/traffic/traffic_context.cpp
@@ -7,15 +7,16 @@
 namespace caraway {
 namespace {
 
-// Idle connections to one node. At the planned 70 calls/s and some 20 ms each, a node rarely has
-// more than a few calls outstanding with one other.
+// Maximum number of idle connections to one other node. At the planned 70 calls/s of about 20 ms
+// each, a node rarely has more than a few calls to one other node in progress.
 constexpr std::size_t max_idle_per_peer = 64;
-// Idle connections to the own backend server are bounded by its service's connections, of which
-// this is the highest sensible number.
+// Maximum number of idle connections to the own backend server. They are also bounded by its
+// service's connection limit, of which this is the highest sensible value.
 constexpr std::size_t max_idle_own_server = 1'024;
-// Other nodes keep idle connections for 75 s.
+// Shorter than the 75 s for which other nodes keep idle connections.
 constexpr milliseconds max_idle_time_peers{30'000};
-// Backend servers that state no idle time rarely close a connection sooner than after some seconds.
+// Backend servers that state no idle timeout rarely close an idle connection within the first few
+// seconds.
 constexpr milliseconds max_idle_time_own_server{4'000};
 
 } // namespace
@@ -25,15 +26,15 @@
                                  traffic_hooks hooks, boost::asio::io_context& io)
     : m_settings(settings), m_clock(clock), m_snapshot(snapshot), m_metrics(metrics),
       m_hooks(std::move(hooks)), m_io(io),
-      m_peers(io, clock, max_idle_per_peer, settings.m_max_connections, max_idle_time_peers,
-              settings.m_source),
-      m_own_server(io, clock, max_idle_own_server, max_idle_own_server, max_idle_time_own_server),
+      m_peer_pool(io, clock, max_idle_per_peer, settings.m_max_connections, max_idle_time_peers,
+                  settings.m_source_address),
+      m_server_pool(io, clock, max_idle_own_server, max_idle_own_server, max_idle_time_own_server),
       m_gate(io, clock), m_keys(settings, clock) {}
 
-void traffic_context::note_version(std::string_view instance, std::uint64_t version,
-                                   std::uint64_t own_version) const {
-    if (version > own_version && !instance.empty() && m_hooks.m_version_heard) {
-        m_hooks.m_version_heard(std::string(instance), version);
+void traffic_context::report_newer_version(std::string_view instance, std::uint64_t version,
+                                           std::uint64_t own_version) const {
+    if (version > own_version && !instance.empty() && m_hooks.m_newer_version_seen) {
+        m_hooks.m_newer_version_seen(std::string(instance), version);
     }
 }
 
@@ -52,17 +53,17 @@
     reply.m_peer = context.m_settings.m_instance;
     reply.m_message = make_refusal(reason.m_kind, reason.m_text);
     set_header(reply.m_message, header::instance, context.m_settings.m_instance);
-    set_number(reply.m_message, header::config_version,
-               context.m_snapshot.load()->m_config_version);
+    set_numeric_header(reply.m_message, header::config_version,
+                       context.m_snapshot.load()->m_config_version);
     return reply;
 }
 
 void record_call_end(const traffic_context& context, std::string_view side, const call_info& info,
                      const trace_context& trace, const call_reply& reply, std::uint32_t attempt,
                      time_point start, wall_time wall_start) {
-    const duration took = context.m_clock.now() - start;
-    const error_answer& row = answer_for(reply.m_reason);
-    const std::string_view result = outcome_name(row.m_outcome);
+    const duration elapsed = context.m_clock.now() - start;
+    const error_info& description = error_info_for(reply.m_reason);
+    const std::string_view result = outcome_name(description.m_outcome);
     const std::string trace_id =
         fmt::format("{:016x}{:016x}", trace.m_trace_high, trace.m_trace_low);
     log_event(log_level::info, "call_ended",
@@ -72,18 +73,19 @@
                {"service", info.m_service},
                {"route", info.m_route},
                {"outcome", result},
-               {"reason", row.m_name},
+               {"reason", description.m_name},
                {"sent", reply.m_sent},
                {"peer", reply.m_peer},
                {"attempt", attempt},
                {"idempotent", info.m_idempotent},
                {"version", reply.m_version},
-               {"took_us", to_us(took)},
+               {"took_us", to_us(elapsed)},
                {"trace", trace_id}});
-    context.m_metrics.count_call(side, info.m_service, row.m_outcome, reply.m_reason, took);
+    context.m_metrics.count_call(side, info.m_service, description.m_outcome, reply.m_reason,
+                                 elapsed);
     if (context.m_settings.m_trace_spans) {
-        write_span(trace, {side, info.m_service, info.m_route, reply.m_peer, result, row.m_name,
-                           wall_start, took});
+        write_span(trace, {side, info.m_service, info.m_route, reply.m_peer, result,
+                           description.m_name, wall_start, elapsed});
     }
 }
 
--- a/standins/common.cpp
+++ b/standins/common.cpp
@@ -15,14 +15,16 @@
 namespace caraway::standins {
 namespace {
 
+// Parses a number that makes up the whole text. Returns false for anything else.
 template <typename T>
 bool parse_number(std::string_view text, T& value) {
     auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
     return ec == std::errc() && end == text.data() + text.size();
 }
 
-// Stores one option's value; false if it isn't a number where one is needed.
-bool assign(const option_spec& option, const char* text) {
+// Stores the value of one option in its variable. Returns false if the option requires a number and
+// the text isn't one.
+bool store_option_value(const option_spec& option, const char* text) {
     if (auto* const* flag = std::get_if<bool*>(&option.m_value)) {
         **flag = true;
         return true;
@@ -44,7 +46,8 @@
     return true;
 }
 
-// The default that --help prints beside an option.
+// Returns the text that --help prints for an option: its description and, for a number, its
+// default.
 std::string help_text(const option_spec& option) {
     if (auto* const* number = std::get_if<std::int64_t*>(&option.m_value)) {
         return fmt::format("{} ({})", option.m_help, **number);
@@ -60,13 +63,15 @@
 bool parse_command_line(int argc, const char** argv, std::span<const option_spec> options,
                         error& reason) {
     std::vector<poptOption> table;
-    std::deque<std::string> help; // popt keeps pointers, a deque keeps them valid
+    std::deque<std::string>
+        help_texts; // popt keeps pointers to the texts, which stay valid while a deque grows
     for (std::size_t i = 0; i < options.size(); ++i) {
         const bool flag = std::holds_alternative<bool*>(options[i].m_value);
-        help.push_back(help_text(options[i]));
+        help_texts.push_back(help_text(options[i]));
         table.push_back({options[i].m_name, '\0',
                          static_cast<unsigned>(flag ? POPT_ARG_NONE : POPT_ARG_STRING), nullptr,
-                         static_cast<int>(i + 1), help.back().c_str(), flag ? nullptr : "VALUE"});
+                         static_cast<int>(i + 1), help_texts.back().c_str(),
+                         flag ? nullptr : "VALUE"});
     }
     table.push_back({nullptr, '\0', POPT_ARG_INCLUDE_TABLE, poptHelpOptions, 0, "Help:", nullptr});
     table.push_back({nullptr, '\0', 0, nullptr, 0, nullptr, nullptr});
@@ -76,8 +81,9 @@
     while ((index = poptGetNextOpt(context.get())) > 0) {
         const option_spec& option = options[static_cast<std::size_t>(index) - 1];
         const std::unique_ptr<char, void (*)(void*)> text(poptGetOptArg(context.get()), std::free);
-        if (!assign(option, text.get())) {
-            fail(reason, error_kind::usage, fmt::format("--{}: bad value", option.m_name));
+        if (!store_option_value(option, text.get())) {
+            fail(reason, error_kind::usage,
+                 fmt::format("--{}: missing or malformed value", option.m_name));
             return false;
         }
     }
@@ -86,8 +92,8 @@
              fmt::format("{}: {}", poptBadOption(context.get(), 0), poptStrerror(index)));
         return false;
     }
-    if (const char* extra = poptGetArg(context.get())) {
-        fail(reason, error_kind::usage, fmt::format("unexpected argument {}", extra));
+    if (const char* unexpected_argument = poptGetArg(context.get())) {
+        fail(reason, error_kind::usage, fmt::format("unexpected argument {}", unexpected_argument));
         return false;
     }
     return true;
@@ -96,7 +102,7 @@
 void parse_command_line_or_exit(int argc, const char** argv, std::span<const option_spec> options) {
     error reason;
     if (!parse_command_line(argc, argv, options, reason)) {
-        exit_with(reason);
+        exit_with_error(reason);
     }
 }
 
@@ -107,8 +113,8 @@
     if (colon == std::string_view::npos || !parse_number(text.substr(colon + 1), port)) {
         return fail(reason, error_kind::usage, fmt::format("'{}' is not IP:PORT", text));
     }
-    const auto address =
-        boost::asio::ip::make_address(std::string(text.substr(0, colon)), ec); // numbers only
+    const auto address = boost::asio::ip::make_address(std::string(text.substr(0, colon)),
+                                                       ec); // resolves no host names
     if (ec) {
         return fail(reason, error_kind::usage, fmt::format("'{}' is not IP:PORT", text));
     }
@@ -119,13 +125,13 @@
     error reason;
     const auto endpoint = parse_endpoint(text, reason);
     if (!endpoint) {
-        exit_with(reason);
+        exit_with_error(reason);
     }
     return *endpoint;
 }
 
-void exit_with(const error& reason) {
-    const error_answer& answer = answer_for(reason.m_kind);
+void exit_with_error(const error& reason) {
+    const error_info& answer = error_info_for(reason.m_kind);
     log_line("error", "failed", {{"reason", answer.m_name}, {"text", reason.m_text}});
     std::exit(answer.m_exit_code);
 }
@@ -139,16 +145,16 @@
     std::fwrite(text.data(), 1, text.size(), stderr);
 }
 
-void run_until_signal(boost::asio::io_context& context, std::function<void()> on_stop) {
+void run_until_signal(boost::asio::io_context& context, std::function<void()> on_signal) {
     boost::asio::signal_set signals(context, SIGTERM, SIGINT);
     signals.async_wait([&](boost::system::error_code ec, int) {
         if (!ec) {
-            on_stop();
+            on_signal();
         }
     });
     context.run();
     std::fflush(nullptr);
-    // Suspended coroutines refer to objects of main, so the process ends without unwinding them.
+    // Suspended coroutines refer to objects in main(), so the process exits without unwinding them.
     std::_Exit(0);
 }
 
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr milliseconds detection_time{5'000}; // until a dead or partitioned member is believed dead
+constexpr milliseconds detection_time{5'000}; // until a dead or partitioned member is declared dead
 constexpr milliseconds retention{600'000};
 constexpr milliseconds loss_rule_retention{7'200'000};
 constexpr milliseconds max_view_delay{4'999}; // until a ready node knows a new name
@@ -306,7 +306,7 @@
         case 2:
             restart(node);
             break;
-        case 3: // a partition; members that can't reach each other believe the other side dead. One
+        case 3: // a partition; members that can't reach each other declare the other side dead. One
                 // that begins before a new name is known everywhere is like a join within it.
             if (!partitioned() && m_fault_profile != fault_profile::replacements &&
                 (has_joins_in_partitions() || m_now - m_last_join > max_view_delay)) {
@@ -488,8 +488,8 @@
         claim_reply& reply = current.m_replies[i];
         if (!reaches(claimant, registrar)) {
             const time_point unreachable_since = std::max(registrar.m_changed, claimant.m_changed);
-            const bool believed_dead = m_now - unreachable_since > detection_time;
-            reply.m_status = believed_dead ? claim_status::dead : claim_status::unreachable;
+            const bool assumed_dead = m_now - unreachable_since > detection_time;
+            reply.m_status = assumed_dead ? claim_status::dead : claim_status::unreachable;
             return;
         }
         const claim_request& request = current.m_request;
@@ -566,7 +566,7 @@
 
 // Guards against a key that runs twice, and against "not run" for a key that ran.
 BOOST_AUTO_TEST_CASE(no_key_runs_twice_and_refusals_are_true) {
-    const std::uint64_t first = first_seed();
+    const std::uint64_t first = seed_or_default();
     std::uint64_t runs = 0;
     std::uint64_t refusals = 0;
     std::uint64_t held = 0;
@@ -594,7 +594,7 @@
         for (const registrar_selection rule :
              {registrar_selection::losses, registrar_selection::shared_first_start}) {
             std::array<std::uint64_t, 5> sums{};
-            const std::uint64_t first = first_seed();
+            const std::uint64_t first = seed_or_default();
             for (std::uint64_t seed = first; seed < first + 250; ++seed) {
                 claim_simulation world(seed, rule, profile);
                 world.run();
@@ -621,7 +621,7 @@
 // own first-seen times, some keys must run twice.
 BOOST_AUTO_TEST_CASE(own_first_seen_times_run_keys_twice) {
     std::uint64_t ran_twice = 0;
-    const std::uint64_t first = first_seed();
+    const std::uint64_t first = seed_or_default();
     for (std::uint64_t seed = first; seed < first + 50; ++seed) {
         claim_simulation world(seed, registrar_selection::own_first_seen);
         world.run();
@@ -637,7 +637,7 @@
         std::uint64_t unknown = 0;
         std::uint64_t decisions = 0;
         std::uint64_t ran_twice = 0;
-        const std::uint64_t first = first_seed();
+        const std::uint64_t first = seed_or_default();
         for (std::uint64_t seed = first; seed < first + 60; ++seed) {
             claim_simulation world(seed, rule, fault_profile::joins_only);
             world.run();
@@ -659,7 +659,7 @@
 BOOST_AUTO_TEST_CASE(replacements_leave_keys_answerable) {
     std::array<std::uint64_t, 2> unknown{};
     std::uint64_t decisions = 0;
-    const std::uint64_t first = first_seed();
+    const std::uint64_t first = seed_or_default();
     for (std::uint64_t seed = first; seed < first + 100; ++seed) {
         for (const bool losses : {false, true}) {
             const registrar_selection rule =
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -27,8 +27,8 @@
 namespace caraway {
 namespace {
 
-// Tags and lengths of protobuf fields, extreme varints, the magic number of a zstd frame.
-constexpr std::array<std::string_view, 12> wire_pieces{
+// Tags and lengths of protobuf fields, extreme varints and the magic number of a zstd frame.
+constexpr std::array<std::string_view, 12> wire_dictionary{
     "\x0a\x02",
     "\x12\x7f",
     "\x22\x04",
@@ -43,7 +43,7 @@
     "\xc3\x28",
 };
 
-constexpr std::array<std::string_view, 48> text_pieces{
+constexpr std::array<std::string_view, 48> text_dictionary{
     "[",
     "]",
     "[[",
@@ -94,7 +94,7 @@
     "\"\"",
 };
 
-constexpr std::array<std::string_view, 24> json_pieces{
+constexpr std::array<std::string_view, 24> json_dictionary{
     "{",
     "}",
     "[[[[[[[[",
@@ -121,7 +121,7 @@
     "\"time\":-9223372036854775808",
 };
 
-constexpr std::array<std::string_view, 20> http_pieces{
+constexpr std::array<std::string_view, 20> http_dictionary{
     "\r\n",
     "\r\n\r\n",
     ": ",
@@ -144,22 +144,22 @@
     "\xff",
 };
 
-// Parts of records that decisions and multiplications rely on.
+// Checks the ranges of a decoded move record that decisions and multiplications rely on.
 std::string check_record(const move_record& record) {
     if (record.m_weight_permille > 1000 || record.m_stage >= stage_weights_permille.size()) {
-        return "a move record with an impossible weight or stage";
+        return "a move record has a weight or stage out of range";
     }
     if (record.m_started_ms < 0 || record.m_raised_ms < 0 || record.m_deadline_ms < 0) {
-        return "a move record with a time before the epoch";
+        return "a move record has a time before the epoch";
     }
     return {};
 }
 
 std::string check_records(const std::vector<move_record>& records) {
     for (const move_record& record : records) {
-        std::string wrong = check_record(record);
-        if (!wrong.empty()) {
-            return wrong;
+        std::string fault = check_record(record);
+        if (!fault.empty()) {
+            return fault;
         }
     }
     return {};
@@ -169,16 +169,16 @@
     error reason;
     const auto decoded = decode_packet(bytes, reason);
     if (!decoded) {
-        return reason.m_kind == error_kind::none ? "refused without a reason" : "";
+        return reason.m_kind == error_kind::none ? "the input was rejected without a reason" : "";
     }
-    const std::string again = encode_packet(*decoded);
-    if (!decode_packet(again, reason)) {
-        return "a decoded packet can't be sent on";
+    const std::string reencoded = encode_packet(*decoded);
+    if (!decode_packet(reencoded, reason)) {
+        return "a decoded packet can't be encoded and decoded again";
     }
     return check_records(decoded->m_records);
 }
 
-// The text that deltas of the seed corpus refer to.
+// Returns the base text of the deltas in the seed corpus.
 const std::string& base_text() {
     static const std::string text = [] {
         std::string out = "format = 1\n";
@@ -194,7 +194,7 @@
     error reason;
     const auto text = unpack_text(packed, base_text(), reason);
     if (text && (text->size() > max_text_bytes || hash_bytes(*text) != packed.m_hash)) {
-        return "an unpacked text above its limit or with another hash";
+        return "an unpacked text exceeds the size limit or has the wrong hash";
     }
     return {};
 }
@@ -204,15 +204,15 @@
 }
 
 std::string check_body(const join_reply& body) {
-    const std::string wrong = check_records(body.m_records);
-    return wrong.empty() && body.m_config ? check_unpacked(*body.m_config) : wrong;
+    const std::string fault = check_records(body.m_records);
+    return fault.empty() && body.m_config ? check_unpacked(*body.m_config) : fault;
 }
 
 std::string check_body(const fetch_config_reply& body) {
     return body.m_config ? check_unpacked(*body.m_config) : "";
 }
 
-// Every other message holds nothing that needs a check of its own.
+// All other messages have no fields that need a check.
 template <typename Body>
 std::string check_body(const Body& /*body*/) {
     return {};
@@ -222,10 +222,10 @@
     error reason;
     const auto decoded = decode_request(bytes, reason);
     if (!decoded) {
-        return reason.m_kind == error_kind::none ? "refused without a reason" : "";
+        return reason.m_kind == error_kind::none ? "the input was rejected without a reason" : "";
     }
     if (!decode_request(encode_request(*decoded), reason)) {
-        return "a decoded request can't be encoded";
+        return "a decoded request can't be encoded and decoded again";
     }
     return std::visit([](const auto& body) { return check_body(body); }, *decoded);
 }
@@ -234,21 +234,21 @@
     error reason;
     const auto decoded = decode_reply(bytes, reason);
     if (!decoded) {
-        return reason.m_kind == error_kind::none ? "refused without a reason" : "";
+        return reason.m_kind == error_kind::none ? "the input was rejected without a reason" : "";
     }
     if (!decode_reply(encode_reply(*decoded), reason)) {
-        return "a decoded reply can't be encoded";
+        return "a decoded reply can't be encoded and decoded again";
     }
     return std::visit([](const auto& body) { return check_body(body); }, *decoded);
 }
 
-// previous: the mesh that the text would replace, or null.
+// Checks that parsing is consistent. previous is the mesh that the text would replace, or null.
 std::string check_mesh(std::string_view text, const mesh* previous) {
     std::vector<text_fault> faults;
     const wall_time now{std::chrono::seconds(1'800'000'000)};
     const auto parsed = parse_mesh(text, now, previous, faults);
     if (parsed.has_value() != faults.empty() || faults.size() > max_text_faults) {
-        return "a mesh with faults, neither, or too many faults";
+        return "parse_mesh returned a mesh and faults, neither, or too many faults";
     }
     if (!parsed) {
         return {};
@@ -256,31 +256,33 @@
     for (const route_spec& route : parsed->m_routes) {
         if (match_route(*parsed, route.m_path) != &route ||
             !parsed->m_services.contains(route.m_service)) {
-            return "a route that doesn't match itself or leads to no service";
+            return "a route doesn't match its own path or names an unknown service";
         }
     }
-    // A node parses the accepted text again, however late, and must come to the same mesh.
+    // Nodes parse an accepted text again at any later time and must get the same mesh.
     if (parse_mesh(text, wall_time{}, previous, faults) != parsed) {
-        return "an accepted text that another node refuses or reads differently";
+        return "an accepted text parses differently at another time";
     }
     return diff_mesh(*parsed, *parsed).empty() ? "" : "a mesh differs from itself";
 }
 
 std::string check_text(std::string_view text) {
-    // The first text that was accepted serves as the one to be replaced.
+    // The first accepted text serves as the previous one.
     static std::optional<mesh> s_previous;
     if (!s_previous) {
         std::vector<text_fault> faults;
         s_previous = parse_mesh(text, wall_time{}, nullptr, faults);
     }
-    std::string wrong = check_mesh(text, nullptr);
-    return wrong.empty() && s_previous ? check_mesh(text, &*s_previous) : wrong;
+    std::string fault = check_mesh(text, nullptr);
+    return fault.empty() && s_previous ? check_mesh(text, &*s_previous) : fault;
 }
 
 std::string check_settings(std::string_view text) {
     std::vector<text_fault> faults;
     const auto parsed = parse_settings(text, faults);
-    return parsed.has_value() == faults.empty() ? "" : "settings with faults, or neither";
+    return parsed.has_value() == faults.empty()
+               ? ""
+               : "parse_settings returned settings and faults, or neither";
 }
 
 std::string check_store_value(std::string_view value) {
@@ -288,47 +290,47 @@
     if (const auto record = decode_accepted(value, reason)) {
         if (record->m_accepted_ms < 0 ||
             decode_accepted(encode_accepted(*record), reason) != record) {
-            return "an accepted record that isn't the same when written again";
+            return "an accepted record changes when encoded and decoded again";
         }
     }
     if (const auto record = decode_move(value, 7)) {
-        std::string wrong = check_record(*record);
-        if (!wrong.empty()) {
-            return wrong;
+        std::string fault = check_record(*record);
+        if (!fault.empty()) {
+            return fault;
         }
         if (decode_move(encode_move(*record), 7) != record) {
-            return "a move record that isn't the same when written again";
+            return "a move record changes when encoded and decoded again";
         }
     }
     if (const auto endpoint = parse_endpoint(value)) {
         if (parse_endpoint(format_endpoint(*endpoint)) != endpoint) {
-            return "an address that isn't the same when written again";
+            return "an address changes when formatted and parsed again";
         }
     }
-    // carawayctl prints whatever the store holds.
-    if (const auto view = read_accepted(value)) {
+    // carawayctl parses and prints any value of the store.
+    if (const auto view = parse_accepted(value)) {
         describe(*view);
     }
-    if (const auto view = read_move(value)) {
+    if (const auto view = parse_move(value)) {
         describe(*view);
     }
-    if (const auto view = read_config_verdict(value)) {
+    if (const auto view = parse_config_verdict(value)) {
         describe(*view);
     }
-    read_refused(value);
+    parse_refused(value);
     return {};
 }
 
 std::string check_store_json(std::string_view body) {
     if (const auto lease = decode_lease(body)) {
-        return lease->empty() ? "a lease without an identifier" : "";
+        return lease->empty() ? "a lease has no identifier" : "";
     }
     decode_entries(body);
     return {};
 }
 
 template <bool is_request>
-std::string check_message(std::string_view bytes) {
+std::string check_http_message(std::string_view bytes) {
     http::parser<is_request, http::string_body> parser;
     parser.header_limit(20U << 10U);
     parser.body_limit(1U << 20U);
@@ -341,38 +343,40 @@
     auto message = parser.get();
     for (const std::string_view name : {header::outcome, header::reason, header::load,
                                         header::config_version, header::deadline_ms}) {
-        const auto number = number_header(message, name);
-        set_number(message, header::exchange, number.value_or(1));
-        if (number_header(message, header::exchange) != number.value_or(1)) {
-            return "a number that isn't the same when read again";
+        const auto number = numeric_header_value(message, name);
+        set_numeric_header(message, header::exchange, number.value_or(1));
+        if (numeric_header_value(message, header::exchange) != number.value_or(1)) {
+            return "a numeric header changes when written and read again";
         }
     }
-    if (const auto kind = error_kind_from_name(header_of(message, header::reason))) {
-        if (answer_for(*kind).m_name != header_of(message, header::reason)) {
-            return "a reason read as another";
+    if (const auto kind = error_kind_from_name(header_value(message, header::reason))) {
+        if (error_info_for(*kind).m_name != header_value(message, header::reason)) {
+            return "a reason header is decoded as another reason";
         }
     }
-    outcome_from_name(header_of(message, header::outcome));
+    outcome_from_name(header_value(message, header::outcome));
     if constexpr (is_request) {
         const std::string target(message.target());
         if (path_of(target).find('?') != std::string_view::npos) {
-            return "a path with a query";
+            return "path_of returned a path with a query";
         }
     }
-    std::vector<std::string> named;
+    std::vector<std::string> listed_headers;
     for (auto [field, end] = message.equal_range(http::field::connection); field != end; ++field) {
         for (const auto& token : http::token_list(field->value())) {
-            named.emplace_back(token.data(), token.size());
+            listed_headers.emplace_back(token.data(), token.size());
         }
     }
-    strip_hop_by_hop(message);
-    for (const std::string& name : named) {
+    strip_hop_by_hop_headers(message);
+    for (const std::string& name : listed_headers) {
         if (message.find(name) != message.end()) {
-            return "a header that Connection named is passed on";
+            return "a header listed in Connection was not stripped";
         }
     }
-    strip_internal(message, {});
-    return message.find(std::string(header::exchange)) == message.end() ? "" : "an internal header";
+    strip_internal_headers(message, {});
+    return message.find(std::string(header::exchange)) == message.end()
+               ? ""
+               : "an internal header was not stripped";
 }
 
 std::string check_http(std::string_view bytes) {
@@ -381,12 +385,14 @@
     const trace_context next = continue_trace(format_traceparent(trace), random);
     if (next.m_trace_high != trace.m_trace_high || next.m_trace_low != trace.m_trace_low ||
         next.m_parent != trace.m_span || next.m_sampled != trace.m_sampled) {
-        return "a trace that isn't the same at the next hop";
+        return "a trace context changes at the next hop";
     }
-    return bytes.starts_with("HTTP/") ? check_message<false>(bytes) : check_message<true>(bytes);
+    return bytes.starts_with("HTTP/") ? check_http_message<false>(bytes)
+                                      : check_http_message<true>(bytes);
 }
 
-// The audit reads files, so each input becomes one, twice: lines of two processes are merged.
+// The audit reads files, so the input is written to a file. The file is passed twice, because the
+// audit merges the lines of several processes.
 std::string check_audit(std::string_view lines) {
     static const std::string path =
         (std::filesystem::temp_directory_path() / fmt::format("caraway-fuzz-{}.log", getpid()))
@@ -397,23 +403,23 @@
     }
     const audit_report report = audit_logs({path, path});
     std::filesystem::remove(path);
-    if (!report.m_missing_files.empty() || report.m_unreadable > report.m_lines ||
+    if (!report.m_unreadable_files.empty() || report.m_unreadable_lines > report.m_lines ||
         report.m_breaches.size() > max_audit_breaches) {
-        return "an audit report that contradicts itself";
+        return "an audit report is inconsistent";
     }
     return {};
 }
 
 constexpr std::array<fuzz_target, 9> targets{{
-    {"packet", wire_pieces, 20, &check_packet},
-    {"request", wire_pieces, 20, &check_request},
-    {"reply", wire_pieces, 20, &check_reply},
-    {"text", text_pieces, 1, &check_text},
-    {"settings", text_pieces, 1, &check_settings},
-    {"store_value", json_pieces, 20, &check_store_value},
-    {"store_json", json_pieces, 20, &check_store_json},
-    {"http", http_pieces, 20, &check_http},
-    {"audit", json_pieces, 1, &check_audit},
+    {"packet", wire_dictionary, 20, &check_packet},
+    {"request", wire_dictionary, 20, &check_request},
+    {"reply", wire_dictionary, 20, &check_reply},
+    {"text", text_dictionary, 1, &check_text},
+    {"settings", text_dictionary, 1, &check_settings},
+    {"store_value", json_dictionary, 20, &check_store_value},
+    {"store_json", json_dictionary, 20, &check_store_json},
+    {"http", http_dictionary, 20, &check_http},
+    {"audit", json_dictionary, 1, &check_audit},
 }};
 
 } // namespace
--- a/tests/observe_test.cpp
+++ b/tests/observe_test.cpp
@@ -1,4 +1,4 @@
-// Tests of log lines, spans and metrics.
+// Tests of log lines, recorded inputs, spans and metrics.
 #include <algorithm>
 #include <array>
 #include <string>
@@ -15,10 +15,11 @@
 
 BOOST_AUTO_TEST_SUITE(observe)
 
-// Guards against a caller's header that breaks the line or forges a second one.
+// Guards against a malformed line or a forged second line when a logged value, such as a caller's
+// header, contains quotes, line breaks or invalid UTF-8.
 BOOST_AUTO_TEST_CASE(log_lines_stay_valid_json_with_hostile_values) {
     const std::string hostile = "a\"\n{\"event\":\"forged\"}\xff\x01";
-    const std::string line = captured_log([&hostile] {
+    const std::string line = capture_stdout([&hostile] {
         log_event(log_level::error, "probe",
                   {{"value", hostile}, {"count", 3}, {"sent", true}, {"share", 0.5}});
     });
@@ -29,11 +30,12 @@
     BOOST_TEST(parsed.at("sent").as_bool());
 }
 
-// Guards against a recorder that grows without bound when nobody writes, or that hides a gap.
-BOOST_AUTO_TEST_CASE(recorded_inputs_are_bounded_and_gaps_are_named) {
+// Guards against a recorder whose queue grows without bound when it isn't flushed, or that doesn't
+// report dropped inputs.
+BOOST_AUTO_TEST_CASE(recorded_inputs_are_bounded_and_gaps_are_logged) {
     BOOST_TEST(!is_recording());
-    log_identity("test", "north", log_level::info); // the gap is a warning
-    const std::string text = captured_log([] {
+    set_log_identity("test", "north", log_level::info); // a gap is logged as a warning
+    const std::string text = capture_stdout([] {
         start_recording(2);
         for (int i = 0; i < 5; ++i) {
             record_input("lease", "tick", time_point(milliseconds(i)), {{"wanted", true}}, "none");
@@ -49,28 +51,28 @@
     BOOST_TEST(text.find("\"count\":3") != std::string::npos);
 }
 
-// Guards against a line that exceeds what a pipe takes in one piece.
-BOOST_AUTO_TEST_CASE(long_values_are_cut) {
-    const std::string longer(20'000, 'x');
-    const std::string line = captured_log([&longer] {
-        log_event(log_level::error, "probe", {{"value", longer}});
+// Guards against a line that exceeds the size of an atomic write to a pipe.
+BOOST_AUTO_TEST_CASE(long_values_are_truncated) {
+    const std::string long_value(20'000, 'x');
+    const std::string line = capture_stdout([&long_value] {
+        log_event(log_level::error, "probe", {{"value", long_value}});
     });
     BOOST_TEST(line.size() < 4'096U);
     BOOST_TEST(boost::json::parse(line).at("value").as_string().size() == 1'000U);
 }
 
-// Guards against a trace that is cut at a hop.
+// Guards against a trace that is interrupted at a hop.
 BOOST_AUTO_TEST_CASE(trace_context_round_trips) {
     random_source random(1);
-    const trace_context first = continue_trace("", random);
-    const trace_context second = continue_trace(format_traceparent(first), random);
-    BOOST_TEST(second.m_trace_high == first.m_trace_high);
-    BOOST_TEST(second.m_trace_low == first.m_trace_low);
-    BOOST_TEST(second.m_parent == first.m_span);
-    BOOST_TEST(second.m_span != first.m_span);
+    const trace_context first_hop = continue_trace("", random);
+    const trace_context second_hop = continue_trace(format_traceparent(first_hop), random);
+    BOOST_TEST(second_hop.m_trace_high == first_hop.m_trace_high);
+    BOOST_TEST(second_hop.m_trace_low == first_hop.m_trace_low);
+    BOOST_TEST(second_hop.m_parent == first_hop.m_span);
+    BOOST_TEST(second_hop.m_span != first_hop.m_span);
 }
 
-// Guards against identifiers that the standard forbids.
+// Guards against continuing a trace whose identifiers the standard doesn't allow.
 BOOST_AUTO_TEST_CASE(malformed_trace_context_begins_a_new_trace) {
     random_source random(1);
     for (const char* header :
@@ -97,22 +99,22 @@
     BOOST_TEST(text.find("caraway_call_seconds_bucket") != std::string::npos);
 }
 
-// Guards against a log that grows without bound, or hides that it lost lines, while nobody reads
-// it.
-BOOST_AUTO_TEST_CASE(a_full_log_drops_lines_and_says_how_many) {
+// Guards against a log buffer that grows without bound, or doesn't report dropped lines, while
+// nothing reads standard output.
+BOOST_AUTO_TEST_CASE(full_log_buffer_drops_lines_and_logs_their_number) {
     log_buffer buffer;
     const std::string line(1'000, 'x');
     for (int i = 0; i < 2'000; ++i) {
-        buffer_line(buffer, line + "\n");
+        append_to_log_buffer(buffer, line + "\n");
     }
     BOOST_TEST(buffer.m_pending.size() <= std::size_t{1} << 20U);
-    BOOST_TEST(buffer.m_dropped > 900U);
-    BOOST_TEST(next_chunk(buffer).size() == 4 * (line.size() + 1));
+    BOOST_TEST(buffer.m_dropped_lines > 900U);
+    BOOST_TEST(next_log_chunk(buffer).size() == 4 * (line.size() + 1));
     buffer.m_pending.clear();
-    const std::string dropped = std::to_string(buffer.m_dropped);
-    buffer_line(buffer, "next\n");
+    const std::string dropped_lines = std::to_string(buffer.m_dropped_lines);
+    append_to_log_buffer(buffer, "next\n");
     BOOST_TEST(contains(buffer.m_pending, "log_lines_dropped"));
-    BOOST_TEST(contains(buffer.m_pending, "\"lines\":" + dropped));
+    BOOST_TEST(contains(buffer.m_pending, "\"lines\":" + dropped_lines));
     BOOST_TEST(buffer.m_pending.ends_with("next\n"));
 }
 
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the adapter to the platform: each translation, also with input that can't be read.
+// Tests of the adapter to the platform: every translation, with valid and malformed input.
 #include "config/adapter.hpp"
 #include "platform/operator_items.hpp"
 #include "platform/platform_adapter.hpp"
@@ -20,11 +20,11 @@
     R"("services":[{"name":"s1","max_connections":110,"warmup_per_s":14.0},)"
     R"({"name":"s2","max_connections":60}]})";
 
-store_entry item(std::string key, std::string value, std::uint64_t revision = 5) {
+store_entry make_entry(std::string key, std::string value, std::uint64_t revision = 5) {
     return {std::move(key), revision, std::move(value), false};
 }
 
-std::string changed(std::string_view text, std::string_view from, std::string_view to) {
+std::string with_replacement(std::string_view text, std::string_view from, std::string_view to) {
     std::string out(text);
     const std::size_t at = out.find(from);
     BOOST_REQUIRE_MESSAGE(at != std::string::npos, from);
@@ -47,41 +47,41 @@
 
 BOOST_AUTO_TEST_SUITE(platform_adapter)
 
-// Guards against a configuration whose routes or services arrive with another meaning.
+// Guards against a wrong translation of routes, services or orders of the operators' configuration.
 BOOST_AUTO_TEST_CASE(operator_items_become_one_mesh) {
     error reason;
     const std::vector<store_entry> items{
-        item("op/config", std::string(config_text)), item("op/evacuate/z2", "{}"),
-        item("op/rollout/s1", R"({"service":"s1","target_version":"v2","duration_s":12})", 9),
-        item("op/unknown", "what")};
+        make_entry("op/config", std::string(config_text)), make_entry("op/evacuate/z2", "{}"),
+        make_entry("op/rollout/s1", R"({"service":"s1","target_version":"v2","duration_s":12})", 9),
+        make_entry("op/unknown", "what")};
     const auto read = platform::parse_operator_items(items, reason);
     BOOST_REQUIRE_MESSAGE(read, reason.m_text);
-    const route_spec* plain = match_route(*read, "h.example", "/a/x");
-    BOOST_REQUIRE(plain);
-    BOOST_TEST(plain->m_service == "s1");
-    BOOST_TEST(!plain->m_idempotent);
-    BOOST_TEST((plain->m_urgency == urgency::normal));
-    BOOST_TEST((plain->m_target_latency == milliseconds(800)));
-    const route_spec* split = match_route(*read, "h.example", "/a/b/c?q=1");
-    BOOST_REQUIRE(split);
-    BOOST_TEST(split->m_split.size() == 2U);
-    BOOST_TEST(split->m_split[0].m_weight == 90U);
-    BOOST_TEST(split->m_attempts == 3U);
-    BOOST_TEST((split->m_urgency == urgency::background));
+    const route_spec* plain_route = match_route(*read, "h.example", "/a/x");
+    BOOST_REQUIRE(plain_route);
+    BOOST_TEST(plain_route->m_service == "s1");
+    BOOST_TEST(!plain_route->m_idempotent);
+    BOOST_TEST((plain_route->m_urgency == urgency::normal));
+    BOOST_TEST((plain_route->m_target_latency == milliseconds(800)));
+    const route_spec* split_route = match_route(*read, "h.example", "/a/b/c?q=1");
+    BOOST_REQUIRE(split_route);
+    BOOST_TEST(split_route->m_split.size() == 2U);
+    BOOST_TEST(split_route->m_split[0].m_weight == 90U);
+    BOOST_TEST(split_route->m_attempts == 3U);
+    BOOST_TEST((split_route->m_urgency == urgency::background));
     BOOST_TEST(!match_route(*read, "other.example", "/a/x"));
     BOOST_TEST(!match_route(*read, "h.example", "/ab/x"));
-    BOOST_TEST(read->m_services.at("s1").m_warmup_per_second == 14.0);
+    BOOST_TEST(read->m_services.at("s1").m_warmup_calls_per_second == 14.0);
     const auto& move = read->m_services.at("s1").m_move;
     BOOST_REQUIRE(move);
     BOOST_TEST(move->m_to == "v2");
-    BOOST_TEST(move->m_order == 9U);
+    BOOST_TEST(move->m_order_revision == 9U);
     BOOST_TEST((move->m_duration == milliseconds(12'000)));
-    BOOST_TEST(read->m_data_centres.at("z2").m_out);
+    BOOST_TEST(read->m_data_centres.at("z2").m_out_of_service);
     BOOST_TEST(!read->m_lists_data_centres);
 }
 
-// Guards against a configuration or an order that is applied in part.
-BOOST_AUTO_TEST_CASE(unreadable_items_are_refused_whole) {
+// Guards against partially applying a configuration or an order that contains a malformed field.
+BOOST_AUTO_TEST_CASE(unreadable_items_are_rejected_as_a_whole) {
     const std::vector<std::pair<std::string_view, std::string_view>> faults{
         {R"("timeout_ms":2500)", R"("timeout_ms":"2500")"},
         {R"("kind":"idempotent")", R"("kind":"sometimes")"},
@@ -91,20 +91,21 @@
         {R"("services":[)", R"("services":[1,)"}};
     for (const auto& [from, to] : faults) {
         error reason;
-        const std::vector<store_entry> items{item("op/config", changed(config_text, from, to))};
+        const std::vector<store_entry> items{
+            make_entry("op/config", with_replacement(config_text, from, to))};
         BOOST_TEST(!platform::parse_operator_items(items, reason), to);
         BOOST_TEST((reason.m_kind == error_kind::invalid_text), to);
     }
     error reason;
     BOOST_TEST(!platform::parse_operator_items({}, reason));
     const std::vector<store_entry> bad_order{
-        item("op/config", std::string(config_text)),
-        item("op/rollout/s9", R"({"service":"s9","target_version":"v2","duration_s":12})")};
+        make_entry("op/config", std::string(config_text)),
+        make_entry("op/rollout/s9", R"({"service":"s9","target_version":"v2","duration_s":12})")};
     BOOST_TEST(!platform::parse_operator_items(bad_order, reason));
 }
 
-// Guards against a record that its next holder can't read back, and a state that operators don't
-// know.
+// Guards against a move record that the next lease holder can't decode, and against a state that
+// operators don't know.
 BOOST_AUTO_TEST_CASE(move_status_keeps_the_record) {
     move_record record;
     record.m_move_id = "m1";
@@ -125,8 +126,9 @@
     BOOST_TEST(!platform::decode_move_status("nothing", 7));
 }
 
-// Guards against reports of other writers that would name a server to use.
-BOOST_AUTO_TEST_CASE(reports_are_read_whole_or_refused) {
+// Guards against accepting an incomplete or malformed report, such as one of another writer, which
+// would add a server that can't be used.
+BOOST_AUTO_TEST_CASE(reports_are_read_completely_or_rejected) {
     error reason;
     const auto read = platform::decode_report("i-1", report_text, reason);
     BOOST_REQUIRE_MESSAGE(read, reason.m_text);
@@ -146,7 +148,8 @@
         {R"("address":"10.1.0.2:80")", R"("address":"somewhere")"},
         {"}}", "}"}};
     for (const auto& [from, to] : faults) {
-        BOOST_TEST(!platform::decode_report("i-1", changed(report_text, from, to), reason), to);
+        BOOST_TEST(!platform::decode_report("i-1", with_replacement(report_text, from, to), reason),
+                   to);
         BOOST_TEST((reason.m_kind == error_kind::bad_request), to);
     }
     BOOST_TEST(!platform::decode_report("", report_text, reason));
@@ -156,8 +159,8 @@
     BOOST_TEST(!platform::decode_leave("i-1", R"({"born":"8"})", reason));
 }
 
-// Guards against a store error that passes for another one: a lost lease, an absent key, a refusal
-// that did nothing, a write whose outcome is unknown.
+// Guards against confusing store errors: a lost lease, an absent key, a rejected operation that had
+// no effect and a write whose outcome is unknown.
 BOOST_AUTO_TEST_CASE(store_statuses_keep_their_meaning) {
     using op = store_operation;
     BOOST_TEST((decode(op::get, 404, "").m_kind == error_kind::store_not_found));
@@ -168,15 +171,17 @@
     BOOST_TEST((decode(op::put, 503, "").m_kind == error_kind::store_unreachable));
     BOOST_TEST((decode(op::put, 500, "").m_kind == error_kind::store_outcome_unknown));
     BOOST_TEST((decode(op::put, 200, "{}").m_kind == error_kind::store_outcome_unknown));
-    const auto lost = decode(op::put, 412, R"({"items":[{"key":"a/b","value":"","revision":8}]})");
-    BOOST_TEST((lost.m_kind == error_kind::store_conflict));
-    BOOST_TEST(lost.m_revision == 8U);
+    const auto conflict =
+        decode(op::put, 412, R"({"items":[{"key":"a/b","value":"","revision":8}]})");
+    BOOST_TEST((conflict.m_kind == error_kind::store_conflict));
+    BOOST_TEST(conflict.m_revision == 8U);
     BOOST_TEST(decode(op::put, 200, R"({"revision":412})").m_revision == 412U);
     BOOST_TEST(decode(op::create_lease, 200, R"({"lease":77,"ttl_ms":3000})").m_lease == "77");
 }
 
-// Guards against values that change on the way, and pages that are taken for the whole list.
-BOOST_AUTO_TEST_CASE(store_values_and_pages_are_read_exactly) {
+// Guards against values that change in encoding or decoding, and against treating one page as the
+// whole list.
+BOOST_AUTO_TEST_CASE(store_values_and_pages_are_decoded_exactly) {
     using op = store_operation;
     const std::string bytes("a\0\xff z", 5);
     store_command put;
@@ -185,7 +190,7 @@
     put.m_value = bytes;
     put.m_if_revision = 0;
     put.m_lease = "77";
-    const store_request request = platform::make_store_codec().m_encode(put);
+    const store_http_request request = platform::make_store_codec().m_encode(put);
     BOOST_TEST(request.m_target == "/api/kv-txn");
     BOOST_TEST(contains(request.m_body, R"("expect":[{"key":"a/b","revision":0}])"));
     BOOST_TEST(contains(request.m_body, R"("value":"YQD/IHo=")"));
@@ -197,17 +202,18 @@
     const auto page = decode(
         op::list, 200,
         R"({"items":[{"key":"a","value":"","revision":3}],"has_more":true,"current_rev":9})");
-    BOOST_TEST(page.m_more);
+    BOOST_TEST(page.m_has_more);
     BOOST_TEST(page.m_revision == 9U);
     const auto events = decode(
         op::watch, 200, R"({"events":[{"key":"a","revision":3,"deleted":true}],"current_rev":3})");
     BOOST_REQUIRE(events.m_entries.size() == 1U);
     BOOST_TEST(events.m_entries[0].m_deleted);
-    for (const std::string_view broken :
+    for (const std::string_view malformed_body :
          {R"({"items":[{"key":"a","value":"?","revision":3}],"current_rev":9})",
           R"({"items":[{"value":"","revision":3}],"current_rev":9})", R"({"items":[]})", "[", ""}) {
-        BOOST_TEST((decode(op::list, 200, broken).m_kind == error_kind::store_outcome_unknown),
-                   broken);
+        BOOST_TEST(
+            (decode(op::list, 200, malformed_body).m_kind == error_kind::store_outcome_unknown),
+            malformed_body);
     }
 }
 
