--- a/src/ctl/current_text.cpp
+++ b/src/ctl/current_text.cpp
@@ -12,14 +12,14 @@
 
 // Reads a text that is stored whole, without a delta. A value that is not in the stored-text
 // encoding is returned as it is.
-store_reply read_whole_text(const store_interface& store, std::uint64_t version,
-                            std::string_view hash) {
+store_reply read_full_text(const store_interface& store, std::uint64_t version,
+                           std::string_view hash) {
     store_reply reply = store.m_get(fmt::format("caraway/accepted-text/{}-{}", version, hash));
     error reason;
     const auto packed =
         reply.m_kind == error_kind::none ? decode_stored_text(reply.m_value, reason) : std::nullopt;
     if (packed) {
-        auto text = decode_whole_text(reply.m_value, packed->m_hash, reason);
+        auto text = decode_full_text(reply.m_value, packed->m_hash, reason);
         reply.m_kind = text ? error_kind::none : error_kind::store_not_found;
         reply.m_value = std::move(text).value_or(std::string{});
     }
@@ -30,14 +30,14 @@
 // The reply's kind is store_not_found if a value is missing or damaged.
 store_reply read_accepted_text(const store_interface& store, const accepted_view& accepted) {
     if (accepted.m_base_version == 0) {
-        return read_whole_text(store, accepted.m_version, accepted.m_hash);
+        return read_full_text(store, accepted.m_version, accepted.m_hash);
     }
     store_reply delta = store.m_get(
         fmt::format("caraway/accepted-delta/{}-{}", accepted.m_version, accepted.m_hash));
     if (delta.m_kind != error_kind::none) {
         return delta;
     }
-    store_reply base = read_whole_text(store, accepted.m_base_version, accepted.m_base_hash);
+    store_reply base = read_full_text(store, accepted.m_base_version, accepted.m_base_hash);
     if (base.m_kind != error_kind::none) {
         return base;
     }
--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -104,7 +104,7 @@
 void write_full_text(control& state, const accepted_record& record, std::string_view text,
                      std::string delta) {
     state.m_store->put(text_key(record.m_version, record.m_hash),
-                       encode_whole_text(record.m_version, record.m_hash, text), 0, {},
+                       encode_full_text(record.m_version, record.m_hash, text), 0, {},
                        [&state, record, delta = std::move(delta)](const store_reply& reply) {
                            // The key identifies the content, so a text that exists under it is this
                            // text.
@@ -174,7 +174,7 @@
 
 // Reads and processes the full submitted text.
 void read_submitted_text(control& state) {
-    state.m_store->get(text_store_key, [&state](const store_reply& reply) {
+    state.m_store->get(submitted_text_key, [&state](const store_reply& reply) {
         if (reply.m_kind != error_kind::none) {
             reset_accepter(state.m_accepter, state.now() + store_retry_pause);
             return;
@@ -213,7 +213,7 @@
 
 // Reads the submitted delta and processes the text restored from it.
 void read_submitted_delta(control& state, const submitted_revisions& submitted) {
-    state.m_store->get(text_delta_store_key, [&state, submitted](const store_reply& reply) {
+    state.m_store->get(submitted_delta_key, [&state, submitted](const store_reply& reply) {
         if (reply.m_kind != error_kind::none) {
             reset_accepter(state.m_accepter, state.now() + store_retry_pause);
             return;
@@ -231,7 +231,7 @@
     const auto remaining = std::chrono::duration_cast<milliseconds>(
         role.m_latest_text_seen_at + submitted_delta_wait - state.now());
     state.m_store->watch_keys(
-        text_store_key, role.m_listed_revision, std::max(remaining, milliseconds{1}),
+        submitted_text_key, role.m_listed_revision, std::max(remaining, milliseconds{1}),
         [&state](const store_reply& reply) {
             if (reply.m_kind != error_kind::none) {
                 reset_accepter(state.m_accepter, state.now() + store_retry_pause);
@@ -271,7 +271,7 @@
 
 // Lists the revisions of the submitted text and its delta, then processes them.
 void check_submitted_revisions(control& state) {
-    state.m_store->list_keys(text_store_key, [&state](const store_reply& reply) {
+    state.m_store->list_keys(submitted_text_key, [&state](const store_reply& reply) {
         accepter_role& role = state.m_accepter;
         if (reply.m_kind != error_kind::none) {
             reset_accepter(role, state.now() + store_retry_pause);
@@ -279,9 +279,9 @@
         }
         submitted_revisions submitted;
         for (const store_entry& entry : reply.m_entries) {
-            if (entry.m_key == text_store_key) {
+            if (entry.m_key == submitted_text_key) {
                 submitted.m_text_revision = entry.m_revision;
-            } else if (entry.m_key == text_delta_store_key) {
+            } else if (entry.m_key == submitted_delta_key) {
                 submitted.m_delta_revision = entry.m_revision;
             }
         }
@@ -410,7 +410,7 @@
 // Waits for a change of the submitted text or its delta for at most `list_interval`.
 void watch_submitted_text(control& state) {
     accepter_role& role = state.m_accepter;
-    state.m_store->watch_keys(text_store_key, role.m_listed_revision, list_interval,
+    state.m_store->watch_keys(submitted_text_key, role.m_listed_revision, list_interval,
                               [&state](const store_reply& reply) {
                                   accepter_role& accepter = state.m_accepter;
                                   accepter.m_call_pending = false;
--- a/src/node/config_sync.cpp
+++ b/src/node/config_sync.cpp
@@ -234,7 +234,7 @@
     input.m_ready = state.m_distribution.m_ready;
     input.m_draining = state.m_draining;
     input.m_mesh = state.m_mesh;
-    input.m_own = state.m_own_view;
+    input.m_own_server_view = state.m_own_view;
     input.m_members = &state.m_members;
     input.m_facts = &state.m_facts;
     input.m_now = state.now();
--- a/src/node/control.hpp
+++ b/src/node/control.hpp
@@ -37,10 +37,10 @@
 struct admin_request;
 
 // Store keys.
-constexpr std::string_view text_store_key = "caraway/text";
-// Key of the submitted text as a delta against an accepted text. It begins with text_store_key, so
-// that a single watch or list of keys covers both.
-constexpr std::string_view text_delta_store_key = "caraway/text-delta";
+constexpr std::string_view submitted_text_key = "caraway/text";
+// Key of the submitted text as a delta against an accepted text. It begins with submitted_text_key,
+// so that a single watch or list of keys covers both.
+constexpr std::string_view submitted_delta_key = "caraway/text-delta";
 constexpr std::string_view state_prefix = "caraway/state/";
 constexpr std::string_view accepted_key = "caraway/state/accepted";
 constexpr std::string_view refused_key = "caraway/state/refused";
@@ -152,7 +152,7 @@
     // Global collector: summaries of the version being collected, by data centre and shard.
     std::uint64_t m_collecting_version = 0;
     time_point m_collecting_since;
-    std::map<std::pair<std::string, std::uint32_t>, in_force_request> m_summaries;
+    std::map<std::pair<std::string, std::uint32_t>, in_force_summary> m_summaries;
     std::uint64_t m_verdict_version = 0; // last version whose verdict was written
     time_point m_next_report;
 };
@@ -375,9 +375,9 @@
 // in_force.cpp: collecting where a configuration version is in force, and its verdict.
 
 // As a collector, sends the summaries of its shards and writes verdicts when they are due.
-void tick_in_force(control& state, time_point now);
+void tick_collector(control& state, time_point now);
 // Handles a shard's summary, which is sent to this node as the global collector.
-void receive_in_force_summary(control& state, const in_force_request& summary);
+void receive_in_force_summary(control& state, const in_force_summary& summary);
 // Reports to the collector of this node's shard that a version is in force on this node.
 void announce_in_force(control& state);
 
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -52,7 +52,7 @@
         receive_evidence(m_state, request);
         return m_state.m_move.m_old_version_sum;
     }
-    bulk_reply operator()(const in_force_request& request) const {
+    bulk_reply operator()(const in_force_summary& request) const {
         receive_in_force_summary(m_state, request);
         return ack_reply{};
     }
@@ -66,7 +66,7 @@
     byte_purpose operator()(const members_digest_request&) const { return byte_purpose::table; }
     byte_purpose operator()(const merge_members_request&) const { return byte_purpose::table; }
     byte_purpose operator()(const evidence_report&) const { return byte_purpose::other; }
-    byte_purpose operator()(const in_force_request&) const { return byte_purpose::other; }
+    byte_purpose operator()(const in_force_summary&) const { return byte_purpose::other; }
 };
 
 // Returns the scope under which bytes exchanged with an address are counted. An unknown address
--- a/src/node/in_force.cpp
+++ b/src/node/in_force.cpp
@@ -94,7 +94,7 @@
         }
         const in_force_report report = make_shard_report(state, shard, version);
         complete = complete && report.m_in_force == report.m_members;
-        const in_force_request summary{state.m_settings.m_data_centre,
+        const in_force_summary summary{state.m_settings.m_data_centre,
                                        shard,
                                        version,
                                        static_cast<std::uint32_t>(report.m_in_force),
@@ -183,7 +183,7 @@
     state.m_udp->send(collector.m_udp, encode_packet(announcement));
 }
 
-void receive_in_force_summary(control& state, const in_force_request& summary) {
+void receive_in_force_summary(control& state, const in_force_summary& summary) {
     collector_state& collector = state.m_collector;
     if (summary.m_version < collector.m_collecting_version) {
         return;
@@ -196,7 +196,7 @@
     collector.m_summaries[{summary.m_data_centre, summary.m_shard}] = summary;
 }
 
-void tick_in_force(control& state, time_point now) {
+void tick_collector(control& state, time_point now) {
     collector_state& collector = state.m_collector;
     if (now < collector.m_next_report) {
         return;
--- a/src/node/join.cpp
+++ b/src/node/join.cpp
@@ -20,7 +20,7 @@
 constexpr milliseconds entry_points_lifetime{2'000};
 // When a whole deployment starts for the first time, the other nodes have written their entry
 // points after this time.
-constexpr milliseconds first_entries_time{500};
+constexpr milliseconds first_entry_points_wait{500};
 // For completion_time after its start, a node sends join requests at this interval to entry points
 // that are not known members. When many nodes start together, those that answer first know only a
 // few of the others.
@@ -259,7 +259,7 @@
                                          known_targets(state).empty();
         if (current_join.m_no_member_found && state.reads_operator_items()) {
             current_join.m_next_attempt =
-                std::max(current_join.m_next_attempt, state.now() + first_entries_time);
+                std::max(current_join.m_next_attempt, state.now() + first_entry_points_wait);
         }
         ask_entry_points(state);
     };
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -126,7 +126,7 @@
             tick_operator_watch(m_state, now);
         } else {
             tick_store_roles(m_state, now);
-            tick_in_force(m_state, now);
+            tick_collector(m_state, now);
         }
         tick_move(m_state, now);
         refresh_own_server(m_state);
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -31,7 +31,7 @@
 // the next candidates start to watch.
 constexpr std::uint32_t failures_before_lost = 2;
 // A node that no longer calls the store withdraws the announcement of its loss after this time.
-constexpr milliseconds lost_retention{5'000};
+constexpr milliseconds store_lost_announcement_time{5'000};
 // How often all items are read again, in case a watch missed a change.
 constexpr milliseconds relist_interval{30'000};
 
@@ -242,7 +242,8 @@
         watch.m_candidate = candidate;
         log_event(log_level::info, candidate ? "store_watch_begun" : "store_watch_ended", {});
     }
-    if (!candidate && self.m_store_lost && now - watch.m_store_lost_since > lost_retention) {
+    if (!candidate && self.m_store_lost &&
+        now - watch.m_store_lost_since > store_lost_announcement_time) {
         announce_store_access(state, false);
     }
 }
--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -139,7 +139,7 @@
     snapshot->m_ready = input.m_ready && input.m_mesh != nullptr;
     snapshot->m_draining = input.m_draining;
     snapshot->m_mesh = input.m_mesh;
-    snapshot->m_own_server = input.m_own;
+    snapshot->m_own_server = input.m_own_server_view;
     if (!input.m_mesh) {
         snapshot->m_own_refusal = error_kind::node_not_ready;
         return snapshot;
@@ -150,7 +150,7 @@
     }
     drop_forgotten_counters(counters, members);
     member self = members.m_self;
-    self.m_ready = input.m_ready && input.m_own.m_refusal == error_kind::none;
+    self.m_ready = input.m_ready && input.m_own_server_view.m_refusal == error_kind::none;
     self.m_state = input.m_draining ? member_state::left : member_state::alive;
     add_member(*snapshot, self, members.m_self, counters);
     for (const auto& [name, tracked] : members.m_members) {
@@ -163,8 +163,8 @@
     snapshot->m_own_data_centre_out = !accepts_work(*input.m_mesh, self.m_data_centre);
     snapshot->m_own_refusal =
         own_refusal(*input.m_mesh, members.m_self, *input.m_facts, input.m_draining);
-    if (input.m_own.m_refusal != error_kind::none) {
-        snapshot->m_own_refusal = input.m_own.m_refusal;
+    if (input.m_own_server_view.m_refusal != error_kind::none) {
+        snapshot->m_own_refusal = input.m_own_server_view.m_refusal;
     }
     return snapshot;
 }
--- a/src/node/snapshot_builder.hpp
+++ b/src/node/snapshot_builder.hpp
@@ -25,7 +25,7 @@
     const fact_table* m_facts = nullptr;
     time_point m_now; // with m_wall_now, converts the departure times of members to wall-clock time
     wall_time m_wall_now;
-    own_server_view m_own;
+    own_server_view m_own_server_view;
 };
 
 // Builds the snapshot. Adds counters for new instances and removes those of forgotten ones.
--- a/src/node/stored_text.cpp
+++ b/src/node/stored_text.cpp
@@ -33,7 +33,7 @@
                            }
                            error reason;
                            auto full_text =
-                               decode_whole_text(reply.m_value, full_text_id.m_hash, reason);
+                               decode_full_text(reply.m_value, full_text_id.m_hash, reason);
                            if (!full_text) {
                                done(reason.m_kind, nullptr);
                                return;
--- a/src/peer/wire.cpp
+++ b/src/peer/wire.cpp
@@ -263,7 +263,7 @@
     to_wire(*to.mutable_evidence(), from);
 }
 
-void to_wire(wire::Request& to, const in_force_request& from) {
+void to_wire(wire::Request& to, const in_force_summary& from) {
     auto& body = *to.mutable_in_force();
     body.set_data_centre(from.m_data_centre);
     body.set_shard(from.m_shard);
@@ -481,7 +481,7 @@
             return fail(reason, error_kind::peer_bad_message,
                         "too many names of missing instances");
         }
-        return in_force_request{body.data_centre(), body.shard(),
+        return in_force_summary{body.data_centre(), body.shard(),
                                 body.version(),     body.in_force(),
                                 body.members(),     {body.missing().begin(), body.missing().end()}};
     }
@@ -577,19 +577,19 @@
     return std::move(fetched->m_config);
 }
 
-std::string encode_whole_text(std::uint64_t version, std::uint64_t hash, std::string_view text) {
+std::string encode_full_text(std::uint64_t version, std::uint64_t hash, std::string_view text) {
     std::string stored = encode_stored_text(pack_text(version, hash, text, 0, {}));
     error reason;
     // The result is decoded once as a check, since the store has the only copy when every node
     // restarts.
-    if (stored.size() >= text.size() || !decode_whole_text(stored, hash, reason)) {
+    if (stored.size() >= text.size() || !decode_full_text(stored, hash, reason)) {
         return std::string(text);
     }
     return stored;
 }
 
-std::optional<std::string> decode_whole_text(std::string_view value, std::uint64_t hash,
-                                             error& reason) {
+std::optional<std::string> decode_full_text(std::string_view value, std::uint64_t hash,
+                                            error& reason) {
     if (hash_bytes(value) == hash) {
         return std::string(value);
     }
--- a/src/peer/wire.hpp
+++ b/src/peer/wire.hpp
@@ -73,7 +73,7 @@
 };
 // Number of members of one shard of a data centre that have a version in force. Sent to the global
 // collector.
-struct in_force_request {
+struct in_force_summary {
     std::string m_data_centre;
     std::uint32_t m_shard = 0;
     std::uint64_t m_version = 0;
@@ -86,7 +86,7 @@
 
 using bulk_request =
     std::variant<join_request, fetch_config_request, facts_message, members_digest_request,
-                 merge_members_request, evidence_report, in_force_request>;
+                 merge_members_request, evidence_report, in_force_summary>;
 // Reply to a bulk request. The reply to an evidence report is the sum of the old version's reports
 // of the last interval.
 using bulk_reply = std::variant<ack_reply, join_reply, fetch_config_reply, facts_message,
@@ -125,11 +125,11 @@
 
 // Encodes a whole text as the store holds it. Returns the text itself if compression doesn't make
 // it smaller, since the store accepts values only up to the maximum size of a text.
-std::string encode_whole_text(std::uint64_t version, std::uint64_t hash, std::string_view text);
+std::string encode_full_text(std::uint64_t version, std::uint64_t hash, std::string_view text);
 
 // Decodes a whole text from its stored form or from the plain text. Fails with peer_bad_message if
 // unpack_text does or if the hash of the text differs from hash.
-std::optional<std::string> decode_whole_text(std::string_view value, std::uint64_t hash,
-                                             error& reason);
+std::optional<std::string> decode_full_text(std::string_view value, std::uint64_t hash,
+                                            error& reason);
 
 } // namespace caraway
--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -261,7 +261,7 @@
                           R"("accepted_ms":1,"base_version":3,"base_hash":"{:016x}"}})",
                           hash, base_hash));
     store.set(fmt::format("caraway/accepted-text/3-{:016x}", base_hash),
-              encode_whole_text(3, base_hash, s_text));
+              encode_full_text(3, base_hash, s_text));
     store.set(fmt::format("caraway/accepted-delta/4-{:016x}", hash),
               encode_stored_text(pack_text(4, hash, accepted, 3, s_text)));
     captured_output output;
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -152,7 +152,7 @@
 
 // Guards against a stored whole text that is too large for the store, can't be restored, or is
 // accepted as the text of another version.
-BOOST_AUTO_TEST_CASE(stored_whole_texts_restore_the_text) {
+BOOST_AUTO_TEST_CASE(stored_full_texts_restore_the_text) {
     random_source random(5);
     std::string incompressible(1U << 20U, ' ');
     for (char& byte : incompressible) {
@@ -160,13 +160,13 @@
     }
     error reason;
     for (const std::string& text : {sample_text(-1), incompressible, std::string("x")}) {
-        const std::string stored = encode_whole_text(3, hash_bytes(text), text);
+        const std::string stored = encode_full_text(3, hash_bytes(text), text);
         BOOST_TEST(stored.size() <= text.size());
-        BOOST_TEST((decode_whole_text(stored, hash_bytes(text), reason) == text));
-        BOOST_TEST((decode_whole_text(text, hash_bytes(text), reason) == text));
-        BOOST_TEST(!decode_whole_text(stored, hash_bytes(text) + 1, reason));
+        BOOST_TEST((decode_full_text(stored, hash_bytes(text), reason) == text));
+        BOOST_TEST((decode_full_text(text, hash_bytes(text), reason) == text));
+        BOOST_TEST(!decode_full_text(stored, hash_bytes(text) + 1, reason));
         const auto delta = pack_text(4, hash_bytes(text), text, 3, sample_text(1));
-        BOOST_TEST(!decode_whole_text(encode_stored_text(delta), hash_bytes(text), reason));
+        BOOST_TEST(!decode_full_text(encode_stored_text(delta), hash_bytes(text), reason));
     }
 }
 
