--- a/src/config/adapter.hpp
+++ b/src/config/adapter.hpp
@@ -22,8 +22,7 @@
 struct server_report_interface {
     std::string m_report_path;
     std::string m_leave_path;
-    // Decode the body of a heartbeat or a leave notice. On failure they return nothing and set
-    // reason.
+    // Decode the body of a report or a leave notice. On failure they return nothing and set reason.
     std::function<std::optional<server_report>(std::string_view server, std::string_view body,
                                                error& reason)>
         m_decode_report;
--- a/src/config/mesh.cpp
+++ b/src/config/mesh.cpp
@@ -93,7 +93,7 @@
 // State that the checks of one text share.
 struct check_context {
     fault_sink m_faults;
-    bool m_complete = true;
+    bool m_complete = true; // false if lines with syntax errors were left out
     wall_time m_now;
     const mesh* m_previous = nullptr;
     mesh m_mesh;
--- a/src/config/mesh.hpp
+++ b/src/config/mesh.hpp
@@ -31,14 +31,14 @@
 // Returns the name of an urgency as used in texts, headers and logs.
 std::string_view urgency_name(urgency value);
 
-// An ordered move of a service's traffic to another version.
+// A move of a service's traffic to another version, as ordered by the operators.
 struct move_spec {
     std::string m_to;     // version that receives the traffic
     wall_time m_deadline; // time by which the move is done or taken back
     // For a move that is ordered with a duration instead of a deadline: the store revision of the
     // order, which distinguishes it from other orders. 0 if m_deadline applies.
     std::uint64_t m_order_revision = 0;
-    milliseconds m_duration{0}; // counts from the time at which the holder starts the move
+    milliseconds m_duration{0}; // counts from when the node that starts the move saw the order
     friend bool operator==(const move_spec&, const move_spec&) = default;
 };
 
@@ -112,8 +112,8 @@
 
 // Parses and validates a text. On failure, returns nothing and fills faults with every fault found
 // in one pass, ordered by line. Rejects a move whose deadline is not after now, unless previous
-// (the mesh in force, may be null) contains the same move: a move stays in the text after its
-// verdict. For a text that has been accepted, pass wall_time{} as now, since its deadlines were
+// (the mesh in force, may be null) contains the same move, since a text may still list a move that
+// has ended. For a text that has been accepted, pass wall_time{} as now, since its deadlines were
 // checked at acceptance.
 std::optional<mesh> parse_mesh(std::string_view text, wall_time now, const mesh* previous,
                                std::vector<text_fault>& faults);
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -76,22 +76,22 @@
     std::vector<ip_endpoint> m_seeds;
     milliseconds m_probe_interval{1'000};
     milliseconds m_probe_timeout{300};
-    milliseconds m_fetch_timeout{2'000};
+    milliseconds m_fetch_timeout{2'000}; // of each bulk request to another node
     milliseconds m_join_backoff_max{5'000};
     std::uint32_t m_joins_per_second = 20;
     // [traffic]
     std::uint32_t m_threads = 2;
     std::uint32_t m_max_connections = 1'000;
     std::uint32_t m_max_body_bytes = 1U << 20U;
-    // Maximum body size of an answer. A node buffers whole answers, so this bounds the memory that
-    // a server which never ends one can use for each of its slots.
+    // Maximum body size of an answer. A node buffers whole answers, so this limits the memory per
+    // slot even if a server sends an endless answer.
     std::uint32_t m_max_answer_bytes = 1U << 20U;
     std::uint32_t m_max_header_bytes = 16U << 10U;
-    // Maximum time for which a call that was routed by a newer configuration waits for it to
-    // arrive.
+    // Maximum time for which a call that was routed by a newer configuration waits until this node
+    // has that configuration.
     milliseconds m_behind_wait{250};
     std::uint32_t m_retry_budget_percent = 10; // retries in percent of a service's calls
-    std::uint32_t m_retry_burst = 10; // retries allowed before a service's calls have earned any
+    std::uint32_t m_retry_burst = 10;          // retries allowed before calls add to the budget
     // [results]
     milliseconds m_result_retention{600'000};
     std::uint32_t m_result_entries = 10'000;
--- a/src/config/text_check.cpp
+++ b/src/config/text_check.cpp
@@ -227,9 +227,10 @@
     word = word.substr(0, max_quoted_bytes);
     std::size_t best_distance = limit;
     for (const std::string_view candidate : candidates) {
-        const std::size_t gap = candidate.size() > word.size() ? candidate.size() - word.size()
-                                                               : word.size() - candidate.size();
-        if (gap > best_distance) {
+        const std::size_t length_difference = candidate.size() > word.size()
+                                                  ? candidate.size() - word.size()
+                                                  : word.size() - candidate.size();
+        if (length_difference > best_distance) {
             continue;
         }
         row.resize(candidate.size() + 1);
--- a/src/node/accepter.cpp
+++ b/src/node/accepter.cpp
@@ -12,9 +12,9 @@
 namespace caraway {
 namespace {
 
-// Maximum number of values removed in one pass. A pass every few versions finds about 16 values.
-// Any above the limit are left for the next pass, so that removals don't use up the write capacity
-// of the store.
+// Maximum number of values removed in one pass. A pass follows each text stored in full, at least
+// every eighth version, and finds about 16 values. Values above the limit are left for the next
+// pass, so that removals don't use up the write capacity of the store.
 constexpr std::size_t max_removals = 64;
 
 // Discards what was read from the store, so that the next step reads the store again before it
@@ -83,8 +83,8 @@
 
 // Writes the delta from the latest text stored in full, then commits the record. If the new text is
 // itself stored in full, a failed write of its delta doesn't stop the acceptance, since readers can
-// read the full text. Overwrites a value that a dead accepter left under the key, since the key
-// identifies the content.
+// read the full text. A value that a failed accepter left under the key is overwritten; it belongs
+// to the same text, since the key contains the text's hash.
 void write_delta(control& state, const accepted_record& record, const std::string& delta) {
     if (delta.empty()) {
         commit_accepted(state, record);
@@ -117,8 +117,8 @@
                        });
 }
 
-// Returns the encoded delta from the latest text stored in full. The result is empty if this node
-// doesn't hold that text or if the delta doesn't restore the new text.
+// Returns the encoded delta from the base, which is the latest text stored in full. The result is
+// empty if this node doesn't hold the base or if the delta doesn't restore the new text.
 std::string make_delta(const control& state, const accepted_record& record, const text_id& base,
                        std::string_view text) {
     const auto base_text = find_text(state, base.m_version);
@@ -185,10 +185,10 @@
 
 void process_submitted_revisions(control& state, const submitted_revisions& submitted);
 
-// Processes the submitted text as restored from the delta that carawayctl writes after the text, or
-// reads the full text if that fails. The delta names the revision of that text instead of a
-// version. A delta that names an older text was written late, after another text was submitted, and
-// is ignored.
+// Restores the submitted text from the delta that carawayctl writes after it, and processes it.
+// Reads the full text instead if it can't be restored. The version in the delta is the store
+// revision of its text. A malformed delta is ignored, and so is one of an older text, which was
+// written after another text had been submitted.
 void apply_submitted_delta(control& state, const submitted_revisions& submitted,
                            const store_reply& reply) {
     error reason;
@@ -291,7 +291,7 @@
 }
 
 // Removes the texts and deltas that are no longer needed once a text stored in full is committed.
-// Lists them in the store, so that those of dead accepters are removed too; a value whose removal
+// Lists them in the store, so that those of failed accepters are removed too; a value whose removal
 // fails is removed in a later pass.
 void remove_old_texts(control& state, const accepted_record& committed) {
     state.m_store->list_keys(accepted_prefix, [&state, committed](const store_reply& reply) {
--- a/src/node/config_sync.cpp
+++ b/src/node/config_sync.cpp
@@ -15,9 +15,9 @@
     log_event(log_level::error, "config_rejected", {{"version", version}, {"fault", first}});
 }
 
-// Parses an accepted text in the submitted format. The accepter checked at acceptance that
-// deadlines were in the future; here an accepted text is valid however late it arrives, so the time
-// of the check is the epoch.
+// Parses an accepted text in the submitted format. The accepter has checked that the deadlines of
+// moves were in the future. An accepted text stays valid however late it arrives, so the epoch is
+// passed as the current time.
 std::optional<mesh> parse_submitted_text(const control& state, std::uint64_t version,
                                          std::string_view text) {
     std::vector<text_fault> faults;
--- a/src/node/control.hpp
+++ b/src/node/control.hpp
@@ -59,7 +59,7 @@
 struct lease_role {
     lease_keeper m_keeper;
     bool m_call_pending = false;
-    bool m_was_held = false;
+    bool m_was_held = false;  // as last logged
     bool m_candidate = false; // result of the last candidate check
     time_point m_next_check;  // when m_candidate is computed again
 };
@@ -77,7 +77,8 @@
     time_point m_retry_at;
 };
 
-// Watches the operators' items in a store that accepts configurations itself, without an accepter.
+// State of watching the operators' items (configuration and move orders) in a store that validates
+// them itself, without an accepter. Also holds the state of this node's entry point there.
 struct operator_watch {
     bool m_store_reachable = false; // the last store call was answered
     bool m_candidate = false;       // this node is one of the watching members
@@ -89,12 +90,13 @@
     std::uint64_t m_watch_revision = 0;
     std::uint64_t m_latest_deletion_revision = 0;
     std::map<std::string, store_entry> m_items; // by key
-    time_point m_start_at;     // when this node begins to use the store; spread over the fleet
+    // When this node begins to use the store; random, to spread the calls of a fleet.
+    time_point m_start_at;
     time_point m_behind_since; // since when a newer text than the one held is known to exist
     time_point m_retry_at;
     time_point m_next_list;
     bool m_entry_written = false;              // the store has an entry point in this node's slot
-    std::optional<time_point> m_slot_check_at; // when the free slot is checked again
+    std::optional<time_point> m_slot_check_at; // when this node's slot, if free, is checked
     // Slots whose entry point was not a known member's address at the last discovery.
     std::vector<std::string> m_unknown_slots;
     bool m_records_read = false;
@@ -119,7 +121,7 @@
     std::shared_ptr<const std::string> m_accepted_text; // source text of m_accepted_mesh
     std::uint64_t m_accepted_text_version = 0;
     std::shared_ptr<const std::string> m_written_text; // the last text this accepter wrote
-    bool m_accepted_read = false;
+    bool m_accepted_read = false;                      // m_accepted and its text are current
     time_point m_retry_at;
 };
 
@@ -132,11 +134,11 @@
     bool m_holds_record = false;   // the move record names this node as the holder
     bool m_record_current = false; // the record was read since the lease was acquired
     std::optional<move_record> m_record;
-    move_evidence m_evidence;               // holder: evidence of all instances
-    move_evidence m_local_evidence;         // backend side: evidence of the own server only
+    move_evidence m_evidence;               // lease candidates: evidence of all instances
+    move_evidence m_local_evidence;         // new version's calls on the own server only
     std::vector<evidence_report> m_reports; // received since the last evaluation
-    // Sum of the old version's reports of the last interval: computed here as a holder, and as
-    // received from another holder.
+    // Sum of the old version's reports of the last interval: as computed here from the reports that
+    // this node received, and as last received from a lease candidate.
     evidence_report m_old_version_sum;
     evidence_report m_received_old_version_sum;
     std::uint32_t m_local_stage = 0;    // stage that m_local_evidence belongs to
@@ -148,7 +150,7 @@
 
 // Collects which members run a configuration version.
 struct collector_state {
-    std::uint64_t m_reported_version = 0; // last version reported as complete
+    std::uint64_t m_reported_version = 0; // last version in force in all shards collected here
     // Global collector: summaries of the version being collected, by data centre and shard.
     std::uint64_t m_collecting_version = 0;
     time_point m_collecting_since;
@@ -163,7 +165,7 @@
     bool m_no_member_found = false; // the store had no entry point, and no other target was known
     std::vector<entry_point> m_entry_points; // from the last list of the store
     time_point m_entry_points_listed_at;
-    bool m_mesh_first_start = false; // the first list had hardly any entry points
+    bool m_mesh_first_start = false; // few entry points in the first list: the whole mesh starts
     time_point m_next_discovery;     // when a watching member next looks for unknown members
     std::set<std::string> m_pending; // formatted addresses with an outstanding join request
     time_point m_first_attempt;
@@ -176,7 +178,7 @@
 // synchronised with a member.
 struct resync_state {
     time_point m_last_tick;
-    std::optional<time_point> m_refuse_until; // set while traffic is refused; refusal ends then
+    std::optional<time_point> m_refuse_until; // set while traffic is refused: the latest end
     bool m_peer_synced = false;               // a member's facts and text were received
 };
 
@@ -273,7 +275,9 @@
 
 // join.cpp: joining the mesh.
 
-// Sends join requests to entry points, known members or seeds until a member has answered.
+// Sends join requests to entry points, known members or seeds until a member has answered and a
+// configuration is in force. Where operators' items are read, then looks for members that this node
+// doesn't know.
 void tick_join(control& state, time_point now);
 // Sends a join request to an address unless one is outstanding. Readers also use it to reunite the
 // sides of a healed partition.
@@ -308,8 +312,8 @@
 
 // Writes a member's address to an entry point slot of the own data centre, for joining nodes.
 void write_entry_point(control& state, const std::string& slot, const ip_endpoint& address);
-// Keeps the operators' items up to date by lists and watches, and registers this node as an entry
-// point.
+// Keeps the operators' items up to date by lists and watches while this node is one of the watching
+// members. Other nodes read them only if no member supplies them.
 void tick_operator_watch(control& state, time_point now);
 // Encodes all items as one text; decode_items returns the items of such a text, or nullopt if it is
 // malformed.
@@ -341,7 +345,7 @@
 // wanted, otherwise releases it.
 void run_lease(control& state, lease_role& role, bool wanted);
 // Returns whether this node is a candidate for a role's lease among the members that satisfy the
-// filter. The result is cached for a second, since computing it walks the member table.
+// filter. The result is cached for a second, since computing it iterates over the member table.
 bool refresh_candidate(control& state, lease_role& role, time_point now,
                        const std::function<bool(const member&)>& filter);
 // Drives the reader and accepter roles and their leases.
@@ -374,7 +378,8 @@
 
 // in_force.cpp: collecting where a configuration version is in force, and its verdict.
 
-// As a collector, sends the summaries of its shards and writes verdicts when they are due.
+// Announces the version in force again and, as a collector, sends the summaries of its shards and
+// writes verdicts, when they are due.
 void tick_collector(control& state, time_point now);
 // Handles a shard's summary, which is sent to this node as the global collector.
 void receive_in_force_summary(control& state, const in_force_summary& summary);
--- a/src/node/gossip.cpp
+++ b/src/node/gossip.cpp
@@ -10,8 +10,8 @@
 namespace caraway {
 namespace {
 
-// Compares a member's bucket hashes with the own ones; the reply holds the members of the buckets
-// that differ.
+// Compares a member's bucket hashes with this node's; the reply holds this node's members of the
+// buckets that differ.
 bulk_reply serve_digest(control& state, const members_digest_request& request) {
     members_digest_reply reply;
     const std::vector<std::uint64_t> own = member_bucket_hashes(state.m_members);
--- a/src/node/in_force.cpp
+++ b/src/node/in_force.cpp
@@ -17,8 +17,9 @@
 // Number of shards of a data centre. With 1,750 members, each collector receives about 110 packets
 // for a change.
 constexpr std::uint32_t shard_count = 16;
-// Interval at which a node repeats its announcement, sends its summaries and evaluates received
-// ones, while there are any outstanding.
+// Interval at which a node repeats its announcement and sends its summaries until all shards that
+// it collects are complete, and at which the global collector evaluates the summaries until it has
+// written the verdict.
 constexpr milliseconds report_interval{500};
 // Number of latest versions whose verdicts are kept in the store.
 constexpr std::uint64_t kept_verdicts = 100;
--- a/src/node/join.cpp
+++ b/src/node/join.cpp
@@ -8,18 +8,20 @@
 namespace caraway {
 namespace {
 
-// Number of members asked per join attempt. While the store is down, the restart rule requires
-// three answers.
+// Number of members asked per join attempt. While the store is down, a node needs three replies
+// (join_replies_before_apply) before it applies a configuration.
 constexpr std::size_t join_targets = 3;
 // Number of attempts that use only the entry points of the own data centre, if it has many.
 constexpr std::uint32_t local_attempts = 2;
 // First pause after a failed attempt to join. It doubles up to the join_backoff_max setting.
 constexpr milliseconds first_join_backoff{100};
 // Entry points from the store are used for this long before the store is listed again. When all
-// nodes start together, most of them are up soon; a list per attempt cost the store 3 reads a node.
+// nodes start together, the listed ones are soon up; with a list for each attempt, the store served
+// 3 reads per node.
 constexpr milliseconds entry_points_lifetime{2'000};
-// When a whole deployment starts for the first time, the other nodes have written their entry
-// points after this time.
+// Pause before the next attempt if the store has no entry points and no other target is known. When
+// a whole deployment starts for the first time, the other nodes have written their entry points by
+// then.
 constexpr milliseconds first_entry_points_wait{500};
 // For completion_time after its start, a node sends join requests at this interval to entry points
 // that are not known members. When many nodes start together, those that answer first know only a
@@ -90,7 +92,7 @@
     }
 }
 
-// Sends join requests to some of the known members or seeds. Returns false if there are none left.
+// Sends join requests to some of the known members or seeds. Returns false if there is none to ask.
 bool ask_known_members(control& state) {
     std::vector<ip_endpoint> known = known_targets(state);
     join_through_random(state, known);
@@ -104,9 +106,9 @@
 // so that the first one fills it and the others find it filled.
 constexpr milliseconds slot_check_spread{500};
 
-// Nodes that start together begin to read the store at random times within this span per entry
-// point. The first ones read soon, but are few enough that the rest of a large fleet can receive
-// from them what they have read.
+// Nodes that start together begin to read the store at random times within this time multiplied by
+// the number of entry points. In a large fleet only a few nodes read early, and the others can
+// receive from them what they have read.
 constexpr milliseconds start_spread_per_entry{6};
 
 // Parses an entry point from its key, PREFIX followed by DATA_CENTRE/SLOT, and its value, an
@@ -123,8 +125,9 @@
                        *address};
 }
 
-// Replaces the known entry points by those listed in the store, without the own one. Also spreads
-// this node's first use of the store, and schedules a check of its slot if that is free.
+// Replaces the known entry points by those listed in the store, without this node's own. Also
+// chooses the random time at which this node begins to use the store, and schedules a check of its
+// own slot if that is free in the first list.
 void update_entry_points(control& state, std::span<const store_entry> entries) {
     join_state& join = state.m_join;
     operator_watch& watch = state.m_operator;
@@ -175,8 +178,8 @@
     join_through_random(state, unknown_entry_points(state.m_members, state.m_join.m_entry_points));
 }
 
-// Writes a live member to each slot whose entry point was not a known member's address at two
-// discoveries in a row, as happens after the loss of an instance.
+// Writes the address of a live member to each slot whose entry point was not a known member's
+// address at two discoveries in a row, as happens after the loss of an instance.
 void replace_unknown_entries(control& state) {
     operator_watch& watch = state.m_operator;
     const std::vector<std::string> previous_unknown = std::move(watch.m_unknown_slots);
@@ -231,9 +234,10 @@
 }
 
 // Sends join requests to some of the known members and entry points as soon as the store has listed
-// the latter. With a pause in between, as after a failed attempt, a restarted node lost 18 s while
-// most members were cut off. Without the store only known members are asked. Where no lease keeps
-// the entry points up to date, known members are asked first, which saves a store call.
+// the entry points. When the requests waited for the next attempt, a restarted node lost 18 s while
+// most members were unreachable. If the list fails, only known members and entry points listed
+// earlier are asked. Where no lease keeps the entry points up to date, known members are asked
+// first, which saves a store call.
 void ask_members(control& state) {
     join_state& join = state.m_join;
     if (state.reads_operator_items() && ask_known_members(state)) {
@@ -274,8 +278,9 @@
 // Reads the accepted record, which sets the minimum version that this node may apply. The text
 // comes from members. Only a node that finds no member, or gets no answer from the first ones it
 // asked, reads the full text from the store, so that a mass join costs the store two small reads
-// per node. A node that had not asked the members it could find became ready with an empty table,
-// mistook one member for all registrars of an idempotency key and executed the call again.
+// per node. It asks the members that it can find first: a node that had not done so became ready
+// with an empty member table, mistook one member for all registrars of an idempotency key and
+// executed a call again.
 void read_min_version(control& state) {
     state.m_store->get(accepted_key, [&state](const store_reply& reply) {
         if (reply.m_kind == error_kind::store_not_found) {
@@ -303,31 +308,33 @@
 } // namespace
 
 void join_through(control& state, const ip_endpoint& address) {
-    const std::string name = format_endpoint(address);
-    if (!state.m_join.m_pending.insert(name).second) {
+    const std::string formatted_address = format_endpoint(address);
+    if (!state.m_join.m_pending.insert(formatted_address).second) {
         return;
     }
     join_request request{state.m_members.m_self};
-    send_bulk(state, address, request, [&state, name](const std::optional<bulk_reply>& reply) {
-        state.m_join.m_pending.erase(name);
-        const auto* joined = reply ? std::get_if<join_reply>(&*reply) : nullptr;
-        if (joined == nullptr || joined->m_members.empty()) {
-            return;
-        }
-        state.m_join.m_complete = true;
-        const std::string& through = joined->m_members.front().m_instance;
-        const std::uint64_t version = joined->m_members.front().m_config_version;
-        log_event(log_level::info, "joined",
-                  {{"through", through},
-                   {"members", static_cast<std::uint64_t>(joined->m_members.size())},
-                   {"peer_version", version}});
-        perform(state, membership_merge(state.m_members, joined->m_members, state.now()));
-        merge_facts(state, joined->m_suspensions, joined->m_records, false);
-        perform(state, decide_join_reply(state, through, version, joined->m_predecessor_version));
-        if (joined->m_config) {
-            receive_text(state, through, *joined->m_config);
-        }
-    });
+    send_bulk(state, address, request,
+              [&state, formatted_address](const std::optional<bulk_reply>& reply) {
+                  state.m_join.m_pending.erase(formatted_address);
+                  const auto* joined = reply ? std::get_if<join_reply>(&*reply) : nullptr;
+                  if (joined == nullptr || joined->m_members.empty()) {
+                      return;
+                  }
+                  state.m_join.m_complete = true;
+                  const std::string& through = joined->m_members.front().m_instance;
+                  const std::uint64_t version = joined->m_members.front().m_config_version;
+                  log_event(log_level::info, "joined",
+                            {{"through", through},
+                             {"members", static_cast<std::uint64_t>(joined->m_members.size())},
+                             {"peer_version", version}});
+                  perform(state, membership_merge(state.m_members, joined->m_members, state.now()));
+                  merge_facts(state, joined->m_suspensions, joined->m_records, false);
+                  perform(state, decide_join_reply(state, through, version,
+                                                   joined->m_predecessor_version));
+                  if (joined->m_config) {
+                      receive_text(state, through, *joined->m_config);
+                  }
+              });
 }
 
 join_reply serve_join(control& state, const join_request& request) {
--- a/src/node/move_control.cpp
+++ b/src/node/move_control.cpp
@@ -12,11 +12,13 @@
 namespace caraway {
 namespace {
 
-// Interval at which backend sides report and the evidence is evaluated. The test needs at least two
-// intervals; with intervals of 1 s, a version that failed under load was suspended a second later.
+// Interval at which backend sides report and the evidence is evaluated. The evidence test needs at
+// least two intervals, so with intervals of 1 s a version that failed under load was suspended a
+// second later.
 constexpr milliseconds evidence_interval{500};
-// Interval at which the holder checks the record. With an interval of 1 s, each of the last four
-// stages lost up to a second of the time that remains after a store outage.
+// Interval at which the holder of a move checks whether the next step is due. With an interval of a
+// second, each of the last four stages lost up to a second of the time that remains after a store
+// outage.
 constexpr milliseconds step_interval{200};
 constexpr milliseconds store_retry_pause{500};
 // Maximum number of reports kept between two evaluations: several per instance of a large service.
@@ -196,7 +198,8 @@
     return sum;
 }
 
-// Adds the reports of the last interval, including the own one, to the evidence and evaluates it.
+// Adds the reports of the last interval, including this node's own, to the evidence and evaluates
+// it.
 evidence_result evaluate_reports(control& state, const service_spec& service) {
     move_role& role = state.m_move;
     role.m_old_version_sum = sum_reports(role.m_reports, service.m_version);
@@ -233,7 +236,7 @@
 
 // Returns the members that may hold the move's lease, which can include this node. All of them
 // receive the reports, so that the evidence is evaluated and the version suspended even while the
-// holder is dead or paused, and the next holder has the evidence of the last one.
+// holder is dead or paused, and the next holder already has the evidence.
 std::vector<const member*> evidence_targets(const control& state, const service_spec& service) {
     const std::string role = "caraway/lease/move/" + service.m_name;
     std::vector<const member*> targets{&state.m_members.m_self};
@@ -387,8 +390,8 @@
     if (role.m_call_pending || now < role.m_retry_at || (now < role.m_next_step && !must_stop)) {
         return;
     }
-    // The next step follows a finished store call immediately. With a pause after the read and
-    // after the takeover, a move close to its deadline would lose two seconds after a store outage.
+    // The next step follows a finished store call immediately. Pauses of 1 s after the read and
+    // after the takeover would cost a move close to its deadline two seconds after a store outage.
     step_holder(state, *service);
     if (!role.m_call_pending) {
         role.m_next_step = now + step_interval;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -19,7 +19,8 @@
 // Interval of the control loop. Probe timeouts are 300 ms, so 20 ms adds little to any reaction.
 constexpr milliseconds tick_interval{20};
 // A leaving node keeps running at least this long, and for refusal_time after it begins to refuse
-// new work, so that its leave spreads and calls sent before the senders learnt of it are answered.
+// new work, so that its leave spreads and calls that were sent before the sender learnt of it are
+// answered.
 constexpr milliseconds min_drain_time{1'000};
 constexpr milliseconds refusal_time{300};
 // If one reader dies, the other still watches the store, so that no change is missed until the dead
@@ -30,8 +31,9 @@
 // runs, so that a process that is killed has logged most of its counts.
 constexpr milliseconds byte_log_interval{10'000};
 
-// Nodes on a platform that start together join through a few arbitrary others, so their member
-// tables are incomplete during this time after the start.
+// Time after the start in which member tables are compared more often. Where entry points have no
+// lease, nodes that start together join through a few arbitrary others, so their tables are
+// incomplete for this long.
 constexpr milliseconds member_complete_time{6'000};
 
 // Returns the seed from the settings, or a random one if that is 0.
@@ -93,7 +95,8 @@
         create_lease_keeper("caraway/lease/accepter", m_settings, m_random(), clock.now());
     m_own_view = make_own_server_view(*this);
     if (reads_operator_items()) {
-        // The store never loses an acknowledged write, so no text waits for replicas.
+        // The store itself accepts configurations here and never loses an acknowledged write, so a
+        // text is applied without waiting until other members hold it.
         m_distribution.m_required_replicas = 0;
     }
 }
@@ -163,15 +166,17 @@
 
     void reload(const node_settings& settings) {
         node_settings& current = m_state.m_settings;
-        node_settings unchanged = settings;
-        unchanged.m_report_interval = current.m_report_interval;
-        unchanged.m_drain_timeout = current.m_drain_timeout;
-        unchanged.m_announce_time = current.m_announce_time;
-        unchanged.m_fetch_timeout = current.m_fetch_timeout;
-        unchanged.m_join_backoff_max = current.m_join_backoff_max;
-        unchanged.m_joins_per_second = current.m_joins_per_second;
-        unchanged.m_seeds = current.m_seeds;
-        log_event(log_level::info, "settings_reloaded", {{"needs_restart", unchanged != current}});
+        // The new settings except for those that can change while the process runs. Any remaining
+        // difference needs a restart.
+        node_settings compared = settings;
+        compared.m_report_interval = current.m_report_interval;
+        compared.m_drain_timeout = current.m_drain_timeout;
+        compared.m_announce_time = current.m_announce_time;
+        compared.m_fetch_timeout = current.m_fetch_timeout;
+        compared.m_join_backoff_max = current.m_join_backoff_max;
+        compared.m_joins_per_second = current.m_joins_per_second;
+        compared.m_seeds = current.m_seeds;
+        log_event(log_level::info, "settings_reloaded", {{"needs_restart", compared != current}});
         current.m_report_interval = settings.m_report_interval;
         current.m_drain_timeout = settings.m_drain_timeout;
         current.m_announce_time = settings.m_announce_time;
@@ -182,8 +187,8 @@
     }
 
 private:
-    // Returns the operation and the category of its key, as the label in the store_interface log
-    // line.
+    // Returns the field name of a call in the log event store_calls: the operation and the category
+    // of the key, such as list.entry_points.
     std::string store_call_label(const store_command& command) const {
         const auto category = [this, &command]() -> std::string_view {
             const adapter& platform_adapter = m_state.m_adapter;
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -16,8 +16,9 @@
 
 class node {
 public:
-    // Binds all addresses and starts the traffic threads, and the timers on the context, which the
-    // caller runs. Returns null and sets reason to invalid_settings if an address can't be bound.
+    // Binds all addresses, starts the traffic threads and posts the control loop to the context,
+    // which the calling code must run. Returns null and sets reason to invalid_settings if an
+    // address can't be bound.
     static std::unique_ptr<node> start(boost::asio::io_context& context,
                                        const node_settings& settings, adapter platform_adapter,
                                        const clock_source& clock, error& reason);
@@ -27,13 +28,14 @@
     node& operator=(node&&) = delete;
     ~node();
 
-    // Begins a graceful shutdown: announces the leave, rejects new work as not run, lets calls in
-    // progress finish within the drain timeout, releases the leases and stops the context.
+    // Begins a graceful shutdown: announces the leave, then answers new calls with an error that
+    // states that they did not run, lets calls in progress finish within the drain timeout,
+    // releases the leases and stops the context.
     void shut_down();
 
-    // Applies the settings that can change while the process runs: seeds, the join rate, and the
-    // times of reports, shutdown and peer requests. Addresses and names don't change; a difference
-    // in them is logged as needing a restart.
+    // Applies the settings that can change while the process runs: seeds, joins_per_second,
+    // join_backoff_max, report_interval, fetch_timeout, drain_timeout and announce_time. Logs
+    // whether any other setting differs, which needs a restart.
     void reload(const node_settings& settings);
 
 private:
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -18,8 +18,8 @@
 // How long the store may hold a watch open. Keep-alive probes detect a dead connection earlier.
 constexpr milliseconds watch_timeout{10'000};
 // Base of the pause after failed calls. Each consecutive failure doubles the pause up to
-// `max_retry_pause`; a random time below the pause is added, so that the nodes of a fleet don't
-// call in step.
+// `max_retry_pause`; a random time below the pause is added, so that the nodes of a fleet don't all
+// call at the same time.
 constexpr milliseconds retry_pause{100};
 constexpr milliseconds max_retry_pause{800};
 // How often a node determines again whether it must watch the store.
@@ -30,7 +30,8 @@
 // Consecutive failed calls after which a watcher announces that it can't reach the store, so that
 // the next candidates start to watch.
 constexpr std::uint32_t failures_before_lost = 2;
-// A node that no longer calls the store withdraws the announcement of its loss after this time.
+// Time after which a node that no longer calls the store withdraws its announcement that it can't
+// reach the store.
 constexpr milliseconds store_lost_announcement_time{5'000};
 // How often all items are read again, in case a watch missed a change.
 constexpr milliseconds relist_interval{30'000};
@@ -131,8 +132,8 @@
         current_watch.m_call_pending = false;
         update_store_access(state, reply);
         if (reply.m_kind != error_kind::none) {
-            // If the store no longer has the history since `m_after`, it can't report what changed,
-            // so all items are read again.
+            // If the store no longer has the history since `m_watch_revision`, it can't report what
+            // changed, so all items are read again.
             current_watch.m_listed = reply.m_kind != error_kind::store_not_found;
             schedule_retry(state);
             return;
--- a/src/node/recorded.cpp
+++ b/src/node/recorded.cpp
@@ -24,7 +24,8 @@
                       keeper.m_next_attempt);
 }
 
-// Returns whether an event may find a version to fetch or to apply.
+// Returns whether a fetch is pending, a version newer than the ones held is known, or a held
+// version waits to be applied.
 bool has_pending_work(const distribution_state& state) {
     return state.m_fetch_from || state.m_highest_known > held_version(state) ||
            !state.m_candidates.empty();
@@ -326,7 +327,7 @@
 move_record decide_move_start(const control& state, const service_spec& service) {
     const wall_time wall_time_now = state.m_clock.wall_now();
     const std::string& id = state.m_move.m_move_id;
-    // A duration counts from the order, which this node first saw at `m_ordered_at`.
+    // A duration counts from the time at which this node first saw the order.
     const auto time_since_order =
         std::chrono::duration_cast<milliseconds>(state.now() - state.m_move.m_first_seen_at);
     const wall_time deadline = service.m_move->m_order_revision == 0
--- a/src/node/server_reports.cpp
+++ b/src/node/server_reports.cpp
@@ -8,7 +8,8 @@
 namespace caraway {
 namespace {
 
-// A server that missed this many reports is considered dead. Reports may be seconds late.
+// Number of report intervals without a report after which the server is considered dead. Reports
+// may be seconds late.
 constexpr int max_missed_reports = 4;
 
 // Announces a change in the member data by which the other nodes route.
@@ -58,7 +59,7 @@
     return {200, "application/json", "{}"};
 }
 
-// Handles a leave of the server with the given name; answers an unreadable one with 400.
+// Handles a leave notice of the server with the given name; answers an unreadable one with 400.
 admin_answer handle_leave(control& state, std::string_view server, std::string_view body) {
     error reason;
     const auto leave = state.m_adapter.m_report_interface.m_decode_leave(server, body, reason);
--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -3,8 +3,8 @@
 namespace caraway {
 namespace {
 
-// Returns true if the data centre accepts new work: the text lists it and it is not out. Unlisted
-// ones accept work, too, if m_lists_data_centres is false.
+// Returns true if the data centre accepts new work: the text lists it as in service. Unlisted ones
+// accept work, too, if m_lists_data_centres is false.
 bool accepts_work(const mesh& config, std::string_view data_centre) {
     const auto found = config.m_data_centres.find(data_centre);
     return found == config.m_data_centres.end() ? !config.m_lists_data_centres
@@ -80,7 +80,8 @@
          input.m_wall_now - elapsed});
 }
 
-// Adds the periods in which a member was lost, if they are open or ended within the retention time.
+// Adds the periods in which a member was suspect or dead and which still continue or ended within
+// the retention time.
 void add_losses(routing_snapshot& snapshot, const tracked_member& tracked,
                 const snapshot_input& input) {
     const auto service = snapshot.m_services.find(tracked.m_member.m_service);
--- a/src/node/snapshot_builder.hpp
+++ b/src/node/snapshot_builder.hpp
@@ -33,8 +33,8 @@
                                                        counter_map& counters);
 
 // Returns why the own backend server accepts no new work, or error_kind::none if it does. Reasons
-// are that the node is draining, the data centre is out, the version is suspended or taken back, or
-// the version is neither the one served nor a move's target.
+// are that the node is draining, the data centre is out of service, the version is suspended or
+// taken back, or the version is neither the one served nor a move's target.
 error_kind own_refusal(const mesh& config, const member& self, const fact_table& facts,
                        bool draining);
 
--- a/src/node/store_roles.cpp
+++ b/src/node/store_roles.cpp
@@ -1,5 +1,5 @@
-// Roles that a node holds by a lease in the store: calls of the leases, and the readers, which
-// watch the accepted state and serve as entry points.
+// Roles that a node holds by a lease in the store: the store calls for the leases, and the readers,
+// which watch the accepted state and serve as entry points.
 #include "base/hash.hpp"
 #include "node/control.hpp"
 #include "node/recorded.hpp"
@@ -20,8 +20,7 @@
                       state.now());
 }
 
-// Passes the text of the accepted record to the distribution unless it doesn't match the record's
-// hash.
+// Passes the text of the accepted record to the distribution if it matches the record's hash.
 void apply_accepted_text(control& state, const accepted_record& record, std::string text) {
     if (hash_bytes(text) != record.m_hash) {
         return; // the next list reads it again
@@ -127,9 +126,9 @@
 }
 
 // Joins the mesh again when the reader lease is held by an instance that is not in the member
-// table. Instances that started in a partition and joined only each other stayed apart after it had
-// healed. Those of them that try for the lease, in a small table all of them, detect the other side
-// here.
+// table. Without this, instances that started in a partition and joined only each other stayed
+// separate after it had healed. The candidates for the lease, which are all members of a small
+// table, detect the other side here.
 void rejoin_on_unknown_holder(control& state, lease_keeper& keeper) {
     const std::string_view holder = other_holder(keeper);
     if (holder.empty() || holder == state.m_settings.m_instance ||
@@ -148,8 +147,8 @@
         refresh_candidate(state, role.m_lease, now, [&own_data_centre](const member& m) {
             return m.m_data_centre == own_data_centre;
         });
-    // An instance holds at most one of the two reader leases of its data centre while other
-    // instances could take the second.
+    // An instance doesn't compete for a reader lease while it holds or competes for the other one
+    // of its data centre, so that two instances read.
     bool holds_other = false;
     for (const auto& other : state.m_readers) {
         holds_other = holds_other || (other.get() != &role &&
--- a/src/peer/transport.cpp
+++ b/src/peer/transport.cpp
@@ -188,7 +188,7 @@
         if (status == 0) {
             nng_socket_set_size(pending->m_socket, NNG_OPT_RECVMAXSZ, max_bulk_bytes);
             // By default nng sends the request again on a new connection. That is turned off, since
-            // the callers decide about retries.
+            // the calling code decides about retries.
             nng_socket_set_ms(pending->m_socket, NNG_OPT_REQ_RESENDTIME, NNG_DURATION_INFINITE);
             status = nng_aio_alloc(&pending->m_aio, &impl::on_client_event, pending.get());
         }
@@ -222,6 +222,7 @@
     }
 
 private:
+    // Receives and answers one request after another.
     struct serving_slot {
         impl* m_owner = nullptr;
         nng_ctx m_context = NNG_CTX_INITIALIZER;
@@ -229,6 +230,7 @@
         bool m_sending = false;
     };
 
+    // An outgoing request. Its callbacks own it until finish() frees it.
     struct pending_request {
         std::weak_ptr<impl> m_owner;
         asio::io_context* m_context = nullptr;
--- a/src/peer/wire.cpp
+++ b/src/peer/wire.cpp
@@ -32,7 +32,7 @@
 constexpr std::size_t max_repeated_entries = 2 * (max_members + max_facts) + 64;
 
 // Protobuf logs damaged messages to standard error, where the log holds JSON lines only. The
-// handler is removed, since the caller reports the damage.
+// handler is removed, since the calling code reports the damage.
 [[maybe_unused]] const auto previous_log_handler = google::protobuf::SetLogHandler(nullptr);
 
 // Converts a number to an enumeration. Numbers above the last known value, which newer nodes may
--- a/src/peer/wire.hpp
+++ b/src/peer/wire.hpp
@@ -16,17 +16,18 @@
 
 namespace caraway {
 
-// A compressed configuration text: a zstd frame of the whole text, or of its difference from the
-// text of m_base_version.
+// A compressed configuration text: a zstd frame of the full text, or of a delta from the text of
+// m_base_version.
 struct packed_text {
     std::uint64_t m_version = 0;
     std::uint64_t m_hash = 0;
-    std::uint64_t m_base_version = 0; // 0 if m_compressed holds the whole text
+    std::uint64_t m_base_version = 0; // 0 if m_compressed holds the full text
     std::uint64_t m_size = 0;         // size of the decompressed text in bytes
     std::string m_compressed;
 };
 
-// Asks a member for its view of the mesh on behalf of a starting node.
+// Sent by a starting node to a member to get the members, the configuration and the facts that it
+// knows.
 struct join_request {
     member m_self;
 };
@@ -38,6 +39,8 @@
     std::optional<packed_text> m_config;
     std::vector<suspension> m_suspensions;
     std::vector<move_record> m_records;
+    // Highest configuration version reported under the joining instance's name, across restarts; 0
+    // if unknown.
     std::uint64_t m_predecessor_version = 0;
 };
 // Asks a peer for a configuration text of at least m_want_version. m_have_version is the version
@@ -71,14 +74,14 @@
 struct merge_members_request {
     std::vector<member> m_members;
 };
-// Number of members of one shard of a data centre that have a version in force. Sent to the global
-// collector.
+// Sent to the global collector: how many members of one shard of a data centre have a version in
+// force.
 struct in_force_summary {
     std::string m_data_centre;
     std::uint32_t m_shard = 0;
     std::uint64_t m_version = 0;
     std::uint32_t m_in_force = 0;
-    std::uint32_t m_members = 0;
+    std::uint32_t m_members = 0;        // all live members of the shard
     std::vector<std::string> m_missing; // at most max_missing_names instances
 };
 // Acknowledges a request that has no other reply.
@@ -106,8 +109,8 @@
 std::string encode_reply(const bulk_reply& value);
 std::optional<bulk_reply> decode_reply(std::string_view bytes, error& reason);
 
-// Compresses a text. If base is not empty, encodes only the difference from it. Compressing a
-// megabyte takes well below 10 ms at the zstd level used; a small change of it takes a few hundred
+// Compresses a text. If base is not empty, encodes only the delta from it. Compressing a megabyte
+// takes well below 10 ms at the zstd level used; the delta of a small change takes a few hundred
 // bytes.
 packed_text pack_text(std::uint64_t version, std::uint64_t hash, std::string_view text,
                       std::uint64_t base_version, std::string_view base);
@@ -117,17 +120,17 @@
 std::optional<std::string> unpack_text(const packed_text& packed, std::string_view base,
                                        error& reason);
 
-// Encodes a compressed text as the store holds it. Used for whole accepted texts, deltas of
-// accepted texts and the difference of a submitted text.
+// Encodes a compressed text as the store holds it. Used for accepted texts, in full or as deltas,
+// and for the delta of a submitted text.
 std::string encode_stored_text(packed_text packed);
 // Decodes the result of encode_stored_text. Fails with peer_bad_message if it is malformed.
 std::optional<packed_text> decode_stored_text(std::string_view value, error& reason);
 
-// Encodes a whole text as the store holds it. Returns the text itself if compression doesn't make
-// it smaller, since the store accepts values only up to the maximum size of a text.
+// Encodes a full text as the store holds it. Returns the text itself if compression doesn't make it
+// smaller, since the store accepts values only up to the maximum size of a text.
 std::string encode_full_text(std::uint64_t version, std::uint64_t hash, std::string_view text);
 
-// Decodes a whole text from its stored form or from the plain text. Fails with peer_bad_message if
+// Decodes a full text from its stored form or from the plain text. Fails with peer_bad_message if
 // unpack_text does or if the hash of the text differs from hash.
 std::optional<std::string> decode_full_text(std::string_view value, std::uint64_t hash,
                                             error& reason);
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -60,8 +60,9 @@
     // Lists like list(), but may return data that is some seconds old, which costs the service
     // less.
     void list_stale(std::string_view prefix, store_callback done);
-    // Waits up to wait for a change of a key with the prefix after store revision after. An empty
-    // reply with the same revision means that nothing changed.
+    // Returns the changes of keys with the prefix since the store revision `after`. If there are
+    // none, waits for one for at most `wait`. An empty reply with the same revision means that
+    // nothing changed.
     void watch(std::string_view prefix, std::uint64_t after, milliseconds wait,
                store_callback done);
     // Like list() and watch(), but without the values, for keys with large values.
--- a/src/store/store_codec.hpp
+++ b/src/store/store_codec.hpp
@@ -22,18 +22,23 @@
     bool m_deleted = false;
 };
 
-// Reply to one store call. m_kind is none on success, or one of: store_conflict if a
-// compare-and-swap lost, with the key's current revision in m_revision; store_not_found for an
-// absent key, and for a watch whose history is no longer available; store_lease_lost if the lease
-// is gone; store_throttled at the rate limit; store_unreachable if the store did nothing;
-// store_outcome_unknown if the request may have taken effect.
+// Reply to one store call. Members name the operations that set them. m_kind is none on success,
+// otherwise one of:
+// - store_conflict: a compare-and-swap failed; m_revision is the key's current revision
+// - store_not_found: the key is absent, or the history that a watch needs is no longer available
+// - store_lease_lost: the lease has ended
+// - store_value_too_large: the value exceeds the store's limit
+// - store_throttled: the rate limit of the store is reached
+// - store_unreachable: the request can't have changed anything: it was not sent, the store didn't
+//   execute it, or it is a read without a reply
+// - store_outcome_unknown: a write may have taken effect, or the reply is malformed or unexpected
 struct store_reply {
     error_kind m_kind = error_kind::none;
     std::uint64_t m_revision = 0;
     std::string m_value;                // get
     std::vector<store_entry> m_entries; // list, watch
     bool m_has_more = false;            // list: further pages follow the last entry
-    std::string m_lease;                // create_lease
+    std::string m_lease;                // create_lease: id of the new lease
     std::string m_text;                 // description of a failure, for logs
 };
 
@@ -66,12 +71,12 @@
     // put, remove: the operation requires that the key has this revision; 0 requires that it is
     // absent.
     std::optional<std::uint64_t> m_if_revision;
-    std::string m_lease;          // put: lease of the key; renew, end: lease to change
-    std::string m_after_key;      // list: first key is the one after this
+    std::string m_lease;          // put: lease of the key; renew_lease, end_lease: lease to change
+    std::string m_after_key;      // list: only keys after this one
     bool m_allow_stale = false;   // list: a replica may answer with data some seconds old
     std::uint64_t m_revision = 0; // watch: changes after this store revision
-    milliseconds m_wait{0};       // watch
-    milliseconds m_period{0};     // create_lease
+    milliseconds m_wait{0};       // watch: maximum time to wait for a change
+    milliseconds m_period{0};     // create_lease: the lease ends if not renewed within it
 };
 
 // An HTTP request to the store.
@@ -81,7 +86,7 @@
     std::string m_body;
 };
 
-// An HTTP response of the store. The views must outlive the call of m_decode.
+// An HTTP response of the store. The views must stay valid during the call of m_decode.
 struct store_http_response {
     unsigned m_status = 0;
     std::string_view m_revision_header; // x-revision
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -247,8 +247,8 @@
     BOOST_TEST(parse_faults(large).size() == 5U);
 }
 
-// Guards against refusing an unrelated change because the text still contains a move that has its
-// verdict and whose deadline has passed.
+// Guards against refusing an unrelated change because the text still contains a move that has ended
+// and whose deadline has passed.
 BOOST_AUTO_TEST_CASE(old_move_of_the_previous_mesh_may_be_past_its_deadline) {
     const std::string text = std::string(s_valid_text) +
                              "[service.alpha.move]\nto = \"2\"\ndeadline = 2027-01-16T00:00:00Z\n";
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -80,7 +80,7 @@
         !decode_request(message_with_repeated_field(3, 4 * max_members), reason).has_value());
 }
 
-// Guards against rejecting a whole member table with all facts for its number of entries.
+// Guards against a limit of entries that rejects a full member table with all facts.
 BOOST_AUTO_TEST_CASE(join_reply_of_maximum_size_is_decoded) {
     join_reply sent;
     sent.m_members.assign(max_members, sample_member(1));
@@ -131,7 +131,7 @@
     BOOST_TEST(encode_packet(sent).size() <= max_packet_bytes);
 }
 
-// Guards against sending whole texts for small changes, which would exceed the bound of control
+// Guards against sending full texts for small changes, which would exceed the bound of control
 // bytes.
 BOOST_AUTO_TEST_CASE(deltas_are_small_and_exact) {
     const std::string before = sample_text(-1);
@@ -150,7 +150,7 @@
     BOOST_TEST(!unpack_text(damaged, before, reason));
 }
 
-// Guards against a stored whole text that is too large for the store, can't be restored, or is
+// Guards against a stored full text that is too large for the store, can't be restored, or is
 // accepted as the text of another version.
 BOOST_AUTO_TEST_CASE(stored_full_texts_restore_the_text) {
     random_source random(5);
@@ -189,8 +189,8 @@
     }
 }
 
-// Guards against lost callbacks. Each request gets exactly one callback, also if the peer is gone
-// or silent, and the transport can be closed with requests in progress.
+// Guards against lost callbacks. Each request gets exactly one callback, even if the peer is
+// unreachable, and the transport can be closed with requests in progress.
 BOOST_AUTO_TEST_CASE(bulk_requests_complete_exactly_once) {
     boost::asio::io_context context;
     const auto work = boost::asio::make_work_guard(context);
