--- a/src/config/mesh.hpp
+++ b/src/config/mesh.hpp
@@ -111,10 +111,10 @@
 };
 
 // Parses and validates a text. On failure, returns nothing and fills faults with every fault found
-// in one pass, ordered by line. Rejects a move whose deadline is not after now, unless previous
-// (the mesh in force, may be null) contains the same move, since a text may still list a move that
-// has ended. For a text that has been accepted, pass wall_time{} as now, since its deadlines were
-// checked at acceptance.
+// in one pass, ordered by line. Rejects a move whose deadline is not after now. A move that
+// previous (the mesh in force, may be null) also contains is allowed, since the text may still list
+// a move that has ended. For a text that has been accepted, pass wall_time{} as now, since its
+// deadlines were checked at acceptance.
 std::optional<mesh> parse_mesh(std::string_view text, wall_time now, const mesh* previous,
                                std::vector<text_fault>& faults);
 
