--- a/src/peer/wire.cpp
+++ b/src/peer/wire.cpp
@@ -28,7 +28,8 @@
 
 // Upper bound of the repeated entries in one bulk message: a whole member table with all facts. An
 // empty member takes 2 bytes on the wire and about 500 in memory, so with only the size limit of 8
-// MiB one message could allocate 2 GB. Members and facts count twice, see count_repeated_entries.
+// MiB one message could allocate 2 GB. Members count twice, since count_repeated_entries also
+// counts their names; the factor applies to facts, too.
 constexpr std::size_t max_repeated_entries = 2 * (max_members + max_facts) + 64;
 
 // Protobuf logs damaged messages to standard error, where the log holds JSON lines only. The
