--- a/src/node/in_force.cpp
+++ b/src/node/in_force.cpp
@@ -17,8 +17,9 @@
 // Number of shards of a data centre. With 1,750 members, each collector receives about 110 packets
 // for a change.
 constexpr std::uint32_t shard_count = 16;
-// Interval at which a node repeats its announcement, sends its summaries and evaluates received
-// ones, while there are any outstanding.
+// Interval at which a node repeats its announcement and sends its summaries until all shards that
+// it collects are complete, and at which the global collector evaluates the summaries until it has
+// written the verdict.
 constexpr milliseconds report_interval{500};
 // Number of latest versions whose verdicts are kept in the store.
 constexpr std::uint64_t kept_verdicts = 100;
@@ -94,7 +95,7 @@
         }
         const in_force_report report = make_shard_report(state, shard, version);
         complete = complete && report.m_in_force == report.m_members;
-        const in_force_request summary{state.m_settings.m_data_centre,
+        const in_force_summary summary{state.m_settings.m_data_centre,
                                        shard,
                                        version,
                                        static_cast<std::uint32_t>(report.m_in_force),
@@ -183,7 +184,7 @@
     state.m_udp->send(collector.m_udp, encode_packet(announcement));
 }
 
-void receive_in_force_summary(control& state, const in_force_request& summary) {
+void receive_in_force_summary(control& state, const in_force_summary& summary) {
     collector_state& collector = state.m_collector;
     if (summary.m_version < collector.m_collecting_version) {
         return;
@@ -196,7 +197,7 @@
     collector.m_summaries[{summary.m_data_centre, summary.m_shard}] = summary;
 }
 
-void tick_in_force(control& state, time_point now) {
+void tick_collector(control& state, time_point now) {
     collector_state& collector = state.m_collector;
     if (now < collector.m_next_report) {
         return;
--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -3,8 +3,8 @@
 namespace caraway {
 namespace {
 
-// Returns true if the data centre accepts new work: the text lists it and it is not out. Unlisted
-// ones accept work, too, if m_lists_data_centres is false.
+// Returns true if the data centre accepts new work: the text lists it as in service. Unlisted ones
+// accept work, too, if m_lists_data_centres is false.
 bool accepts_work(const mesh& config, std::string_view data_centre) {
     const auto found = config.m_data_centres.find(data_centre);
     return found == config.m_data_centres.end() ? !config.m_lists_data_centres
@@ -80,7 +80,8 @@
          input.m_wall_now - elapsed});
 }
 
-// Adds the periods in which a member was lost, if they are open or ended within the retention time.
+// Adds the periods in which a member was suspect or dead and which still continue or ended within
+// the retention time.
 void add_losses(routing_snapshot& snapshot, const tracked_member& tracked,
                 const snapshot_input& input) {
     const auto service = snapshot.m_services.find(tracked.m_member.m_service);
@@ -139,7 +140,7 @@
     snapshot->m_ready = input.m_ready && input.m_mesh != nullptr;
     snapshot->m_draining = input.m_draining;
     snapshot->m_mesh = input.m_mesh;
-    snapshot->m_own_server = input.m_own;
+    snapshot->m_own_server = input.m_own_server_view;
     if (!input.m_mesh) {
         snapshot->m_own_refusal = error_kind::node_not_ready;
         return snapshot;
@@ -150,7 +151,7 @@
     }
     drop_forgotten_counters(counters, members);
     member self = members.m_self;
-    self.m_ready = input.m_ready && input.m_own.m_refusal == error_kind::none;
+    self.m_ready = input.m_ready && input.m_own_server_view.m_refusal == error_kind::none;
     self.m_state = input.m_draining ? member_state::left : member_state::alive;
     add_member(*snapshot, self, members.m_self, counters);
     for (const auto& [name, tracked] : members.m_members) {
@@ -163,8 +164,8 @@
     snapshot->m_own_data_centre_out = !accepts_work(*input.m_mesh, self.m_data_centre);
     snapshot->m_own_refusal =
         own_refusal(*input.m_mesh, members.m_self, *input.m_facts, input.m_draining);
-    if (input.m_own.m_refusal != error_kind::none) {
-        snapshot->m_own_refusal = input.m_own.m_refusal;
+    if (input.m_own_server_view.m_refusal != error_kind::none) {
+        snapshot->m_own_refusal = input.m_own_server_view.m_refusal;
     }
     return snapshot;
 }
--- a/src/node/snapshot_builder.hpp
+++ b/src/node/snapshot_builder.hpp
@@ -25,7 +25,7 @@
     const fact_table* m_facts = nullptr;
     time_point m_now; // with m_wall_now, converts the departure times of members to wall-clock time
     wall_time m_wall_now;
-    own_server_view m_own;
+    own_server_view m_own_server_view;
 };
 
 // Builds the snapshot. Adds counters for new instances and removes those of forgotten ones.
@@ -33,8 +33,8 @@
                                                        counter_map& counters);
 
 // Returns why the own backend server accepts no new work, or error_kind::none if it does. Reasons
-// are that the node is draining, the data centre is out, the version is suspended or taken back, or
-// the version is neither the one served nor a move's target.
+// are that the node is draining, the data centre is out of service, the version is suspended or
+// taken back, or the version is neither the one served nor a move's target.
 error_kind own_refusal(const mesh& config, const member& self, const fact_table& facts,
                        bool draining);
 
