--- a/tests/integration/calls_test.py
+++ b/tests/integration/calls_test.py
@@ -32,9 +32,9 @@
     return mesh
 
 
-def load(mesh, name, *options):
-    return mesh.load(name, *options, direct=True,
-                     targets=[i.name for i in mesh.of_service("gate")])
+def start_load(mesh, name, *options):
+    return mesh.start_load(name, *options, direct=True,
+                           targets=[i.name for i in mesh.of_service("gate")])
 
 
 def work_names(mesh):
@@ -46,21 +46,22 @@
     without notice (guarantee 5)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 3, service_ms=20, slots=12, cold_s=4)
-        calls = load(mesh, "cold", "--path", "/read/a", "--rate", 200, "--duration-s", 17)
+        calls = start_load(mesh, "cold", "--path", "/read/a", "--rate", 200, "--duration-s", 17)
         time.sleep(8)
-        first = [mesh.executions(n) for n in work_names(mesh)]
-        assert all(c["falls"] == 0 for c in first), [c["falls"] for c in first]
-        assert not any(c["cold"] for c in first), "still cold: the load did not warm it"
+        counts_before = [mesh.executions(n) for n in work_names(mesh)]
+        assert all(c["falls"] == 0 for c in counts_before), [c["falls"] for c in counts_before]
+        assert not any(c["cold"] for c in counts_before), "still cold: the load did not warm it"
         for name in work_names(mesh)[:2]:
             mesh.set_server_fault(name, cold=True)
             time.sleep(4)
         summary = mesh.summary(calls)
-        last = [mesh.executions(n) for n in work_names(mesh)]
+        counts_after = [mesh.executions(n) for n in work_names(mesh)]
         # The first sign that a server is cold again is a slow or failed answer: one fall may be
         # that sign, and a second one means that it was ignored.
-        assert all(c["falls"] <= 1 for c in last), [c["falls"] for c in last]
-        assert all(c["max_concurrency"] <= 12 for c in last), last
-        return f"falls {[c['falls'] for c in last]}; {check_calls(summary)}; {mesh.finish()}"
+        assert all(c["falls"] <= 1 for c in counts_after), [c["falls"] for c in counts_after]
+        assert all(c["max_concurrency"] <= 12 for c in counts_after), counts_after
+        return \
+            f"falls {[c['falls'] for c in counts_after]}; {check_calls(summary)}; {mesh.finish()}"
 
 
 def test_truncated_and_late_answers():
@@ -70,24 +71,24 @@
         start_mesh(mesh, 3, gates=2, service_ms=5)
         mesh.set_server_fault("work-0", truncate_permille=100)
         mesh.set_server_fault("work-1", answer_delay_ms=150)
-        cut_load = load(mesh, "cut", "--path", "/read/a", "--path", "/book/b", "--rate", 80,
-                     "--duration-s", 9, "--response-bytes", 20000)
-        late_load = load(mesh, "late", "--path", "/read/a", "--path", "/book/b", "--rate", 60,
-                    "--duration-s", 9, "--response-bytes", 3000, "--deadline-ms", 120)
+        cut_load = start_load(mesh, "cut", "--path", "/read/a", "--path", "/book/b", "--rate", 80,
+                              "--duration-s", 9, "--response-bytes", 20000)
+        late_load = start_load(mesh, "late", "--path", "/read/a", "--path", "/book/b", "--rate", 60,
+                               "--duration-s", 9, "--response-bytes", 3000, "--deadline-ms", 120)
         truncations = 0
         while cut_load.running():
             for name in work_names(mesh):
                 mesh.set_link_fault(f"traffic/{name}", truncate_after_bytes=700)
             truncations += 1
             time.sleep(0.5)
-        cut, slow = mesh.summary(cut_load), mesh.summary(late_load)
-        figures = [check_calls(s, unknown=None) for s in (cut, slow)]
+        cut_summary, late_summary = mesh.summary(cut_load), mesh.summary(late_load)
+        totals = [check_calls(s, unknown=None) for s in (cut_summary, late_summary)]
         # The faults took effect: truncated answers became unknown outcomes.
-        assert cut["unknown"] > 0 and truncations > 5, cut
-        assert slow["unknown"] + slow["deadline"] > 0, slow
+        assert cut_summary["unknown"] > 0 and truncations > 5, cut_summary
+        assert late_summary["unknown"] + late_summary["deadline"] > 0, late_summary
         checked = sum(mesh.check_not_run(mesh.records(load_program))
                       for load_program in (cut_load, late_load))
-        return f"cut: {figures[0]}; late: {figures[1]}; {checked} refusals true; {mesh.finish()}"
+        return f"cut: {totals[0]}; late: {totals[1]}; {checked} refusals checked; {mesh.finish()}"
 
 
 def test_killed_with_calls_under_way():
@@ -95,7 +96,7 @@
     received, and against running it twice (guarantees 8 and 9)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 5, service_ms=60)
-        calls = load(mesh, "book", "--path", "/book/b", "--rate", 100, "--duration-s", 10)
+        calls = start_load(mesh, "book", "--path", "/book/b", "--rate", 100, "--duration-s", 10)
         time.sleep(2)
         mesh.instances["work-0"].server.kill()
         time.sleep(1.5)
@@ -115,7 +116,7 @@
         started = sum(mesh.executions(n)["started"] for n in alive)
         others = [r for r in records if r["outcome"] not in ("answered", "not-run")]
         run_counts = [mesh.run_count(r["number"], alive) for r in others]
-        assert all(t <= 1 for t in run_counts), run_counts
+        assert all(count <= 1 for count in run_counts), run_counts
         answered = sum(r["outcome"] == "answered" and r["instance"] not in killed for r in records)
         assert started == answered + sum(run_counts), (started, answered, sum(run_counts))
         return f"{check_calls(summary, unknown=None)}; {checked} refusals true; {mesh.finish()}"
@@ -127,8 +128,8 @@
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 5, gates=3, service_ms=10)
         time.sleep(KEYS_READY_S)
-        calls = load(mesh, "keyed", "--path", "/book/b", "--rate", 100, "--duration-s", 16,
-                     "--keyed-permille", 1000, "--resend")
+        calls = start_load(mesh, "keyed", "--path", "/book/b", "--rate", 100, "--duration-s", 16,
+                           "--keyed-permille", 1000, "--resend")
         rng = random.Random(seed())
         restarts = 0
         while calls.running():
@@ -146,7 +147,7 @@
         mesh.wait_ready()
         summary = mesh.summary(calls)
         started = mesh.check_run_once(mesh.records(calls), work_names(mesh))
-        return f"{restarts} faults, {summary['resent']} sent again, {started} runs, doubled 0; " \
+        return f"{restarts} faults, {summary['resent']} sent again, {started} runs, none twice; " \
                f"{check_calls(summary, unknown=None)}; {mesh.finish()}"
 
 
@@ -156,21 +157,21 @@
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 2, service={"slots": 2, "queue": 8}, service_ms=40, slots=2)
         # Two servers with two slots and 40 ms serve 100 calls/s.
-        calls = load(mesh, "overload", "--path", "/poll/a:6", "--path", "/alarm/b:1", "--rate",
-                     200, "--duration-s", 8)
+        calls = start_load(mesh, "overload", "--path", "/poll/a:6", "--path", "/alarm/b:1",
+                           "--rate", 200, "--duration-s", 8)
         summary = mesh.summary(calls)
         servers = [mesh.executions(n) for n in work_names(mesh)]
         assert all(c["shed"] == 0 and c["max_concurrency"] <= 2 for c in servers), servers
-        answered_shares = {}
+        answered = {}
         for path, counted in summary["by_path"].items():
             sent = sum(counted["outcomes"].values())
-            answered_shares[path] = counted["outcomes"].get("answered", 0) / sent
-        assert answered_shares["/alarm/b"] > answered_shares["/poll/a"], answered_shares
+            answered[path] = counted["outcomes"].get("answered", 0) / sent
+        assert answered["/alarm/b"] > answered["/poll/a"], answered
         checked = mesh.check_not_run(mesh.records(calls))
         assert checked > 0, summary
         # Late calls were cancelled, so a server starts no more calls than the callers sent.
-        return f"answered: {answered_shares['/alarm/b']:.0%} of urgent calls, {answered_shares['/poll/a']:.0%} of " \
-               f"polls; {checked} refusals true; {check_calls(summary, None)}; {mesh.finish()}"
+        return f"answered: {answered['/alarm/b']:.0%} of alarms, {answered['/poll/a']:.0%} of " \
+               f"polls; {checked} refusals checked; {check_calls(summary, None)}; {mesh.finish()}"
 
 
 def test_chains_seven_deep():
@@ -187,23 +188,23 @@
         mesh.wait_members()
         time.sleep(KEYS_READY_S)
 
-        def chain(name, hops, **more):
-            return mesh.load(name, "--path", "/c1", "--chain", ",".join(hops), "--rate", 30,
-                             "--duration-s", 4, "--keyed-permille", 500, "--resend",
-                             targets=["c1-0"], direct=True, **more)
+        def start_chain_load(name, hops, **more):
+            return mesh.start_load(name, "--path", "/c1", "--chain", ",".join(hops), "--rate", 30,
+                                   "--duration-s", 4, "--keyed-permille", 500, "--resend",
+                                   targets=["c1-0"], direct=True, **more)
 
-        whole_load = chain("seven", [f"/{n}" for n in names[1:]])
+        whole_load = start_chain_load("seven", [f"/{n}" for n in names[1:]])
         summary = mesh.summary(whole_load)
         assert summary["answered"] == summary["sent"], summary
         counts = [mesh.executions(f"{n}-0")["started"] for n in names]
         assert counts == [summary["sent"]] * 7, counts
-        eighth_load = chain("eight", [f"/{n}" for n in names[1:]] + ["/c1"])
-        eighth_summary = mesh.summary(eighth_load)
+        eight_hop_load = start_chain_load("eight", [f"/{n}" for n in names[1:]] + ["/c1"])
+        eight_hop_summary = mesh.summary(eight_hop_load)
         counts = [mesh.executions(f"{n}-0")["started"] for n in names]
-        assert counts == [summary["sent"] + eighth_summary["sent"]] * 7, \
-            (counts, eighth_summary["sent"])
-        mesh.check_not_run(mesh.records(eighth_load))
-        broken_load = chain("broken", [f"/{n}" for n in names[1:]])
+        assert counts == [summary["sent"] + eight_hop_summary["sent"]] * 7, \
+            (counts, eight_hop_summary["sent"])
+        mesh.check_not_run(mesh.records(eight_hop_load))
+        broken_load = start_chain_load("broken", [f"/{n}" for n in names[1:]])
         time.sleep(1)
         mesh.instances["c5-0"].node.kill()
         time.sleep(1)
--- a/tests/integration/config_faults_test.py
+++ b/tests/integration/config_faults_test.py
@@ -33,8 +33,8 @@
 
 
 def start_load(mesh, name, seconds, rate=60, targets=None):
-    return mesh.load(name, "--path", "/alpha/x:2", "--path", "/beta/y:1", "--rate", rate,
-                     "--duration-s", seconds, targets=targets)
+    return mesh.start_load(name, "--path", "/alpha/x:2", "--path", "/beta/y:1", "--rate", rate,
+                           "--duration-s", seconds, targets=targets)
 
 
 def wait_accepted(mesh, version, timeout_s=15):
@@ -44,10 +44,10 @@
     return time.monotonic()
 
 
-def wait_in_force(mesh, version, since, names=None):
+def wait_in_force(mesh, version, start_time, names=None):
     """Fails if a node lacks the version 18 s after the given time; returns the seconds taken."""
-    mesh.wait_version(version, max(0.1, CONVERGENCE_S - (time.monotonic() - since)), names)
-    return time.monotonic() - since
+    mesh.wait_version(version, max(0.1, CONVERGENCE_S - (time.monotonic() - start_time)), names)
+    return time.monotonic() - start_time
 
 
 def test_store_fails_right_after_acceptance():
@@ -56,12 +56,12 @@
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         load = start_load(mesh, "away", 11)
-        elapsed_s = []
+        times_s = []
         for version, fault in ((2, "down"), (3, "stall")):
             mesh.apply(text(slots=10 + version))
-            since = wait_accepted(mesh, version)
+            accepted_at = wait_accepted(mesh, version)
             mesh.set_store_fault(**{fault: True})
-            elapsed_s.append(wait_in_force(mesh, version, since))
+            times_s.append(wait_in_force(mesh, version, accepted_at))
             time.sleep(2.5)
             mesh.set_store_fault(**{fault: False})
             wait_ignoring_errors(lambda: mesh.lease_holders("accepter"), 15, "an accepter again")
@@ -69,7 +69,7 @@
         calls = check_calls(mesh.summary(load))
         mesh.set_store_fault(down=False)
         assert mesh.accepted_version() == 3
-        return f"in force after {elapsed_s[0]:.2f} s and {elapsed_s[1]:.2f} s; {calls}; {mesh.finish()}"
+        return f"in force after {times_s[0]:.2f} and {times_s[1]:.2f} s; {calls}; {mesh.finish()}"
 
 
 def test_store_down_for_the_whole_load():
@@ -90,7 +90,7 @@
     past its lease, and against a late writer that restores an older version."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
-        elapsed_s = []
+        times_s = []
         version = 1
 
         def holders(role):
@@ -110,8 +110,8 @@
             paused_at = time.monotonic()
             others = [n for n in mesh.instances if n not in failed_nodes]
             # The next accepter comes within a lease period; the target counts from acceptance.
-            since = wait_accepted(mesh, version)
-            elapsed_s.append(wait_in_force(mesh, version, since, others))
+            accepted_at = wait_accepted(mesh, version)
+            times_s.append(wait_in_force(mesh, version, accepted_at, others))
             if kind == "pause":
                 time.sleep(max(0, 6 - (time.monotonic() - paused_at)))  # lease period: 5 s
             for name in failed_nodes:
@@ -119,7 +119,7 @@
             wait_in_force(mesh, version, time.monotonic())
         assert mesh.accepted_version() == version
         mesh.wait_ready()
-        return ("in force after " + ", ".join(f"{t:.2f}" for t in elapsed_s) +
+        return ("in force after " + ", ".join(f"{t:.2f}" for t in times_s) +
                 f" s; {mesh.finish()}")
 
 
@@ -143,8 +143,9 @@
                     continue
                 with open(path) as source:
                     edited = source.read().replace(f"queue = {base + edits[service]}\n", "")
-                edited = edited.replace(f"[service.{service}]\n",
-                                        f"[service.{service}]\nqueue = {base + 1 + edits[service]}\n")
+                edited = edited.replace(
+                    f"[service.{service}]\n",
+                    f"[service.{service}]\nqueue = {base + 1 + edits[service]}\n")
                 with open(path, "w") as out:
                     out.write(edited)
                 if mesh.ctl("apply", path, "--by", service, check=False).returncode == 0:
@@ -156,7 +157,7 @@
             operator.start()
         for operator in operators:
             operator.join()
-        since = time.monotonic()
+        edits_ended_at = time.monotonic()
         mesh.set_store_fault(lose_answers_permille=0, drop_watch_events_permille=0)
         final = http("GET", mesh.store_port, "/v1/kv/caraway/text")[2].decode()
         for service, count in edits.items():
@@ -173,10 +174,10 @@
             return completed.returncode == 0 and completed.stdout == "no change\n"
 
         wait_ignoring_errors(newest_accepted, CONVERGENCE_S, "the newest text accepted")
-        elapsed_s = wait_in_force(mesh, mesh.accepted_version(), since)
+        elapsed_s = wait_in_force(mesh, mesh.accepted_version(), edits_ended_at)
         calls = check_calls(mesh.summary(load))
-        return (f"{edits['alpha']}+{edits['beta']} edits, version {mesh.accepted_version()} in force"
-                f" {elapsed_s:.2f} s after the last; {calls}; {mesh.finish()}")
+        return (f"{edits['alpha']}+{edits['beta']} edits, version {mesh.accepted_version()} in "
+                f"force {elapsed_s:.2f} s after the last; {calls}; {mesh.finish()}")
 
 
 def test_bad_text_is_refused_whole():
@@ -185,46 +186,46 @@
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 4)
         load = start_load(mesh, "refused", 9)
-        bad = [
+        bad_texts = [
             text(out=["west"], routes={"/gamma": {"service": "gamma"}}),
             text(out=["west"]) + "[service.alpha]\nslots = 1\n",
             text(out=["west"]) + '\n[[route]]\npath = "/beta"\nservice = "alpha"\n',
             text(out=["west"])[:-30],
         ]
-        for broken in bad:
-            before = http("GET", mesh.store_port, "/v1/kv/caraway/text")[1]["x-revision"]
+        for bad_text in bad_texts:
+            text_revision = http("GET", mesh.store_port, "/v1/kv/caraway/text")[1]["x-revision"]
             path = f"{mesh.dir}/bad.toml"
             with open(path, "w") as out:
-                out.write(broken)
-            assert mesh.ctl("apply", path, "--from", before, check=False).returncode == 1
+                out.write(bad_text)
+            assert mesh.ctl("apply", path, "--from", text_revision, check=False).returncode == 1
             # Another writer bypasses the operator's check.
-            http_put(mesh, "caraway/text", broken)
+            http_put(mesh, "caraway/text", bad_text)
 
-            def refused():
+            def refusal_recorded():
                 record = http("GET", mesh.store_port, "/v1/kv/caraway/state/refused")[2].decode()
-                now = http("GET", mesh.store_port, "/v1/kv/caraway/text")[1]["x-revision"]
-                return f'"source_revision":{now}' in record.replace(" ", "")
+                revision = http("GET", mesh.store_port, "/v1/kv/caraway/text")[1]["x-revision"]
+                return f'"source_revision":{revision}' in record.replace(" ", "")
 
-            wait_ignoring_errors(refused, CONVERGENCE_S, "the refusal")
+            wait_ignoring_errors(refusal_recorded, CONVERGENCE_S, "the refusal")
         time.sleep(1)
         assert mesh.accepted_version() == 1
         for name in mesh.instances:
             assert mesh.applied_versions(name) == [1], mesh.applied_versions(name)
             assert not mesh.log_lines(name, "data_centre_out")
         # A service with its route is added without any instance, called at once, and removed again.
-        since = time.monotonic()
-        extra = mesh.load("gamma", "--path", "/gamma/z", "--rate", 100, "--duration-s", 3,
-                          targets=["alpha-0"])
+        started_at = time.monotonic()
+        gamma_load = mesh.start_load("gamma", "--path", "/gamma/z", "--rate", 100,
+                                     "--duration-s", 3, targets=["alpha-0"])
         mesh.apply(text(services={"gamma": {"version": "1"}},
                         routes={"/gamma": {"service": "gamma"}}))
-        elapsed_s = wait_in_force(mesh, 2, since)
-        gamma = mesh.summary(extra)  # each call is refused, none hangs or is misrouted
-        assert gamma["not_run"] == gamma["sent"], gamma
+        elapsed_s = wait_in_force(mesh, 2, started_at)
+        gamma_summary = mesh.summary(gamma_load)  # each call is refused, none hangs or is misrouted
+        assert gamma_summary["not_run"] == gamma_summary["sent"], gamma_summary
         mesh.apply(text())
         wait_in_force(mesh, 3, time.monotonic())
         summary = mesh.summary(load)
         assert summary["answered"] == summary["sent"], summary["not_run_reasons"]
-        return f"{len(bad)} texts refused; valid one in force after {elapsed_s:.2f} s; " \
+        return f"{len(bad_texts)} texts refused; valid one in force after {elapsed_s:.2f} s; " \
                f"{check_calls(summary)}; {mesh.finish()}"
 
 
@@ -262,10 +263,10 @@
         restart(east[0], 3)
         restart(west[0], 2)
         mesh.cut_data_centre("west", cut=False)
-        since = time.monotonic()
+        healed_at = time.monotonic()
         restart(east[1], 3)
         restart(west[1], 3)
-        elapsed_s = wait_in_force(mesh, 3, since)
+        elapsed_s = wait_in_force(mesh, 3, healed_at)
         mesh.set_store_fault(down=False)
         calls = check_calls(mesh.summary(load), unknown=None)
         return f"all at version 3 {elapsed_s:.2f} s after the cut healed; {calls}; {mesh.finish()}"
@@ -280,26 +281,26 @@
         restarted, lagging = names[0], [names[1], names[3]]
         up_to_date = [n for n in names[1:] if n not in lagging]
 
-        def call_nodes(which, action):
-            for name in which:
+        def signal_nodes(node_names, action):
+            for name in node_names:
                 getattr(mesh.instances[name].node, action)()
 
         mesh.apply(text(slots=9))
         mesh.wait_version(2, CONVERGENCE_S)
-        call_nodes(lagging, "pause")
+        signal_nodes(lagging, "pause")
         mesh.apply(text(slots=8))
-        since = wait_accepted(mesh, 3)
-        wait_in_force(mesh, 3, since, [restarted, *up_to_date])
+        accepted_at = wait_accepted(mesh, 3)
+        wait_in_force(mesh, 3, accepted_at, [restarted, *up_to_date])
         mesh.set_store_fault(down=True)
         mesh.instances[restarted].node.kill()
-        call_nodes(up_to_date, "pause")
-        call_nodes(lagging, "resume")
+        signal_nodes(up_to_date, "pause")
+        signal_nodes(lagging, "resume")
         mesh.start_node(restarted)
         time.sleep(4)  # only nodes with version 2 answer
         assert not mesh.status(restarted)["ready"], mesh.applied_versions(restarted)
-        call_nodes(up_to_date, "resume")
-        since = time.monotonic()
-        elapsed_s = wait_in_force(mesh, 3, since)
+        signal_nodes(up_to_date, "resume")
+        resumed_at = time.monotonic()
+        elapsed_s = wait_in_force(mesh, 3, resumed_at)
         mesh.set_store_fault(down=False)
         assert mesh.applied_versions(restarted)[-1] == 3
         return f"version 3 {elapsed_s:.2f} s after the others answered; {mesh.finish()}"
--- a/tests/integration/ctl_test.py
+++ b/tests/integration/ctl_test.py
@@ -35,8 +35,8 @@
     def ctl(self, *arguments):
         """Returns the exit code and what was printed."""
         completed = subprocess.run([os.path.join(self.harness.bins, "carawayctl"), "--store",
-                               self.address, *arguments],
-                              capture_output=True, text=True, timeout=60)
+                                    self.address, *arguments],
+                                   capture_output=True, text=True, timeout=60)
         return completed.returncode, completed.stdout + completed.stderr
 
     def text(self):
@@ -68,7 +68,8 @@
         assert 'timeout = "2s"' in store.text()
         # The writer that won can apply again without fetching first.
         expect(store.ctl("apply", copies[0], "--by", "ana"), 0)
-        expect(store.ctl("check", store.write("bad.toml", TEXT + "slots = 3\n")), 1, "bad.toml:11:1")
+        expect(store.ctl("check", store.write("bad.toml", TEXT + "slots = 3\n")), 1,
+               "bad.toml:11:1")
         expect(store.ctl("apply", harness.path("bad.toml"), "--from", "1"), 1, "unknown key")
 
 
@@ -125,7 +126,7 @@
         verdicts = mesh.ctl("verdicts").stdout
         assert "version 1: in force" in verdicts and "version 2: in force" in verdicts, verdicts
 
-        load = mesh.load("calls", "--duration-s", "2", "--rate", "50", "--path", "/alpha/x")
+        load = mesh.start_load("calls", "--duration-s", "2", "--rate", "50", "--path", "/alpha/x")
         mesh.summary(load)
         assert mesh.stop_nodes() == [0, 0, 0]
         audit = mesh.audit()
--- a/tests/integration/data_centre_test.py
+++ b/tests/integration/data_centre_test.py
@@ -31,10 +31,10 @@
     return [i.name for i in mesh.in_data_centre(data_centre)]
 
 
-def accept(mesh, content):
+def apply_and_wait_accepted(mesh, new_text):
     """Applies a text and waits for its acceptance; returns its version and the Unix time in ms."""
     version = mesh.accepted_version() + 1
-    mesh.apply(content)
+    mesh.apply(new_text)
     wait_ignoring_errors(lambda: mesh.accepted_version() >= version, CONVERGENCE_S, "acceptance")
     return version, time.time() * 1000
 
@@ -43,9 +43,9 @@
     return max(mesh.executions(name)["last_started_ms"] for name in names_in(mesh, data_centre))
 
 
-def load(mesh, seconds, targets, rate=150, name="load"):
-    return mesh.load(name, "--path", "/read/a:2", "--path", "/cycle/b:1", "--rate", rate,
-                     "--duration-s", seconds, targets=targets, direct=True)
+def start_load(mesh, seconds, targets, rate=150, name="load"):
+    return mesh.start_load(name, "--path", "/read/a:2", "--path", "/cycle/b:1", "--rate", rate,
+                           "--duration-s", seconds, targets=targets, direct=True)
 
 
 def is_serving(mesh, data_centre):
@@ -59,23 +59,23 @@
     overload of cold servers at its return. Callers enter in all data centres."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, cold_s=2)
-        calls = load(mesh, 18, None)
+        calls = start_load(mesh, 18, None)
         time.sleep(4)
-        _, accepted_ms = accept(mesh, text(["harris"]))
+        _, accepted_ms = apply_and_wait_accepted(mesh, text(["harris"]))
         time.sleep(STOP_LIMIT_S + 2)
         last_call_s = (last_start_ms(mesh, "harris") - accepted_ms) / 1000
         assert last_call_s <= STOP_LIMIT_S, f"last call {last_call_s:.2f} s after acceptance"
         for name in names_in(mesh, "harris"):
             mesh.set_server_fault(name, cold=True)
-        accept(mesh, text())
+        apply_and_wait_accepted(mesh, text())
         return_s = wait_ignoring_errors(lambda: is_serving(mesh, "harris"), CONVERGENCE_S,
                                         "work again")
         summary = mesh.summary(calls)
         falls = [mesh.executions(n)["falls"] for n in names_in(mesh, "harris")]
         assert falls == [0, 0], falls
         assert summary["answered"] == summary["sent"], summary["not_run_reasons"]
-        return f"last call {last_call_s:.2f} s after acceptance, works {return_s:.2f} s after return; " \
-               f"{check_calls(summary)}; {mesh.finish()}"
+        return f"last call {last_call_s:.2f} s after acceptance, works {return_s:.2f} s after " \
+               f"return; {check_calls(summary)}; {mesh.finish()}"
 
 
 def test_killed_whole():
@@ -83,14 +83,14 @@
     against a mesh that no longer accepts changes."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, service_ms=40)  # some calls are under way at the kill
-        entries = names_in(mesh, "martin") + names_in(mesh, "thurlow")
-        calls = load(mesh, 16, entries)
+        entry_names = names_in(mesh, "martin") + names_in(mesh, "thurlow")
+        calls = start_load(mesh, 16, entry_names)
         time.sleep(3)
         for name in names_in(mesh, "harris"):
             mesh.instances[name].node.kill()
             mesh.instances[name].server.kill()
         killed_ms = time.time() * 1000
-        version, _ = accept(mesh, text(["harris"]))
+        version, _ = apply_and_wait_accepted(mesh, text(["harris"]))
         elapsed_s = mesh.wait_version(version, CONVERGENCE_S)
         for name in names_in(mesh, "harris"):
             mesh.start_instance(name)
@@ -98,23 +98,24 @@
         mesh.wait_version(version, CONVERGENCE_S)
         time.sleep(1)
         assert last_start_ms(mesh, "harris") == 0, "work in a data centre that is out"
-        accept(mesh, text())
+        apply_and_wait_accepted(mesh, text())
         # Entries prefer their own data centre, so this one gets calls from its own entries.
-        inside = load(mesh, 30, names_in(mesh, "harris"), 60, "inside")
+        inside_load = start_load(mesh, 30, names_in(mesh, "harris"), 60, "inside")
         return_s = wait_ignoring_errors(lambda: is_serving(mesh, "harris"), CONVERGENCE_S,
                                         "work again")
-        inside.terminate()
-        check_calls(mesh.summary(inside))
+        inside_load.terminate()
+        check_calls(mesh.summary(inside_load))
         summary = mesh.summary(calls)
         records = mesh.records(calls)
         # Nothing fails once the failure is detected and the change is in force.
         failed = [r["sent_ms"] - killed_ms for r in records if r["outcome"] != "answered"]
         assert all(f <= CONVERGENCE_S * 1000 for f in failed), failed
-        last_failure_s = max(failed, default=0) / 1000
-        assert last_failure_s <= STOP_LIMIT_S, \
-            f"a call failed that was sent {last_failure_s:.2f} s after the kill"
-        return f"out in force after {elapsed_s:.2f} s, works {return_s:.2f} s after its return; {len(failed)} calls failed, the last {last_failure_s:.2f} s "\
-               f"after the kill; {check_calls(summary, None)}; {mesh.finish()}"
+        last_s = max(failed, default=0) / 1000
+        assert last_s <= STOP_LIMIT_S, \
+            f"a call failed that was sent {last_s:.2f} s after the kill"
+        return \
+            f"in force in {elapsed_s:.2f} s, works {return_s:.2f} s after return; {len(failed)} " \
+            f"failed, last {last_s:.2f} s after kill; {check_calls(summary, None)}; {mesh.finish()}"
 
 
 def test_cut_off():
@@ -122,36 +123,37 @@
     after the cut, and against work there although the store says that it is out."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
-        entries = names_in(mesh, "martin") + names_in(mesh, "thurlow")
-        calls = load(mesh, 16, entries)
-        inside = load(mesh, 60, names_in(mesh, "harris"), 60, "inside")
+        entry_names = names_in(mesh, "martin") + names_in(mesh, "thurlow")
+        calls = start_load(mesh, 16, entry_names)
+        inside_load = start_load(mesh, 60, names_in(mesh, "harris"), 60, "inside")
         time.sleep(2)
         mesh.cut_data_centre("harris")
         cut_ms = time.time() * 1000
         time.sleep(1)
-        version, accepted_ms = accept(mesh, text(["harris"]))
-        mesh.wait_version(version, CONVERGENCE_S, entries)
+        version, accepted_ms = apply_and_wait_accepted(mesh, text(["harris"]))
+        mesh.wait_version(version, CONVERGENCE_S, entry_names)
         time.sleep(STOP_LIMIT_S)
         last_call_s = (last_start_ms(mesh, "harris") - accepted_ms) / 1000
         assert last_call_s <= STOP_LIMIT_S, f"last call {last_call_s:.2f} s after acceptance"
         mesh.cut_data_centre("harris", cut=False)
-        healed = time.monotonic()
+        healed_at = time.monotonic()
         mesh.wait_version(version, CONVERGENCE_S)
-        version, _ = accept(mesh, text())
+        version, _ = apply_and_wait_accepted(mesh, text())
         mesh.wait_version(version, CONVERGENCE_S)
         wait_ignoring_errors(lambda: is_serving(mesh, "harris"), CONVERGENCE_S, "work again")
-        return_s = time.monotonic() - healed
-        inside.terminate()
-        within = check_calls(mesh.summary(inside), None)
+        return_s = time.monotonic() - healed_at
+        inside_load.terminate()
+        inside_totals = check_calls(mesh.summary(inside_load), None)
         summary = mesh.summary(calls)
-        failed = [r["sent_ms"] - cut_ms for r in mesh.records(calls) if r["outcome"] != "answered"]
+        failed = [r["sent_ms"] - cut_ms for r in mesh.records(calls)
+                  if r["outcome"] != "answered"]
         last_failure_s = max(failed, default=0) / 1000
         assert last_failure_s <= STOP_LIMIT_S, \
             f"a call failed that was sent {last_failure_s:.2f} s after the cut"
         checked = mesh.check_not_run(mesh.records(calls))
-        return f"last call {last_call_s:.2f} s after acceptance, works {return_s:.2f} s after the cut healed; "\
-               f"{len(failed)} failed; {checked} refusals true; {check_calls(summary, None)}; " \
-               f"inside: {within}; {mesh.finish()}"
+        return f"last call {last_call_s:.2f} s after acceptance, works {return_s:.2f} s after " \
+               f"the cut healed; {len(failed)} failed; {checked} refusals checked; " \
+               f"{check_calls(summary, None)}; inside: {inside_totals}; {mesh.finish()}"
 
 
 def test_flapping():
@@ -160,11 +162,11 @@
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         mesh.set_link_fault("udp/*", loss_permille=50)
-        calls = load(mesh, 14, None)
+        calls = start_load(mesh, 14, None)
         for turn in range(6):
-            accept(mesh, text(["harris"] if turn % 2 == 0 else ["martin"]))
+            apply_and_wait_accepted(mesh, text(["harris"] if turn % 2 == 0 else ["martin"]))
             time.sleep(0.5)
-        version, accepted_ms = accept(mesh, text(["harris"]))
+        version, accepted_ms = apply_and_wait_accepted(mesh, text(["harris"]))
         mesh.wait_version(version, CONVERGENCE_S)
         time.sleep(STOP_LIMIT_S + 1)
         last_call_s = (last_start_ms(mesh, "harris") - accepted_ms) / 1000
@@ -172,8 +174,8 @@
         wait_ignoring_errors(lambda: is_serving(mesh, "martin"), CONVERGENCE_S, "work in martin")
         summary = mesh.summary(calls)
         checked = mesh.check_not_run(mesh.records(calls))
-        return f"version {version}, last call {last_call_s:.2f} s after acceptance; {checked} refusals " \
-               f"true; {check_calls(summary)}; {mesh.finish()}"
+        return f"version {version}, last call {last_call_s:.2f} s after acceptance; {checked} " \
+               f"refusals checked; {check_calls(summary)}; {mesh.finish()}"
 
 
 if __name__ == "__main__":
--- a/tests/integration/harness.py
+++ b/tests/integration/harness.py
@@ -219,12 +219,12 @@
             started_program.wait_event(ready, timeout_s)
         return started_program
 
-    def load(self, *arguments, name="load"):
+    def start_load(self, *arguments, name="load"):
         """Starts a load generator with the run's seed, unless --seed is given. Returns the
         program; load_result takes it."""
-        return self.start("load_generator", "--out", self.path(name + ".json"), "--records",
-                          self.path(name + ".records"), "--run-id", name, "--seed", seed(), *arguments,
-                          name=name, ready="started")
+        return self.start("load_generator", "--out", self.path(name + ".json"),
+                          "--records", self.path(name + ".records"), "--run-id", name,
+                          "--seed", seed(), *arguments, name=name, ready="started")
 
     def load_result(self, program, timeout_s=120):
         """Waits until a load generator ends. Returns its summary and its records."""
@@ -246,15 +246,17 @@
     def run(test):
         start = time.monotonic()
         try:
-            figures = test() or ""
+            details = test() or ""
             passed, result = True, "ok"
         except Exception as error:  # an exception fails only its own test
             frames = traceback.extract_tb(error.__traceback__)
-            location = " < ".join(f"{os.path.basename(f.filename)}:{f.lineno}" for f in frames[::-1])
-            passed, result, figures = False, f"FAILED {type(error).__name__}: {error}", location
+            location = " < ".join(f"{os.path.basename(f.filename)}:{f.lineno}"
+                                  for f in frames[::-1])
+            passed, result, details = False, f"FAILED {type(error).__name__}: {error}", location
         with print_lock:
-            print(f"{test.__name__}: {result} ({time.monotonic() - start:.1f} s) {figures}".rstrip(),
-                  flush=True)
+            print(
+                f"{test.__name__}: {result} ({time.monotonic() - start:.1f} s) {details}".rstrip(),
+                flush=True)
         return passed
 
     with concurrent.futures.ThreadPoolExecutor(max_parallel) as pool:
--- a/tests/integration/leave_test.py
+++ b/tests/integration/leave_test.py
@@ -25,9 +25,9 @@
     return mesh
 
 
-def load(mesh, seconds, rate=120):
-    return mesh.load("load", "--path", "/read/a:1", "--path", "/book/b:1", "--rate", rate,
-                     "--duration-s", seconds, targets=["gate-0", "gate-1"], direct=True)
+def start_load(mesh, seconds, rate=120):
+    return mesh.start_load("load", "--path", "/read/a:1", "--path", "/book/b:1", "--rate", rate,
+                           "--duration-s", seconds, targets=["gate-0", "gate-1"], direct=True)
 
 
 def stop_instance(mesh, name):
@@ -35,12 +35,12 @@
     the last new call."""
     instance = mesh.instances[name]
     assert instance.node.stop() == 0, f"{name}: exit {instance.node.process.returncode}"
-    leaving = mesh.log_lines(name, "leaving")[-1]["time"]
+    leaving_ms = mesh.log_lines(name, "leaving")[-1]["time"]
     drained = mesh.log_lines(name, "drained")[-1]
     assert drained["calls_cut"] == 0, drained
-    last = mesh.executions(name)["last_started_ms"]
+    last_started_ms = mesh.executions(name)["last_started_ms"]
     assert instance.server.stop() == 0
-    return (last - leaving) / 1000
+    return (last_started_ms - leaving_ms) / 1000
 
 
 def restart_instance(mesh, name):
@@ -60,8 +60,10 @@
     calls are under way (guarantees 10 and 11)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 4, service_ms=200)
-        calls = load(mesh, 14, rate=50)  # 10 calls under way at any time; two instances have 24 slots
-        time.sleep(7)  # during the 5 s cold start they have 6 slots, fewer than 10 concurrent calls need
+        # At any time 10 calls are under way. The two instances that stay have 24 slots, but only 6
+        # during their cold start of 5 s, so the test waits until it has ended.
+        calls = start_load(mesh, 14, rate=50)
+        time.sleep(7)
         last_call_s = []
         for name in ("work-0", "work-1"):
             wait_ignoring_errors(lambda name=name: mesh.executions(name)["running"] > 0, 5,
@@ -69,16 +71,16 @@
             last_call_s.append(stop_instance(mesh, name))
             time.sleep(0.5)
         assert max(last_call_s) <= STOP_LIMIT_S, last_call_s
-        return (f"last new calls {last_call_s[0]:+.2f} and {last_call_s[1]:+.2f} s after the announcement; "
-                f"{check_all_answered(mesh.summary(calls))}; {mesh.finish()}")
+        return (f"last new calls {last_call_s[0]:+.2f} and {last_call_s[1]:+.2f} s after the "
+                f"announcement; {check_all_answered(mesh.summary(calls))}; {mesh.finish()}")
 
 
 def test_stop_with_slow_calls_under_way():
     """Guards against a stop that doesn't wait for calls of several seconds (guarantee 11)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 4, service_ms=2000)  # each call takes 1 s to 3 s
-        calls = mesh.load("slow", "--path", "/survey/a", "--rate", 1, "--duration-s", 90,
-                          targets=["gate-0", "gate-1"], direct=True)
+        calls = mesh.start_load("slow", "--path", "/survey/a", "--rate", 1, "--duration-s", 90,
+                                targets=["gate-0", "gate-1"], direct=True)
         last_call_s = []
         remaining = [f"work-{i}" for i in range(4)]
 
@@ -93,8 +95,8 @@
             last_call_s.append(stop_instance(mesh, name))
         calls.terminate()
         assert max(last_call_s) <= STOP_LIMIT_S, last_call_s
-        return f"last new calls {last_call_s[0]:+.2f} and {last_call_s[1]:+.2f} s after the announcement; " \
-               f"{check_all_answered(mesh.summary(calls))}; {mesh.finish()}"
+        return f"last new calls {last_call_s[0]:+.2f} and {last_call_s[1]:+.2f} s after the " \
+               f"announcement; {check_all_answered(mesh.summary(calls))}; {mesh.finish()}"
 
 
 def test_leave_with_lost_datagrams():
@@ -103,7 +105,7 @@
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 4, service_ms=10)
         mesh.set_link_fault("udp/*", loss_permille=300)
-        calls = load(mesh, 9)
+        calls = start_load(mesh, 9)
         time.sleep(2)
         last_call_s = [stop_instance(mesh, name) for name in ("work-0", "work-1")]
         assert max(last_call_s) <= STOP_LIMIT_S, last_call_s
@@ -116,7 +118,7 @@
     restarted in turn under load (guarantees 10 and 11)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 4, service_ms=10, cold_s=1)
-        calls = load(mesh, 60)
+        calls = start_load(mesh, 60)
         time.sleep(1)
         started = time.monotonic()
         last_call_s = []
@@ -128,8 +130,8 @@
         time.sleep(1)
         calls.terminate()
         assert max(last_call_s) <= STOP_LIMIT_S, last_call_s
-        return f"4 restarts in {elapsed_s:.1f} s, last new call {max(last_call_s):+.2f} s after an " \
-               f"announcement; {check_all_answered(mesh.summary(calls))}; {mesh.finish()}"
+        return f"4 restarts in {elapsed_s:.1f} s, last new call {max(last_call_s):+.2f} s after " \
+               f"an announcement; {check_all_answered(mesh.summary(calls))}; {mesh.finish()}"
 
 
 def test_simultaneous_restarts():
@@ -137,7 +139,7 @@
     simultaneous planned stops that are not graceful (guarantee 11)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 6, service_ms=10)
-        calls = load(mesh, 60)
+        calls = start_load(mesh, 60)
         restarted = [f"work-{i}" for i in range(4)]
         time.sleep(1)
         for name in restarted:
@@ -145,14 +147,14 @@
         statuses = [mesh.instances[name].node.wait(40) for name in restarted]
         assert statuses == [0] * 4, statuses
         last_call_s = max((mesh.executions(n)["last_started_ms"] -
-                    mesh.log_lines(n, "leaving")[-1]["time"]) / 1000 for n in restarted)
+                           mesh.log_lines(n, "leaving")[-1]["time"]) / 1000 for n in restarted)
         assert last_call_s <= STOP_LIMIT_S, last_call_s
-        since = time.monotonic()
+        started_at = time.monotonic()
         for name in restarted:
             mesh.start_node(name)
         mesh.wait_ready(READY_AGAIN_S)
         mesh.wait_members(READY_AGAIN_S)
-        return_s = time.monotonic() - since
+        return_s = time.monotonic() - started_at
         time.sleep(1)
         calls.terminate()
         return f"4 of 6 back after {return_s:.2f} s, last new call {last_call_s:+.2f} s; " \
--- a/tests/integration/mesh.py
+++ b/tests/integration/mesh.py
@@ -94,7 +94,7 @@
 class Mesh:
     def __init__(self, bins=None, proxied=False, settings=None, store_options=()):
         self.harness = Harness(bins)
-        self.bin = self.harness.bins
+        self.bins = self.harness.bins
         self.dir = self.harness.dir
         self.proxied = proxied
         self.settings = settings or {}  # section -> {key: TOML value}, for every node
@@ -119,7 +119,7 @@
                 shutil.copy(path, RECORD_DIR)
         self.harness.__exit__(kind, value, trace)
 
-    def run(self, program, name, *arguments, ready="listening", timeout_s=20):
+    def start_program(self, program, name, *arguments, ready="listening", timeout_s=20):
         """Starts a program whose log file is named after it. Each restart gets a new log file."""
         self.started_programs += 1
         return self.harness.start(
@@ -149,7 +149,7 @@
         return self
 
     def start_store(self):
-        self.store = self.run(
+        self.store = self.start_program(
             "kv_store",
             "store",
             "--listen", f"{HOST}:{self.store_port}",
@@ -173,7 +173,7 @@
         arguments = ["--control", f"{HOST}:{self.proxy_control_port}"]
         for link in links:
             arguments += ["--link", link]
-        self.proxy = self.run("fault_proxy", "proxy", *arguments)
+        self.proxy = self.start_program("fault_proxy", "proxy", *arguments)
 
     def set_link_fault(self, link, **values):
         """Sets fault values of a link of the proxy. A name ending in * selects all links with that
@@ -227,14 +227,14 @@
         ]
         for key, value in instance.options.items():
             arguments += [f"--{key.replace('_', '-')}", str(value)]
-        instance.server = self.run("backend_server", f"server-{name}", *arguments)
+        instance.server = self.start_program("backend_server", f"server-{name}", *arguments)
 
     def start_node(self, name):
         instance = self.instances[name]
         path = f"{self.dir}/{name}.toml"
         with open(path, "w") as out:
             out.write(self.node_settings(instance))
-        instance.node = self.run("carawayd", f"node-{name}", path, ready="node_started")
+        instance.node = self.start_program("carawayd", f"node-{name}", path, ready="node_started")
         instance.node_logs.append(instance.node.log_path)
 
     def node_settings(self, instance):
@@ -276,7 +276,7 @@
 
     def ctl(self, *arguments, check=True, timeout=60):
         """Runs carawayctl and returns the completed process."""
-        command = [f"{self.bin}/carawayctl", "--store", f"{HOST}:{self.store_port}"]
+        command = [f"{self.bins}/carawayctl", "--store", f"{HOST}:{self.store_port}"]
         completed = subprocess.run(
             command + list(arguments), capture_output=True, text=True, timeout=timeout
         )
@@ -307,18 +307,19 @@
     def metrics(self, name):
         return http("GET", self.instances[name].ports["admin"], "/metrics")[2].decode()
 
-    def running(self):
+    def running_instances(self):
         return [i for i in self.instances.values() if i.node is not None and i.node.running()]
 
     def wait_ready(self, timeout=30):
         return wait_ignoring_errors(
-            lambda: all(self.status(i.name)["ready"] for i in self.running()), timeout, "all ready"
+            lambda: all(self.status(i.name)["ready"] for i in self.running_instances()), timeout,
+            "all ready"
         )
 
     def wait_version(self, version, timeout=30, names=None):
         """Waits until the nodes run the version or a newer one. A node that does is not polled
         again."""
-        pending = list(names or [i.name for i in self.running()])
+        pending = list(names or [i.name for i in self.running_instances()])
 
         def complete():
             while pending and self.status(pending[-1])["config_version"] >= version:
@@ -329,10 +330,10 @@
 
     def wait_members(self, timeout=30):
         """Waits until every running node sees every other one alive and ready."""
-        expected = {i.name for i in self.running()}
+        expected = {i.name for i in self.running_instances()}
 
         def complete():
-            for instance in self.running():
+            for instance in self.running_instances():
                 members = self.status(instance.name)["members"]
                 alive = {n for n, m in members.items() if m["state"] == "alive" and m["ready"]}
                 if alive | {instance.name} != expected:
@@ -345,10 +346,11 @@
         status, _, body = http("GET", self.store_port, "/v1/kv/caraway/state/accepted")
         return json.loads(body)["version"] if status == 200 else 0
 
-    def move(self, service):
+    def move_record(self, service):
         """Returns the store's move record of a service, or None."""
         status, _, body = http("GET", self.store_port, f"/v1/kv/caraway/state/move/{service}")
-        assert status in (200, 404), f"the store answered {status}"  # other statuses: down, or above its rate
+        # The store answers with another status if it is down or above its rate limit.
+        assert status in (200, 404), f"the store answered {status}"
         return json.loads(body) if status == 200 else None
 
     def executions(self, name):
@@ -357,16 +359,16 @@
     def set_server_fault(self, name, **values):
         return http("POST", self.instances[name].ports["server_control"], "/control", values)
 
-    def load(self, name, *options, targets=None, direct=False):
+    def start_load(self, name, *options, targets=None, direct=False):
         """Starts a load generator on the given instances (all running ones by default). With
         direct=True the callers' connections bypass the proxy and its faults."""
-        targets = targets or [i.name for i in self.running()]
+        targets = targets or [i.name for i in self.running_instances()]
         arguments = list(options)
         for target in targets:
             instance = self.instances[target]
             port = (instance.ports if direct else instance.advertised_ports)["traffic"]
             arguments += ["--target", f"{HOST}:{port}"]
-        return self.harness.load(*arguments, name=name)
+        return self.harness.start_load(*arguments, name=name)
 
     def summary(self, load, timeout_s=180):
         """Waits until a load generator ends and returns its summary."""
@@ -393,7 +395,7 @@
     def lease_holders(self, lease):
         """Returns the names of the running nodes that report holding a lease, such as "accepter"."""
         holders = []
-        for instance in self.running():
+        for instance in self.running_instances():
             try:
                 if self.status(instance.name)["leases"].get(f"caraway/lease/{lease}"):
                     holders.append(instance.name)
@@ -434,7 +436,7 @@
         Returns the number of starts by the servers' own counts."""
         others = [r for r in records if r["outcome"] != "answered" and not is_refused(r)]
         run_counts = [self.run_count(r["number"], names) for r in others]
-        assert all(t <= 1 for t in run_counts), f"run twice: {run_counts}"
+        assert all(count <= 1 for count in run_counts), f"run twice: {run_counts}"
         counts = [self.executions(name) for name in names]
         repeated = {k: v for c in counts for k, v in c["run_again"].items()}
         assert not repeated, f"run twice: {repeated}"
@@ -446,7 +448,7 @@
     def audit(self, check=True):
         """Runs carawayctl audit, which checks the guarantees, on the logs of all nodes."""
         completed = subprocess.run(
-            [f"{self.bin}/carawayctl", "audit", *self.node_logs()], capture_output=True, text=True
+            [f"{self.bins}/carawayctl", "audit", *self.node_logs()], capture_output=True, text=True
         )
         if check and completed.returncode != 0:
             raise AssertionError(
@@ -455,7 +457,7 @@
 
     def stop_nodes(self, timeout_s=40):
         """Stops all nodes at the same time with SIGTERM and returns their exit statuses."""
-        nodes = [i.node for i in self.running()]
+        nodes = [i.node for i in self.running_instances()]
         for node in nodes:
             node.process.terminate()
         return [node.wait(timeout_s) for node in nodes]
@@ -504,5 +506,5 @@
         assert summary[what] == 0, f"{what}: {summary[what]}, {summary['other_reasons']}"
     assert unknown is None or summary["unknown"] <= unknown, summary["other_reasons"]
     assert summary["answered"] > 0, summary
-    return (f"{summary['sent']} calls, {summary['answered']} answered, {summary['not_run']} not run,"
-            f" {summary['unknown']} unknown, {summary['deadline']} deadline")
+    return (f"{summary['sent']} calls, {summary['answered']} answered, {summary['not_run']} not "
+            f"run, {summary['unknown']} unknown, {summary['deadline']} deadline")
--- a/tests/integration/move_faults_test.py
+++ b/tests/integration/move_faults_test.py
@@ -9,8 +9,9 @@
 SHARE_LIMIT = 0.05
 STOP_LIMIT_S = 3.0
 CONVERGENCE_S = 18.0
+
 LEASE_PERIOD_S = 5.0
-RATE = 150
+CALLS_PER_S = 150
 
 
 def text(move=None, queue=48):
@@ -24,7 +25,7 @@
     return result
 
 
-def in_seconds(seconds):
+def deadline_in(seconds):
     at = datetime.datetime.now(datetime.timezone.utc) + datetime.timedelta(seconds=seconds)
     return at.strftime("%Y-%m-%dT%H:%M:%SZ")
 
@@ -45,26 +46,28 @@
 
 def start_move(mesh, duration_s, load_s, to="2"):
     """Starts the load and the move; returns the load and the deadline in local time."""
-    load = mesh.load("load", "--path", "/read/a:3", "--path", "/book/b:2", "--rate", RATE,
-                     "--duration-s", load_s, targets=["old-0", "old-1"])
-    mesh.apply(text((to, in_seconds(duration_s))))
+    load = mesh.start_load("load", "--path", "/read/a:3", "--path", "/book/b:2",
+                           "--rate", CALLS_PER_S, "--duration-s", load_s,
+                           targets=["old-0", "old-1"])
+    mesh.apply(text((to, deadline_in(duration_s))))
     deadline = time.monotonic() + duration_s
-    wait_ignoring_errors(lambda: mesh.move("pour"), CONVERGENCE_S, "the move's record")
+    wait_ignoring_errors(lambda: mesh.move_record("pour"), CONVERGENCE_S, "the move's record")
     return load, deadline
 
 
 def wait_second_stage(mesh, timeout_s):
     """Waits for the last stage whose share stays below 5% of the calls. Later stages always exceed
     it."""
-    wait_ignoring_errors(lambda: mesh.move("pour")["stage"] >= 1, timeout_s, "the second stage")
-    assert mesh.move("pour")["stage"] == 1, mesh.move("pour")
+    wait_ignoring_errors(lambda: mesh.move_record("pour")["stage"] >= 1, timeout_s,
+                         "the second stage")
+    assert mesh.move_record("pour")["stage"] == 1, mesh.move_record("pour")
 
 
 def final_record(mesh, timeout_s):
     """Waits for the final state and for its verdict; returns the record."""
-    wait_ignoring_errors(lambda: mesh.move("pour")["state"] != "running", timeout_s,
+    wait_ignoring_errors(lambda: mesh.move_record("pour")["state"] != "running", timeout_s,
                          "the final state")
-    record = mesh.move("pour")
+    record = mesh.move_record("pour")
     wait_ignoring_errors(
         lambda: f"move {record['move_id']} " in mesh.ctl("verdicts", check=False).stdout, 15,
                  "the verdict")
@@ -78,7 +81,7 @@
                   for line in mesh.log_lines(name, "backend_call_started"))
 
 
-def check_stopped(mesh, to="2"):
+def check_suspended(mesh, to="2"):
     """Fails unless the version was suspended, got at most 5% of the calls until then and none
     later than 3 s after it. Returns the figures."""
     lines = [line for name in mesh.instances for line in mesh.log_lines(name, "version_suspended")
@@ -86,21 +89,23 @@
     assert lines, "never suspended"
     suspended_ms = min(line["time"] for line in lines)
     move_started_ms = min(line["time"] for name in mesh.instances
-                for line in mesh.log_lines(name, "move_written"))
+                          for line in mesh.log_lines(name, "move_written"))
     all_starts = backend_call_starts(mesh)
-    before = [version for t, version in all_starts if move_started_ms <= t <= suspended_ms]
-    share = before.count(to) / max(1, len(before))
+    versions = [version for t, version in all_starts if move_started_ms <= t <= suspended_ms]
+    share = versions.count(to) / max(1, len(versions))
     new_starts = [t for t, version in all_starts if version == to]
-    last = (max(new_starts) - suspended_ms) / 1000 if new_starts else -1.0
+    last_logged_s = (max(new_starts) - suspended_ms) / 1000 if new_starts else -1.0
     # The backend servers' own counts agree with the nodes' logs, so no call is missing from the logs.
     servers = [mesh.executions(i.name) for i in mesh.of_service("pour", to)]
     assert sum(s["started"] for s in servers) == len(new_starts), (servers, len(new_starts))
-    last_own = (max(s["last_started_ms"] for s in servers) - suspended_ms) / 1000 \
+    last_counted_s = (max(s["last_started_ms"] for s in servers) - suspended_ms) / 1000 \
         if new_starts else -1.0
-    assert share <= SHARE_LIMIT, f"{before.count(to)} of {len(before)} calls before the suspension"
-    assert max(last, last_own) <= STOP_LIMIT_S, f"last call {last:.2f} s after the suspension"
-    return (f"{before.count(to)} of {len(before)} calls ({share:.1%}) in "
-            f"{(suspended_ms - move_started_ms) / 1000:.1f} s until suspended, last call {last:+.2f} s")
+    assert share <= SHARE_LIMIT, \
+        f"{versions.count(to)} of {len(versions)} calls before the suspension"
+    assert max(last_logged_s, last_counted_s) <= STOP_LIMIT_S, \
+        f"last call {last_logged_s:.2f} s after the suspension"
+    return (f"{versions.count(to)} of {len(versions)} calls ({share:.1%}) until suspended after "
+            f"{(suspended_ms - move_started_ms) / 1000:.1f} s, last call {last_logged_s:+.2f} s")
 
 
 def check_taken_back(mesh, load, record):
@@ -108,8 +113,8 @@
     time.sleep(STOP_LIMIT_S)
     load.terminate()
     calls = check_calls(mesh.summary(load))
-    figures = check_stopped(mesh)
-    return f"{figures}; {calls}; {mesh.finish()}"
+    suspension = check_suspended(mesh)
+    return f"{suspension}; {calls}; {mesh.finish()}"
 
 
 def bad_version(name, **new_version_options):
@@ -146,15 +151,15 @@
         load.terminate()
         calls = check_calls(mesh.summary(load))
         move_started_ms = min(line["time"] for name in mesh.instances
-                    for line in mesh.log_lines(name, "move_written"))
-        first_bad = min(mesh.executions(i.name)["first_bad_ms"] or 1 << 60
-                        for i in mesh.of_service("pour", "2"))
-        before = [version for t, version in backend_call_starts(mesh)
-                  if move_started_ms <= t <= first_bad]
-        share = before.count("2") / max(1, len(before))
-        assert share <= SHARE_LIMIT, f"{before.count('2')} of {len(before)} calls"
-        return f"{before.count('2')} of {len(before)} calls before the first slow one; {calls}; " \
-               f"{mesh.finish()}"
+                              for line in mesh.log_lines(name, "move_written"))
+        first_bad_ms = min(mesh.executions(i.name)["first_bad_ms"] or 1 << 60
+                           for i in mesh.of_service("pour", "2"))
+        versions = [version for t, version in backend_call_starts(mesh)
+                    if move_started_ms <= t <= first_bad_ms]
+        share = versions.count("2") / max(1, len(versions))
+        assert share <= SHARE_LIMIT, f"{versions.count('2')} of {len(versions)} calls"
+        return f"{versions.count('2')} of {len(versions)} calls before the first slow one; " \
+               f"{calls}; {mesh.finish()}"
 
 
 def holder_fails(kind):
@@ -165,28 +170,31 @@
         wait_second_stage(mesh, 20)
         # Callers enter at the old instances: pausing a holder among them also
         # pauses its callers' calls, so the load goes to the other instances.
-        holder = mesh.move("pour")["holder"]
+        holder = mesh.move_record("pour")["holder"]
         for i in mesh.of_service("pour", "2"):
             mesh.set_server_fault(i.name, behaviour="fails", behaviour_permille=800)
         node = mesh.instances[holder].node
         node.kill() if kind == "kill" else node.pause()
         others = [i.name for i in mesh.instances.values() if i.name != holder]
-        wait_ignoring_errors(lambda: mesh.move("pour")["state"] != "running", 25, "the final state")
-        assert mesh.move("pour")["state"] == "taken_back", mesh.move("pour")
-        assert mesh.move("pour")["holder"] != holder, "the failed holder wrote the final state"
+        wait_ignoring_errors(lambda: mesh.move_record("pour")["state"] != "running", 25,
+                             "the final state")
+        assert mesh.move_record("pour")["state"] == "taken_back", mesh.move_record("pour")
+        assert mesh.move_record("pour")["holder"] != holder, \
+            "the failed holder wrote the final state"
         if kind == "kill":
             mesh.start_node(holder)
         else:
             time.sleep(LEASE_PERIOD_S)
             node.resume()
         time.sleep(STOP_LIMIT_S)
-        assert mesh.move("pour")["state"] == "taken_back", "the late holder rewrote the record"
+        assert mesh.move_record("pour")["state"] == "taken_back", \
+            "the late holder rewrote the record"
         load.terminate()
         summary = mesh.summary(load)
         for what in ("crossed", "cut"):
             assert summary[what] == 0, summary["other_reasons"]
         assert len(others) == 3
-        return f"{check_stopped(mesh)}; {mesh.finish()}"
+        return f"{check_suspended(mesh)}; {mesh.finish()}"
 
 
 def test_holder_paused_past_its_lease():
@@ -210,14 +218,14 @@
         for i in mesh.of_service("pour", "2"):
             mesh.set_server_fault(i.name, behaviour="fails", behaviour_permille=800)
         wait_ignoring_errors(lambda: all(mesh.status(n)["moves"]["pour"]["suspended"]
-                                 for n in mesh.instances), 15, "suspended everywhere")
+                                         for n in mesh.instances), 15, "suspended everywhere")
         time.sleep(STOP_LIMIT_S)
-        figures = check_stopped(mesh)
+        suspension = check_suspended(mesh)
         mesh.set_store_fault(down=False)
         record = final_record(mesh, 2 * LEASE_PERIOD_S + 5)
         assert record["state"] == "taken_back", record
         load.terminate()
-        return f"{figures}; {check_calls(mesh.summary(load))}; {mesh.finish()}"
+        return f"{suspension}; {check_calls(mesh.summary(load))}; {mesh.finish()}"
 
 
 def test_store_down_as_the_deadline_passes():
@@ -244,18 +252,18 @@
                f"{mesh.finish()}"
 
 
-def good_version(outage_at, duration_s):
+def run_good_move(outage_start_share, duration_s):
     """A good version with the store down for a third of the time given; outage_at is a share."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         load, deadline = start_move(mesh, duration_s, duration_s + 15)
-        time.sleep(max(0, deadline - duration_s * (1 - outage_at) - time.monotonic()))
+        time.sleep(max(0, deadline - duration_s * (1 - outage_start_share) - time.monotonic()))
         mesh.set_store_fault(down=True)
         time.sleep(duration_s / 3)
         mesh.set_store_fault(down=False)
-        wait_ignoring_errors(lambda: mesh.move("pour")["state"] != "running",
-                     max(0.1, deadline + 0.5 - time.monotonic()), "done by the deadline")
-        early = deadline - time.monotonic()
+        wait_ignoring_errors(lambda: mesh.move_record("pour")["state"] != "running",
+                             max(0.1, deadline + 0.5 - time.monotonic()), "done by the deadline")
+        early_s = deadline - time.monotonic()
         record = final_record(mesh, 1)
         assert record["state"] == "done", record
         time.sleep(1)
@@ -265,24 +273,24 @@
         assert after == before, f"{after - before} calls on the old version after done"
         load.terminate()
         summary = mesh.summary(load)
-        return f"done {early:.1f} s before its deadline; {check_calls(summary)}; {mesh.finish()}"
+        return f"done {early_s:.1f} s before its deadline; {check_calls(summary)}; {mesh.finish()}"
 
 
 def test_good_version_with_an_early_outage():
     """Guards against a good version that is taken back because the store was unavailable early."""
-    return good_version(0.15, 30)
+    return run_good_move(0.15, 30)
 
 
 def test_good_version_with_a_late_outage():
     """Guards against a good version that is taken back because the store was unavailable while the last
     stage was due."""
-    return good_version(0.45, 30)
+    return run_good_move(0.45, 30)
 
 
 def test_good_version_with_an_outage_before_the_raise():
     """Guards against a schedule that leaves no time for the next holder's lease and evidence after
     an outage of a third of the time given, just before the weight leaves 4%."""
-    return good_version(0.34, 40)
+    return run_good_move(0.34, 40)
 
 
 def test_two_texts_race_on_one_service():
@@ -290,14 +298,16 @@
     changes. The second text sets a later deadline, which makes another move."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, behaviour="fails", behaviour_permille=800)
-        load = mesh.load("load", "--path", "/read/a:3", "--path", "/book/b:2", "--rate", RATE,
-                         "--duration-s", 45, targets=["old-0", "old-1"])
-        mesh.apply(text(("2", in_seconds(30))))
-        mesh.apply(text(("2", in_seconds(32)), queue=40))
-        wait_ignoring_errors(lambda: mesh.move("pour") and mesh.move("pour")["state"] != "running", 30,
-                     "the final state")
+        load = mesh.start_load("load", "--path", "/read/a:3", "--path", "/book/b:2",
+                               "--rate", CALLS_PER_S, "--duration-s", 45,
+                               targets=["old-0", "old-1"])
+        mesh.apply(text(("2", deadline_in(30))))
+        mesh.apply(text(("2", deadline_in(32)), queue=40))
+        wait_ignoring_errors(lambda: mesh.move_record("pour")
+                             and mesh.move_record("pour")["state"] != "running", 30,
+                             "the final state")
         time.sleep(STOP_LIMIT_S)
-        record = mesh.move("pour")
+        record = mesh.move_record("pour")
         assert record["state"] == "taken_back", record
         mesh.apply(text(queue=50))  # the operators withdraw the move
         mesh.wait_version(mesh.accepted_version(), CONVERGENCE_S)
@@ -305,14 +315,14 @@
         time.sleep(1.5)
         after = sum(mesh.executions(i.name)["started"] for i in mesh.of_service("pour", "2"))
         assert after == before, f"{after - before} calls after the move was taken back"
-        finals = {}
+        final_revisions = {}
         for name in mesh.instances:
             for line in mesh.log_lines(name, "move_written"):
                 if line["state"] != "running":
-                    finals.setdefault(line["move"], set()).add(line["revision"])
-        assert all(len(revisions) == 1 for revisions in finals.values()), finals
+                    final_revisions.setdefault(line["move"], set()).add(line["revision"])
+        assert all(len(revisions) == 1 for revisions in final_revisions.values()), final_revisions
         load.terminate()
-        return f"{len(finals)} final state(s); {before} calls on the bad version; " \
+        return f"{len(final_revisions)} final state(s); {before} calls on the bad version; " \
                f"{check_calls(mesh.summary(load))}; {mesh.finish()}"
 
 
--- a/tests/integration/partition_test.py
+++ b/tests/integration/partition_test.py
@@ -9,7 +9,7 @@
 STOP_LIMIT_S = 3.0
 CONVERGENCE_S = 18.0
 DATA_CENTRES = ["harris", "martin", "thurlow"]
-CUT = "harris"
+CUT_DATA_CENTRE = "harris"
 KEYS_READY_S = 12.5  # a node registers keys first sent 12 s after the first start of its name
 MIN_NODE_AGE_S = 76  # after a loss, only nodes first started 75 s before it stay registrars
 
@@ -32,14 +32,15 @@
 
 
 def names_on_side(mesh, inside):
-    return [i.name for i in mesh.running() if (i.data_centre == CUT) == inside]
+    return [i.name for i in mesh.running_instances()
+            if (i.data_centre == CUT_DATA_CENTRE) == inside]
 
 
-def load(mesh, name, targets, seconds):
+def start_load(mesh, name, targets, seconds):
     """Starts a load of requests that must run at most once, so that the servers' counts check
     every answer."""
-    return mesh.load(name, "--path", "/cycle/b", "--rate", 80, "--duration-s", seconds,
-                     targets=targets, direct=True)
+    return mesh.start_load(name, "--path", "/cycle/b", "--rate", 80, "--duration-s", seconds,
+                           targets=targets, direct=True)
 
 
 def last_start_ms(mesh, names):
@@ -47,7 +48,7 @@
 
 
 def apply_during_cut(mesh, version):
-    mesh.apply(text([CUT]))
+    mesh.apply(text([CUT_DATA_CENTRE]))
     wait_ignoring_errors(lambda: mesh.accepted_version() >= version, CONVERGENCE_S, "acceptance")
 
 
@@ -69,15 +70,17 @@
             return "work-in-data-centre-out: " in line and any(f" on {n} " in line for n in inside)
 
         inside, outside = names_on_side(mesh, True), names_on_side(mesh, False)
-        loads = [load(mesh, "inside", inside, 32), load(mesh, "outside", outside, 32)]
+        loads = [start_load(mesh, "inside", inside, 32), start_load(mesh, "outside", outside, 32)]
         time.sleep(2)
-        mesh.partition(CUT, inbound, outbound)
+        mesh.partition(CUT_DATA_CENTRE, inbound, outbound)
         for data_centre in DATA_CENTRES:
-            mesh.set_link_fault(f"store/{data_centre}", cut=(data_centre == CUT) != store_inside)
-        both = inbound and outbound
-        if both:  # each side considers the other dead
+            mesh.set_link_fault(f"store/{data_centre}",
+                                cut=(data_centre == CUT_DATA_CENTRE) != store_inside)
+        two_way = inbound and outbound
+        if two_way:  # each side considers the other dead
             wait_ignoring_errors(lambda: not alive_members(mesh, inside[0]) & set(outside)
-                         and not alive_members(mesh, outside[0]) & set(inside), CONVERGENCE_S, "cut")
+                                 and not alive_members(mesh, outside[0]) & set(inside),
+                                 CONVERGENCE_S, "cut")
         apply_during_cut(mesh, 2)
         informed, uninformed = (inside, outside) if store_inside else (outside, inside)
         accepted_ms = time.time() * 1000
@@ -90,8 +93,9 @@
         else:
             # Without the text, the disconnected data centre keeps working.
             assert {mesh.status(n)["config_version"] for n in uninformed} == {1}
-            assert last_start_ms(mesh, inside) > accepted_ms + 1000, "the cut off side stopped serving"
-        mesh.partition(CUT, False, False)
+            assert last_start_ms(mesh, inside) > accepted_ms + 1000, \
+                "the cut off side stopped serving"
+        mesh.partition(CUT_DATA_CENTRE, False, False)
         mesh.set_link_fault("store/*", cut=False)
         healed_ms = time.time() * 1000
         elapsed_s = mesh.wait_version(2, CONVERGENCE_S)
@@ -99,11 +103,11 @@
         last_call_s = (last_start_ms(mesh, inside) - healed_ms) / 1000
         assert last_call_s <= STOP_LIMIT_S, f"last call {last_call_s:.2f} s after the cut healed"
         mesh.wait_members()
-        figures = [check_calls(mesh.summary(load_program), None) for load_program in loads]
+        totals = [check_calls(mesh.summary(load_program), None) for load_program in loads]
         records = [r for load_program in loads for r in mesh.records(load_program)]
         started = mesh.check_run_once(records, inside + outside)
-        return f"in force {elapsed_s:.2f} s and last call {last_call_s:.2f} s after the cut healed; " \
-               f"{started} runs, doubled 0; inside, outside: {figures}; " \
+        return f"in force {elapsed_s:.2f} s and last call {last_call_s:.2f} s after the cut " \
+               f"healed; {started} runs, none twice; inside, outside: {totals}; " \
                f"{mesh.finish(None if inside_informed else is_uninformed_work)}"
 
 
@@ -139,12 +143,13 @@
         start_mesh(mesh, 3, later)
         time.sleep(MIN_NODE_AGE_S)
         rng = random.Random(seed())
-        mesh.partition(CUT)
+        mesh.partition(CUT_DATA_CENTRE)
         time.sleep(2)
         for name in later:
             mesh.start_instance(name)
         mesh.wait_ready()
-        time.sleep(KEYS_READY_S)  # until the new names are registrars of keys first sent from now on
+        # Wait until the new nodes are registrars of keys that are first sent from now on.
+        time.sleep(KEYS_READY_S)
         sides = [names_on_side(mesh, True), names_on_side(mesh, False)]
         keys = []  # (key, first sent)
         outcomes = collections.Counter()
@@ -165,16 +170,16 @@
                 send(phase, keys[-1])
 
         send_new("cut", 200)
-        mesh.partition(CUT, False, False)
+        mesh.partition(CUT_DATA_CENTRE, False, False)
         send_new("healing", 100)
         mesh.wait_members(60)
         for key in keys:
             send("healed", key)
-        times = collections.Counter(mesh.run_count(key[0]) for key in keys)
-        doubled = sum(n for runs, n in times.items() if runs > 1)
-        assert doubled == 0, f"{doubled} of {len(keys)} keys ran twice; {dict(outcomes)}"
+        run_counts = collections.Counter(mesh.run_count(key[0]) for key in keys)
+        run_twice = sum(n for runs, n in run_counts.items() if runs > 1)
+        assert run_twice == 0, f"{run_twice} of {len(keys)} keys ran twice; {dict(outcomes)}"
         assert outcomes["cut", "answered"] > 0, outcomes
-        return f"{len(keys)} keys, runs: {dict(times)}; {dict(outcomes)}; {mesh.finish()}"
+        return f"{len(keys)} keys, runs: {dict(run_counts)}; {dict(outcomes)}; {mesh.finish()}"
 
 
 if __name__ == "__main__":
--- a/tests/integration/platform_standins.py
+++ b/tests/integration/platform_standins.py
@@ -115,7 +115,7 @@
             if url.path == "/api/kv-key":
                 item = self.items.get(query["key"])
                 return handler.reply(200 if item else 404,
-                                  {**(item or {}), "current_rev": self.revision})
+                                     {**(item or {}), "current_rev": self.revision})
             prefix = query["path_prefix"]
             if url.path == "/api/kv-range":
                 rows = [self.items[k] for k in sorted(self.items)
@@ -123,12 +123,13 @@
                         and not any(part in k for part in self.hidden_key_parts)]
                 # Two rows a page, so that lists have to read several pages.
                 return handler.reply(200, {"items": rows[:2], "has_more": len(rows) > 2,
-                                        "current_rev": self.revision})
+                                           "current_rev": self.revision})
 
             def pending_events():
                 return [e for e in self.events
                         if e["revision"] > int(query["after"]) and e["key"].startswith(prefix)]
-            self.changed.wait_for(lambda: pending_events() or self.down, int(query["wait_ms"]) / 1000)
+            self.changed.wait_for(lambda: pending_events() or self.down,
+                                  int(query["wait_ms"]) / 1000)
             answer = {"events": pending_events(), "current_rev": self.revision}
         return handler.reply(503 if self.down else 200, answer)
 
@@ -198,8 +199,8 @@
         self.callers.add(handler.headers.get("X-Carawaytray-Caller-Service"))
         time.sleep(self.delay_s)
         return handler.reply(200, body or f"{self.instance_id} {handler.path}".encode(),
-                          {"X-Carawaytray-Attempt-Id": attempt_id,
-                           "X-Carawaytray-Server-Seal": self.instance_id})
+                             {"X-Carawaytray-Attempt-Id": attempt_id,
+                              "X-Carawaytray-Server-Seal": self.instance_id})
 
     def report(self):
         """Sends one report. Returns the status of the answer, or None if there is no answer."""
@@ -210,8 +211,8 @@
                  "status": {"state": self.state, "call_seq": self.sequence, "warmup_left_ms": 0}}
         try:
             return request(self.reports_address, "POST",
-                           "/api/Instances.Heartbeat/" + self.instance_id, json.dumps(value).encode(),
-                           timeout_s=1)[0]
+                           "/api/Instances.Heartbeat/" + self.instance_id,
+                           json.dumps(value).encode(), timeout_s=1)[0]
         except OSError:
             return None
 
--- a/tests/integration/platform_test.py
+++ b/tests/integration/platform_test.py
@@ -51,10 +51,10 @@
                      for name in ("orders", "stock")]})
 
 
-FIRST = [("/orders/", "non_idempotent", {"service": "orders"}),
-         ("/stock/", "idempotent", {"service": "stock"}),
-         ("/both/", "idempotent", {"traffic_split": [{"service": "orders", "weight": 75},
-                                                     {"service": "stock", "weight": 25}]})]
+FIRST_ROUTES = [("/orders/", "non_idempotent", {"service": "orders"}),
+                ("/stock/", "idempotent", {"service": "stock"}),
+                ("/both/", "idempotent", {"traffic_split": [{"service": "orders", "weight": 75},
+                                                            {"service": "stock", "weight": 25}]})]
 
 
 class Instance:
@@ -66,8 +66,8 @@
         callers, traffic, peer, admin, reports = ports
         self.callers, self.admin = f"{HOST}:{callers}", f"{HOST}:{admin}"
         self.server = ReportingServer(service, data_centre, f"{HOST}:{reports}")
-        self.file = harness.path(name + ".toml")
-        with open(self.file, "w") as out:
+        self.settings_path = harness.path(name + ".toml")
+        with open(self.settings_path, "w") as out:
             out.write(SETTINGS.format(name=name, data_centre=data_centre, service=service,
                                       host=HOST, callers=callers, traffic=traffic, peer=peer,
                                       admin=admin, reports=reports, server=self.server.address,
@@ -75,7 +75,7 @@
         self.start()
 
     def start(self):
-        self.node = self.harness.start("carawayd", "--platform", self.file, name=self.name,
+        self.node = self.harness.start("carawayd", "--platform", self.settings_path, name=self.name,
                                        ready="node_started")
 
     def ready(self):
@@ -104,11 +104,11 @@
         self.harness = Harness()
         self.harness.__enter__()
         self.store = PlatformStore()
-        self.store.put("op/config", config(5, FIRST))
+        self.store.put("op/config", config(5, FIRST_ROUTES))
         self.instances = []
         for service in ("orders", "stock"):
-            self.instances += [Instance(self.harness, self.store, f"{service}-{data_centre}", service,
-                                        data_centre) for data_centre in ("north", "south")]
+            self.instances += [Instance(self.harness, self.store, f"{service}-{data_centre}",
+                                        service, data_centre) for data_centre in ("north", "south")]
             if self.separate_groups:
                 wait_until(lambda: all(i.ready() for i in self.instances), READY_S, "ready")
                 self.store.hidden_key_parts = ("/orders-",)  # their entry points
@@ -140,15 +140,16 @@
         runs = [len(i.server.runs) - n for i, n in zip(platform.instances, before)]
         assert runs[0] + runs[1] == 30 and runs[2] + runs[3] == 10, runs
         assert {c for i in platform.instances for c in i.server.callers} <= {"orders", "stock"}
-        platform.store.put("op/config", config(9, [*FIRST[:2], ("/new/", "idempotent",
-                                                               {"service": "stock"})]))
-        since = time.monotonic()
+        platform.store.put("op/config", config(9, [*FIRST_ROUTES[:2], ("/new/", "idempotent",
+                                                                       {"service": "stock"})]))
+        written_at = time.monotonic()
         wait_until(lambda: all(i.call("/new/z")[0] == 200 and i.call("/both/z")[0] == 404
                                for i in platform.instances), APPLY_S, "in force")
-        elapsed_s = time.monotonic() - since
-        attempt_ids = [n for i in platform.instances for n, _ in i.server.runs]
-        assert len(attempt_ids) == len(set(attempt_ids)), "a call ran twice"
-        return f"{len(attempt_ids)} runs, in force after {elapsed_s:.2f} s, {platform.store.calls} store calls"
+        delay_s = time.monotonic() - written_at
+        attempts = [n for i in platform.instances for n, _ in i.server.runs]
+        assert len(attempts) == len(set(attempts)), "a call ran twice"
+        return \
+            f"{len(attempts)} runs, applied in {delay_s:.2f} s, {platform.store.calls} store calls"
 
 
 def test_drain_and_evacuation():
@@ -158,26 +159,27 @@
         first, second = platform.instances[0], platform.instances[1]
         first.server.state = "draining"
         assert first.server.report() == 200
-        drained = time.monotonic()
+        draining_at = time.monotonic()
         for _ in range(20):
             assert first.call("/orders/a")[0] == 200
-        assert all(at < drained for _, at in first.server.runs), "a run after the leave"
+        assert all(at < draining_at for _, at in first.server.runs), "a run after the leave"
         assert second.server.leave() == 200
-        left = time.monotonic()
+        left_at = time.monotonic()
         status, _ = second.call("/orders/b")
         assert status == 503, status
-        assert all(at < left for _, at in second.server.runs)
+        assert all(at < left_at for _, at in second.server.runs)
         platform.store.put("op/evacuate/north", "{}")
         time.sleep(EVACUATE_S)
-        since = time.monotonic()
+        evacuated_at = time.monotonic()
         for _ in range(20):
             assert first.call("/stock/c")[0] == 200
         north, south = platform.instances[2], platform.instances[3]
-        assert all(at < since for _, at in north.server.runs), "a run in an evacuated data centre"
-        assert sum(at > since for _, at in south.server.runs) == 20
+        assert all(at < evacuated_at for _, at in north.server.runs), \
+            "a run in an evacuated data centre"
+        assert sum(at > evacuated_at for _, at in south.server.runs) == 20
         platform.store.delete("op/evacuate/north")
         wait_until(lambda: [first.call("/stock/d") for _ in range(8)] and
-                   any(at > since for _, at in north.server.runs), 5, "taken back")
+                   any(at > evacuated_at for _, at in north.server.runs), 5, "taken back")
 
 
 def test_store_unavailable():
@@ -196,7 +198,7 @@
         wait_until(restarted.ready, READY_S, "ready without the store")
         wait_until(lambda: restarted.call("/orders/a")[0] == 200, 5, "calls without the store")
         platform.store.down = False
-        platform.store.put("op/config", config(6, FIRST[:2]))
+        platform.store.put("op/config", config(6, FIRST_ROUTES[:2]))
         wait_until(lambda: all(i.call("/both/a")[0] == 404 for i in platform.instances), 5,
                    "in force after the store's return")
 
--- a/tests/integration/standins_test.py
+++ b/tests/integration/standins_test.py
@@ -40,8 +40,9 @@
     with Harness() as harness:
         # Enough slots that stalls of a busy machine do not cause shedding.
         listen, control, backend = start_backend(harness, "--service-ms", 2, "--slots", 200)
-        load = harness.load("--target", listen, "--path", "/a:3", "--path", "/b", "--rate", 1000,
-                            "--duration-s", 1.5, "--body-bytes", 300, "--response-bytes", 5000)
+        load = harness.start_load("--target", listen, "--path", "/a:3", "--path", "/b",
+                                  "--rate", 1000, "--duration-s", 1.5, "--body-bytes", 300,
+                                  "--response-bytes", 5000)
         summary, records = harness.load_result(load)
         ran = get_json(control, "/control/executions")
         assert summary["sent"] > 1200, summary
@@ -57,13 +58,13 @@
     """Guards against outcomes that disagree with what the backend server ran."""
     with Harness() as harness:
         listen, control, _ = start_backend(harness, "--service-ms", 5, "--slots", 200)
-        link, faults = free_addresses(2)
-        harness.start("fault_proxy", "--link", f"in.a=tcp,{link},{listen}", "--control", faults)
-        load = harness.load("--target", link, "--rate", 500, "--duration-s", 2.5)
+        link, proxy_control = free_addresses(2)
+        harness.start("fault_proxy", "--link", f"in.a=tcp,{link},{listen}", "--control", proxy_control)
+        load = harness.start_load("--target", link, "--rate", 500, "--duration-s", 2.5)
         time.sleep(0.7)
-        post_json(faults, "/control", {"link": "in.*", "cut": True})
+        post_json(proxy_control, "/control", {"link": "in.*", "cut": True})
         time.sleep(0.5)
-        post_json(faults, "/control", {"link": "in.a", "cut": False, "truncate_after_bytes": 60})
+        post_json(proxy_control, "/control", {"link": "in.a", "cut": False, "truncate_after_bytes": 60})
         summary, records = harness.load_result(load)
         counted = sum(summary[k] for k in ("answered", "not_run", "unknown", "deadline", "crossed",
                                            "cut", "lost"))
@@ -84,9 +85,9 @@
         target = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         target.bind((HOST, 0))
         target.settimeout(2)
-        link, faults = free_addresses(2)
+        link, proxy_control = free_addresses(2)
         harness.start("fault_proxy", "--link", f"u=udp,{link},{HOST}:{target.getsockname()[1]}",
-                      "--control", faults)
+                      "--control", proxy_control)
         senders = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(5)]
         destination = (HOST, int(link.split(":")[1]))
         for i, sender in enumerate(senders):
@@ -97,20 +98,20 @@
             target.sendto(data.replace(b"ping", b"pong"), source)
         for i, sender in enumerate(senders):
             assert sender.recv(100) == b"pong%d" % i
-        post_json(faults, "/control", {"link": "u", "delay_ms": 100})
+        post_json(proxy_control, "/control", {"link": "u", "delay_ms": 100})
         start = time.monotonic()
         senders[0].sendto(b"late", destination)
         assert target.recv(100) == b"late" and time.monotonic() - start >= 0.1
-        post_json(faults, "/control", {"link": "u", "delay_ms": 0, "freeze": True})
+        post_json(proxy_control, "/control", {"link": "u", "delay_ms": 0, "freeze": True})
         senders[0].sendto(b"held", destination)
         target.settimeout(0.1)
         assert fails_without_answer(lambda: target.recv(100))
-        post_json(faults, "/control", {"link": "u", "freeze": False})
+        post_json(proxy_control, "/control", {"link": "u", "freeze": False})
         target.settimeout(2)
         assert target.recv(100) == b"held"
-        post_json(faults, "/control", {"link": "u", "loss_permille": 1000})
+        post_json(proxy_control, "/control", {"link": "u", "loss_permille": 1000})
         senders[0].sendto(b"lost", destination)
-        wait_until(lambda: get_json(faults, "/control")["u"]["lost"] == 1)
+        wait_until(lambda: get_json(proxy_control, "/control")["u"]["lost"] == 1)
         for open_socket in [target, *senders]:
             open_socket.close()
 
@@ -119,8 +120,8 @@
     """Guards against bandwidth, delay and freeze that let bytes through."""
     with Harness() as harness:
         listen, _, _ = start_backend(harness, "--service-ms", 0)
-        link, faults = free_addresses(2)
-        harness.start("fault_proxy", "--link", f"t=tcp,{link},{listen}", "--control", faults)
+        link, proxy_control = free_addresses(2)
+        harness.start("fault_proxy", "--link", f"t=tcp,{link},{listen}", "--control", proxy_control)
 
         def timed(size):
             start = time.monotonic()
@@ -128,13 +129,13 @@
             assert (status, len(body)) == (200, size)
             return time.monotonic() - start
 
-        post_json(faults, "/control", {"link": "t", "delay_ms": 60})
+        post_json(proxy_control, "/control", {"link": "t", "delay_ms": 60})
         assert 0.12 <= timed(1000)
-        post_json(faults, "/control", {"link": "t", "delay_ms": 0, "bandwidth_kbps": 4000})
+        post_json(proxy_control, "/control", {"link": "t", "delay_ms": 0, "bandwidth_kbps": 4000})
         assert 0.4 <= timed(200_000)
-        post_json(faults, "/control", {"link": "t", "bandwidth_kbps": 0, "freeze": True})
+        post_json(proxy_control, "/control", {"link": "t", "bandwidth_kbps": 0, "freeze": True})
         assert fails_without_answer(lambda: request(link, "GET", "/x", timeout_s=0.2))
-        post_json(faults, "/control", {"link": "t", "freeze": False})
+        post_json(proxy_control, "/control", {"link": "t", "freeze": False})
         assert timed(200_000) < 0.4
 
 
@@ -262,7 +263,7 @@
     """Guards against a shed call that ran, and against a cold server that no load overloads."""
     with Harness() as harness:
         listen, control, backend = start_backend(harness, "--service-ms", 50, "--slots", 2)
-        load = harness.load("--target", listen, "--concurrency", 20, "--requests", 100)
+        load = harness.start_load("--target", listen, "--concurrency", 20, "--requests", 100)
         summary, records = harness.load_result(load)
         ran = get_json(control, "/control/executions")
         assert summary["not_run_reasons"] == {"backend-shed": ran["shed"]}, summary
@@ -271,9 +272,11 @@
 
         cold, cold_control, _ = start_backend(harness, "--cold-s", 30, "--service-ms", 5,
                                               name="cold")
-        gentle = harness.load("--target", cold, "--concurrency", 3, "--requests", 60, name="gentle")
+        gentle = harness.start_load("--target", cold, "--concurrency", 3, "--requests", 60,
+                                    name="gentle")
         assert harness.load_result(gentle)[0]["status"] == {"200": 60}
-        harsh = harness.load("--target", cold, "--concurrency", 10, "--requests", 60, name="harsh")
+        harsh = harness.start_load("--target", cold, "--concurrency", 10, "--requests", 60,
+                                   name="harsh")
         assert harness.load_result(harsh)[0]["status"].get("500", 0) > 0
         assert get_json(cold_control, "/control/executions")["falls"] >= 1
 
@@ -310,8 +313,8 @@
         assert fails_without_answer(lambda: request(listen, "GET", "/x", timeout_s=0.1))
         wait_until(lambda: get_json(control, "/control/executions")["cancelled"] == 1, 3)
         post_json(control, "/control", {"service_ms": 1, "truncate_permille": 1000})
-        load = harness.load("--target", listen, "--concurrency", 1, "--requests", 5,
-                            "--keyed-permille", 1000, "--resend")
+        load = harness.start_load("--target", listen, "--concurrency", 1, "--requests", 5,
+                                  "--keyed-permille", 1000, "--resend")
         summary, records = harness.load_result(load)
         assert summary["cut"] == 5 and summary["resent"] == 15, summary
         assert all(r["attempts"] == 4 for r in records), records
@@ -328,8 +331,8 @@
                                            "lagging", "--cold-s", 0)
 
         def p50(concurrency, name):
-            load = harness.load("--target", listen, "--concurrency", concurrency, "--requests",
-                                60, name=name)
+            load = harness.start_load("--target", listen, "--concurrency", concurrency,
+                                      "--requests", 60, name=name)
             return harness.load_result(load)[0]["latency_us"]["p50"]
 
         assert p50(8, "loaded") > 2 * p50(4, "light")
@@ -345,7 +348,8 @@
         busy.request("GET", "/x")
         wait_until(lambda: get_json(control, "/control/executions")["running"] == 1)
         start = time.monotonic()
-        assert get_json(listen, "/healthz")["running"] == 0  # the lagging health shows the earlier state
+        # Lagging health shows an earlier state.
+        assert get_json(listen, "/healthz")["running"] == 0
         assert time.monotonic() - start >= 0.006
         post_json(control, "/control", {"freeze_ms": 1500})
         start = time.monotonic()
@@ -359,8 +363,8 @@
     with Harness() as harness:
         last, last_control, program = start_backend(harness, name="last")
         first, first_control, _ = start_backend(harness, "--egress", last, name="first")
-        load = harness.load("--target", first, "--concurrency", 4, "--requests", 40, "--chain",
-                            "/onward")
+        load = harness.start_load("--target", first, "--concurrency", 4, "--requests", 40,
+                                  "--chain", "/onward")
         summary, records = harness.load_result(load)
         assert summary["answered"] == 40 and summary["status"] == {"200": 40}, summary
         for record in records:
--- a/tests/integration/stored_text_test.py
+++ b/tests/integration/stored_text_test.py
@@ -134,7 +134,7 @@
         assert is_accepted_text(mesh, text(slots))
         version = mesh.accepted_version()
         assert {mesh.status(n)["config_version"] for n in mesh.instances} == {version}
-        return f"version {version}; {len(faults)} hits; {mesh.finish()}"
+        return f"version {version}; {len(faults)} faults; {mesh.finish()}"
 
 
 def test_accepter_stays_below_the_bound_with_a_text_of_1_mb():
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -37,7 +37,7 @@
 
     def __init__(self, mesh, seed):
         self.mesh, self.rng = mesh, random.Random(seed)
-        self.held_targets, self.fault_log, self.data_centres_out = set(), [], set()
+        self.held_targets, self.faults, self.data_centres_out = set(), [], set()
         self.killed_servers = set()    # their execution counts are lost
         self.gate_was_killed = False
         self.extra_route_enabled = True
@@ -96,18 +96,18 @@
         time.sleep(rng.uniform(0.1, 1.5))
         server.resume()
 
-    def disturb_links(self, rng, name):
-        harm, heal = rng.choice([({"cut": True}, {"cut": False}),
+    def inject_link_fault(self, rng, name):
+        fault, clear = rng.choice([({"cut": True}, {"cut": False}),
                                    ({"freeze": True}, {"freeze": False}),
                                    ({"delay_ms": 80}, {"delay_ms": 0}),
                                    ({"loss_permille": 150}, {"loss_permille": 0})])
         links = [f"{kind}/{name}" for kind in ("traffic", "udp", "bulk")]
         links = rng.sample(links, rng.randint(1, 3))
         for link in links:
-            self.mesh.set_link_fault(link, **harm)
+            self.mesh.set_link_fault(link, **fault)
         time.sleep(rng.uniform(0.2, 3))
         for link in links:
-            self.mesh.set_link_fault(link, **heal)
+            self.mesh.set_link_fault(link, **clear)
 
     def cut_one_way(self, rng, data_centre):
         inbound = rng.random() < 0.5
@@ -115,14 +115,14 @@
         time.sleep(rng.uniform(0.5, 4))
         self.mesh.partition(data_centre, inbound=False, outbound=False)
 
-    def disturb_store(self, rng):
-        harm, heal = rng.choice([({"down": True}, {"down": False}),
+    def inject_store_fault(self, rng):
+        fault, clear = rng.choice([({"down": True}, {"down": False}),
                                    ({"stall": True}, {"stall": False}),
                                    ({"latency_ms": 400}, {"latency_ms": 0}),
                                    ({"lose_answers_permille": 400}, {"lose_answers_permille": 0})])
-        self.mesh.set_store_fault(**harm)
+        self.mesh.set_store_fault(**fault)
         time.sleep(rng.uniform(0.5, 5))
-        self.mesh.set_store_fault(**heal)
+        self.mesh.set_store_fault(**clear)
 
     def cut_store(self, rng, data_centre):
         self.mesh.set_link_fault(f"store/{data_centre}", freeze=True)
@@ -137,30 +137,30 @@
             self.data_centres_out = set() if self.data_centres_out else {data_centre}
         try:
             self.mesh.apply(self.text(), check=False)
-        except OSError as away:  # the store may be unreachable for operators too
-            self.fault_log.append(f"text not applied: {away}")
+        except OSError as error:  # the store may be unreachable for operators too
+            self.faults.append(f"text not applied: {error}")
 
     def next_fault(self):
         """Picks a fault. Returns its name, the targets that it holds exclusively, and its action, or
         None if no node is free."""
         kind = self.rng.choice(["kill", "kill", "terminate", "pause", "server", "server-pause",
-                                  "links", "links", "one-way", "store", "store-cut", "text"])
+                                "links", "links", "one-way", "store", "store-cut", "text"])
         if kind in ("one-way", "store-cut"):
-            place = self.rng.choice(DATA_CENTRES)
+            data_centre = self.rng.choice(DATA_CENTRES)
             action = self.cut_one_way if kind == "one-way" else self.cut_store
-            return f"{kind} {place}", {kind}, lambda t: action(t, place)
+            return f"{kind} {data_centre}", {kind}, lambda rng: action(rng, data_centre)
         if kind in ("store", "text"):
-            action = self.disturb_store if kind == "store" else self.change_text
+            action = self.inject_store_fault if kind == "store" else self.change_text
             return kind, {kind}, action
         name = self.pick_free_node()
         if name is None:
             return None
-        actions = {"kill": lambda t: self.restart_node(t, name, False),
-                   "terminate": lambda t: self.restart_node(t, name, True),
-                   "pause": lambda t: self.pause_node(t, name),
-                   "server": lambda t: self.restart_server(t, name),
-                   "server-pause": lambda t: self.pause_server(t, name),
-                   "links": lambda t: self.disturb_links(t, name)}
+        actions = {"kill": lambda rng: self.restart_node(rng, name, False),
+                   "terminate": lambda rng: self.restart_node(rng, name, True),
+                   "pause": lambda rng: self.pause_node(rng, name),
+                   "server": lambda rng: self.restart_server(rng, name),
+                   "server-pause": lambda rng: self.pause_server(rng, name),
+                   "links": lambda rng: self.inject_link_fault(rng, name)}
         return f"{kind} {name}", {name}, actions[kind]
 
     def run_faults(self, seconds):
@@ -177,35 +177,37 @@
         for thread in threads:
             thread.join()
 
-    def perform(self, name, held, action, seed):
-        self.held_targets |= held
-        self.fault_log.append(name)
+    def perform(self, name, targets, action, seed):
+        self.held_targets |= targets
+        self.faults.append(name)
         try:
             action(random.Random(seed))
-        except Exception as fault:  # a process that doesn't restart is a failure
-            self.errors.append(f"{name}: {type(fault).__name__}: {fault}")
-        self.held_targets -= held
+        except Exception as error:  # a process that doesn't restart is a failure
+            self.errors.append(f"{name}: {type(error).__name__}: {error}")
+        self.held_targets -= targets
 
-    def load(self, name, gate):
-        return self.mesh.load(name, "--path", "/read/a", "--path", "/book/b", "--rate", RATE_PER_S,
-                              "--duration-s", self.seconds, "--response-bytes", 3000,
-                              "--deadline-ms", 1500, direct=True, targets=[gate])
+    def start_load(self, name, gate):
+        return self.mesh.start_load(name, "--path", "/read/a", "--path", "/book/b",
+                                    "--rate", RATE_PER_S, "--duration-s", self.seconds,
+                                    "--response-bytes", 3000,
+                                    "--deadline-ms", 1500, direct=True, targets=[gate])
 
     def run(self, seconds):
         self.seconds = seconds
         self.start()
-        loads = [self.load(f"callers-{i}", f"gate-{i}") for i in range(GATE_COUNT)]
+        loads = [self.start_load(f"callers-{i}", f"gate-{i}") for i in range(GATE_COUNT)]
         self.run_faults(seconds)
-        summaries = [self.mesh.summary(each) for each in loads]
+        summaries = [self.mesh.summary(load) for load in loads]
         assert not self.errors, self.errors
         self.check_callers(summaries)
-        counted = [n for n in self.mesh.instances if n not in self.killed_servers]
-        for each in loads:
-            self.check_runs(self.mesh.records(each), counted)
-        again = self.check_healed()
+        counted_names = [n for n in self.mesh.instances if n not in self.killed_servers]
+        for load in loads:
+            self.check_runs(self.mesh.records(load), counted_names)
+        healed = self.check_recovery()
         answered = sum(s["answered"] for s in summaries)
         sent = sum(s["sent"] for s in summaries)
-        return f"{len(self.fault_log)} faults, {answered} of {sent} answered; {again}; {self.mesh.finish()}"
+        return \
+            f"{len(self.faults)} faults, {answered}/{sent} answered; {healed}; {self.mesh.finish()}"
 
     def check_callers(self, summaries):
         for i, summary in enumerate(summaries):
@@ -215,31 +217,33 @@
                 assert excused or summary[what] == 0, (f"gate-{i}", what, summary)
             assert summary["answered"] > 0, summary
 
-    def check_runs(self, records, counted):
+    def check_runs(self, records, counted_names):
         """Checks that refused calls never ran and that non-idempotent calls ran at most once."""
         refused = [r for r in records if is_refused(r)]
-        booked = [r for r in records if r["path"].startswith("/book") and not is_refused(r)]
-        for most, picked in ((0, refused), (1, booked)):
-            for record in picked[:: max(1, len(picked) // MAX_CHECKED_REQUESTS)]:
-                ran = self.mesh.run_count(record["number"], counted)
-                assert ran <= most, f"{record['number']} ran {ran} times: {record}"
+        non_idempotent = [r for r in records if r["path"].startswith("/book") and not is_refused(r)]
+        for max_runs, selected in ((0, refused), (1, non_idempotent)):
+            for record in selected[:: max(1, len(selected) // MAX_CHECKED_REQUESTS)]:
+                ran = self.mesh.run_count(record["number"], counted_names)
+                assert ran <= max_runs, f"{record['number']} ran {ran} times: {record}"
 
-    def check_healed(self):
+    def check_recovery(self):
         """Checks that a new text is in force on every node in time and that every call is answered."""
         ready = self.mesh.wait_ready(READY_LIMIT_S)
         self.data_centres_out, self.extra_route_enabled = set(), True
         before = self.mesh.accepted_version()
-        wait_ignoring_errors(lambda: self.mesh.apply(self.text() + "# healed\n", check=False).returncode == 0,
-                     IN_FORCE_LIMIT_S, "a text accepted")
-        wait_ignoring_errors(lambda: self.mesh.accepted_version() > before, IN_FORCE_LIMIT_S, "a newer version")
+        wait_ignoring_errors(
+            lambda: self.mesh.apply(self.text() + "# healed\n", check=False).returncode == 0,
+            IN_FORCE_LIMIT_S, "a text accepted")
+        wait_ignoring_errors(lambda: self.mesh.accepted_version() > before, IN_FORCE_LIMIT_S,
+                             "a newer version")
         in_force = self.mesh.wait_version(self.mesh.accepted_version(), IN_FORCE_LIMIT_S)
         self.mesh.wait_members(READY_LIMIT_S)
 
         def all_answered():
             self.checks = getattr(self, "checks", 0) + 1
-            calls = self.mesh.load(f"healed-{self.checks}", "--path", "/read/a", "--rate", 100,
-                                   "--duration-s", 1, direct=True,
-                                   targets=[f"gate-{i}" for i in range(GATE_COUNT)])
+            calls = self.mesh.start_load(f"healed-{self.checks}", "--path", "/read/a",
+                                         "--rate", 100, "--duration-s", 1, direct=True,
+                                         targets=[f"gate-{i}" for i in range(GATE_COUNT)])
             summary = self.mesh.summary(calls)
             return summary["answered"] == summary["sent"] > 0
 
@@ -249,15 +253,15 @@
 
 def soak(bins, seed, seconds):
     """Runs one seed; returns whether all guarantees held."""
-    started, soaked = time.monotonic(), None
+    started, soak_run = time.monotonic(), None
     try:
         with Mesh(bins, proxied=True) as mesh:
-            soaked = Soak(mesh, seed)
-            result, passed = soaked.run(seconds), True
-    except Exception as fault:
-        where = traceback.extract_tb(fault.__traceback__)[-1]
-        result, passed = f"FAILED {type(fault).__name__}: {fault} at line {where.lineno}", False
-        result += f"; faults: {', '.join(soaked.fault_log if soaked else [])}"
+            soak_run = Soak(mesh, seed)
+            result, passed = soak_run.run(seconds), True
+    except Exception as error:
+        frame = traceback.extract_tb(error.__traceback__)[-1]
+        result, passed = f"FAILED {type(error).__name__}: {error} at line {frame.lineno}", False
+        result += f"; faults: {', '.join(soak_run.faults if soak_run else [])}"
     print(f"seed {seed}: {result} ({time.monotonic() - started:.0f} s)", flush=True)
     return passed
 
