--- a/tests/integration/calls_test.py
+++ b/tests/integration/calls_test.py
@@ -6,13 +6,15 @@
 from mesh import Mesh, check_calls, mesh_text, wait_ignoring_errors
 
 READY_AGAIN_S = 18.0
-KEYS_READY_S = 12.5  # a node registers keys first sent 12 s after the first start of its name
+# A node can be a registrar only of keys first sent at least 12 s after the first start under its
+# name.
+KEYS_READY_S = 12.5
 
 
 def start_mesh(mesh, work, gates=1, service=None, **options):
-    """Starts `work` instances of the service "work" and `gates` entry nodes without faults.
-    Callers reach the entry nodes directly, so that the proxy's faults affect only the traffic
-    between nodes."""
+    """Starts `work` instances of the service "work", whose backend servers get the options, and
+    `gates` entry nodes. Callers reach the entry nodes directly, so that the proxy's faults affect
+    only the traffic between nodes."""
     mesh.text = mesh_text(
         ["east", "west"],
         {"work": {"version": "1", **(service or {})}, "gate": {"version": "1"}},
@@ -56,8 +58,8 @@
             time.sleep(4)
         summary = mesh.summary(calls)
         counts_after = [mesh.executions(n) for n in work_names(mesh)]
-        # The first sign that a server is cold again is a slow or failed answer: one fall may be
-        # that sign, and a second one means that it was ignored.
+        # The first sign that a server is cold again is a slow or failed answer. One call that fails
+        # from overload may be that sign; a second one means that it was ignored.
         assert all(c["falls"] <= 1 for c in counts_after), [c["falls"] for c in counts_after]
         assert all(c["max_concurrency"] <= 12 for c in counts_after), counts_after
         return \
@@ -156,7 +158,7 @@
     ones, and calls refused under overload that ran nevertheless (guarantees 5 and 8)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 2, service={"slots": 2, "queue": 8}, service_ms=40, slots=2)
-        # Two servers with two slots and 40 ms serve 100 calls/s.
+        # Two servers with two slots each and a handler time of 40 ms serve at most 100 calls/s.
         calls = start_load(mesh, "overload", "--path", "/poll/a:6", "--path", "/alarm/b:1",
                            "--rate", 200, "--duration-s", 8)
         summary = mesh.summary(calls)
@@ -169,14 +171,15 @@
         assert answered["/alarm/b"] > answered["/poll/a"], answered
         checked = mesh.check_not_run(mesh.records(calls))
         assert checked > 0, summary
-        # Late calls were cancelled, so a server starts no more calls than the callers sent.
+        # Not checked here: late calls are cancelled, so a server starts no more calls than the
+        # callers sent.
         return f"answered: {answered['/alarm/b']:.0%} of alarms, {answered['/poll/a']:.0%} of " \
                f"polls; {checked} refusals checked; {check_calls(summary, None)}; {mesh.finish()}"
 
 
 def test_chains_seven_deep():
-    """Guards against a chain that runs a hop twice, loses its answer, or reports "not run" though
-    its first hops ran when a later hop fails; the eighth hop is refused (guarantees 7 to 9)."""
+    """Guards against a chain that runs a hop twice, loses its answer, or reports "not run" after a
+    later hop failed although its first hops ran. The eighth hop is refused (guarantees 7 to 9)."""
     names = [f"c{i}" for i in range(1, 8)]
     with Mesh(proxied=True) as mesh:
         routes = {f"/{n}": {"service": n, "timeout": f"{5000 - 500 * int(n[1])}ms"} for n in names}
--- a/tests/integration/config_faults_test.py
+++ b/tests/integration/config_faults_test.py
@@ -5,7 +5,7 @@
 from harness import HOST, request, run_tests
 from mesh import Mesh, check_calls, http, mesh_text, wait_ignoring_errors
 
-CONVERGENCE_S = 18.0  # the users' target until a change is in force everywhere
+CONVERGENCE_S = 18.0  # the users' target from acceptance until a change is in force everywhere
 DATA_CENTRES = ["east", "west"]
 READ_ROUTE = {"service": "alpha", "timeout": "2s", "idempotent": True}
 
@@ -38,14 +38,15 @@
 
 
 def wait_accepted(mesh, version, timeout_s=15):
-    """Waits until the store holds the accepted version; returns the monotonic time."""
+    """Waits until the store holds the accepted version. Returns the monotonic time then."""
     wait_ignoring_errors(lambda: mesh.accepted_version() >= version, timeout_s,
                          f"accepted {version}")
     return time.monotonic()
 
 
 def wait_in_force(mesh, version, start_time, names=None):
-    """Fails if a node lacks the version 18 s after the given time; returns the seconds taken."""
+    """Fails if a node lacks the version 18 s after start_time, a monotonic time. Returns the
+    seconds since then."""
     mesh.wait_version(version, max(0.1, CONVERGENCE_S - (time.monotonic() - start_time)), names)
     return time.monotonic() - start_time
 
@@ -109,7 +110,8 @@
                 node.kill() if kind == "kill" else node.pause()
             paused_at = time.monotonic()
             others = [n for n in mesh.instances if n not in failed_nodes]
-            # The next accepter comes within a lease period; the target counts from acceptance.
+            # If the accepter failed, another node becomes accepter within a lease period. The
+            # target counts from the acceptance.
             accepted_at = wait_accepted(mesh, version)
             times_s.append(wait_in_force(mesh, version, accepted_at, others))
             if kind == "pause":
@@ -198,7 +200,7 @@
             with open(path, "w") as out:
                 out.write(bad_text)
             assert mesh.ctl("apply", path, "--from", text_revision, check=False).returncode == 1
-            # Another writer bypasses the operator's check.
+            # Another tool writes the text without carawayctl's check.
             http_put(mesh, "caraway/text", bad_text)
 
             def refusal_recorded():
@@ -212,14 +214,15 @@
         for name in mesh.instances:
             assert mesh.applied_versions(name) == [1], mesh.applied_versions(name)
             assert not mesh.log_lines(name, "data_centre_out")
-        # A service with its route is added without any instance, called at once, and removed again.
+        # A service without instances is added with its route, called at once, and removed again.
         started_at = time.monotonic()
         gamma_load = mesh.start_load("gamma", "--path", "/gamma/z", "--rate", 100,
                                      "--duration-s", 3, targets=["alpha-0"])
         mesh.apply(text(services={"gamma": {"version": "1"}},
                         routes={"/gamma": {"service": "gamma"}}))
         elapsed_s = wait_in_force(mesh, 2, started_at)
-        gamma_summary = mesh.summary(gamma_load)  # each call is refused, none hangs or is misrouted
+        # Each call is refused; none hangs or is misrouted.
+        gamma_summary = mesh.summary(gamma_load)
         assert gamma_summary["not_run"] == gamma_summary["sent"], gamma_summary
         mesh.apply(text())
         wait_in_force(mesh, 3, time.monotonic())
@@ -273,8 +276,9 @@
 
 
 def test_restart_among_nodes_that_are_behind():
-    """Guards against a restarted node that applies an older version from the first members that answer
-    while the store is down: two paused nodes missed a change that it had applied (guarantee 1)."""
+    """Guards against a restarted node that applies an older version from the first members that
+    answer while the store is down: two nodes, paused before, missed a change that it had applied
+    (guarantee 1)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 8)
         names = list(mesh.instances)
--- a/tests/integration/ctl_test.py
+++ b/tests/integration/ctl_test.py
@@ -20,7 +20,7 @@
 
 
 class Store:
-    """The store stand-in with its faults, and a folder for files."""
+    """A store stand-in on which a test runs carawayctl."""
 
     def __init__(self, harness):
         self.harness = harness
@@ -33,7 +33,7 @@
         return self.harness.path(name)
 
     def ctl(self, *arguments):
-        """Returns the exit code and what was printed."""
+        """Runs carawayctl. Returns its exit status and its standard output and error."""
         completed = subprocess.run([os.path.join(self.harness.bins, "carawayctl"), "--store",
                                     self.address, *arguments],
                                    capture_output=True, text=True, timeout=60)
@@ -119,8 +119,7 @@
         # The accepter refuses an invalid text that another writer stored without a check.
         request(f"{HOST}:{mesh.store_port}", "PUT", "/v1/kv/caraway/text", "format = 1\nnmae = 1\n")
         refused = wait_until(lambda: (completed := mesh.ctl("status", check=False)).returncode == 1
-                             and completed,
-                             10, "refusal")
+                             and completed, 10, "refusal")
         assert "text:2:1: found unknown key \"nmae\"" in refused.stdout, refused.stdout
         assert "version 2 accepted" in refused.stdout, refused.stdout
         verdicts = mesh.ctl("verdicts").stdout
--- a/tests/integration/data_centre_test.py
+++ b/tests/integration/data_centre_test.py
@@ -1,4 +1,5 @@
-"""Data centres that are taken out, return, fail and flap: guarantee 6 behind the fault-injecting proxy."""
+"""Data centres that are taken out, return, fail and flap: guarantee 6 with real processes behind
+the fault-injecting proxy."""
 import time
 
 from harness import run_tests
@@ -99,7 +100,7 @@
         time.sleep(1)
         assert last_start_ms(mesh, "harris") == 0, "work in a data centre that is out"
         apply_and_wait_accepted(mesh, text())
-        # Entries prefer their own data centre, so this one gets calls from its own entries.
+        # Entry nodes prefer their own data centre, so this one gets calls through its own nodes.
         inside_load = start_load(mesh, 30, names_in(mesh, "harris"), 60, "inside")
         return_s = wait_ignoring_errors(lambda: is_serving(mesh, "harris"), CONVERGENCE_S,
                                         "work again")
@@ -107,7 +108,7 @@
         check_calls(mesh.summary(inside_load))
         summary = mesh.summary(calls)
         records = mesh.records(calls)
-        # Nothing fails once the failure is detected and the change is in force.
+        # No call fails once the failure is detected and the change is in force.
         failed = [r["sent_ms"] - killed_ms for r in records if r["outcome"] != "answered"]
         assert all(f <= CONVERGENCE_S * 1000 for f in failed), failed
         last_s = max(failed, default=0) / 1000
@@ -157,8 +158,8 @@
 
 
 def test_flapping():
-    """Guards against a node that ends with an older configuration when data centres go out and in
-    faster than the changes spread, with 5% of the datagrams lost."""
+    """Guards against a node that ends with an older configuration when data centres are taken out
+    and returned faster than the changes propagate, with 5% of the datagrams lost."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         mesh.set_link_fault("udp/*", loss_permille=50)
--- a/tests/integration/harness.py
+++ b/tests/integration/harness.py
@@ -1,7 +1,7 @@
 """Helpers of the integration tests: programs, free ports, HTTP with JSON, and waiting.
 
-Python's standard library only. Tests import this module and get the folder of programs as their
-first argument.
+Uses only Python's standard library. A test file gets the folder of programs as its first
+command-line argument.
 """
 import concurrent.futures
 import http.client
@@ -29,7 +29,8 @@
 
 
 def seed():
-    """Returns the seed of this run: CARAWAY_SEED, or a random one. Prints it for a replay."""
+    """Returns the seed of this run: CARAWAY_SEED, or a random one. Prints it, so that the run
+    can be repeated."""
     global _seed
     if _seed is None:
         _seed = int(os.environ.get("CARAWAY_SEED") or random.randrange(1 << 31))
@@ -113,7 +114,8 @@
 
 
 class Program:
-    """A started program. Its standard error goes to a file, one JSON object a line."""
+    """A started program. Its standard output and standard error go to a file, to which it logs one
+    JSON object per line."""
 
     def __init__(self, name, process, log_path):
         self.name, self.process, self.log_path = name, process, log_path
@@ -163,7 +165,7 @@
             self.process.send_signal(signal.SIGTERM)
 
     def stop(self, timeout_s=40):
-        """Sends SIGTERM, waits for the end and returns the exit status."""
+        """Sends SIGTERM, waits until the program ends and returns its exit status."""
         self.terminate()
         return self.process.wait(timeout_s)
 
@@ -220,8 +222,8 @@
         return started_program
 
     def start_load(self, *arguments, name="load"):
-        """Starts a load generator with the run's seed, unless --seed is given. Returns the
-        program; load_result takes it."""
+        """Starts a load generator with the run's seed, unless --seed is given. Returns the program,
+        for load_result."""
         return self.start("load_generator", "--out", self.path(name + ".json"),
                           "--records", self.path(name + ".records"), "--run-id", name,
                           "--seed", seed(), *arguments, name=name, ready="started")
@@ -239,7 +241,7 @@
 
 def run_tests(tests, max_parallel=1):
     """Runs the test functions, up to max_parallel at a time, and prints a line for each with the
-    figures that the test returns. Exits with 1 if a test failed."""
+    text that the test returns. Exits with 1 if a test failed, otherwise with 0."""
     seed()
     print_lock = threading.Lock()
 
--- a/tests/integration/leave_test.py
+++ b/tests/integration/leave_test.py
@@ -32,7 +32,7 @@
 
 def stop_instance(mesh, name):
     """Stops the node and then its server as planned. Returns the seconds from the announcement to
-    the last new call."""
+    the start of the last call."""
     instance = mesh.instances[name]
     assert instance.node.stop() == 0, f"{name}: exit {instance.node.process.returncode}"
     leaving_ms = mesh.log_lines(name, "leaving")[-1]["time"]
--- a/tests/integration/mesh.py
+++ b/tests/integration/mesh.py
@@ -1,10 +1,10 @@
 """Starts a small mesh of real processes for tests, the demo and measurements.
 
 A Mesh holds one store stand-in and a set of instances. Each instance is a backend server stand-in
-with a carawayd beside it. With proxied=True all traffic between nodes and to the store passes through
-the fault-injecting proxy, so that links can be cut, delayed or frozen by name:
-traffic/INSTANCE, udp/INSTANCE, bulk/INSTANCE, store/DATA_CENTRE. The nodes of each data centre send
-from their own source address, by which the proxy can cut them off.
+with a carawayd beside it. With proxied=True all traffic between nodes and to the store passes
+through the fault-injecting proxy, so that links can be cut, delayed or frozen by name:
+traffic/INSTANCE, udp/INSTANCE, bulk/INSTANCE, store/DATA_CENTRE. The nodes of a data centre then
+share a source address, by which the proxy can cut them off.
 """
 
 import http.client as http_client
@@ -18,7 +18,8 @@
 
 from harness import HOST, Harness, get_json, request, wait_until
 
-FIRST_PORT = 14400  # below the ephemeral range, so that other clients do not occupy them
+# The ports are below the ephemeral range, so that outgoing connections do not occupy them.
+FIRST_PORT = 14400
 SLOT_PORTS = 2000
 # Test files that run at the same time take their ports from different slots, since a node that is
 # restarted must find its port still free.
@@ -26,9 +27,12 @@
 _next_port = [_first_port]
 _port_lock = threading.Lock()
 
-# Folder to which the nodes' logs, with the inputs of their decisions, are copied at the end.
+# If set, nodes record the inputs of their decisions, and their logs are copied to this folder at
+# the end of a test.
 RECORD_DIR = os.environ.get("CARAWAY_RECORD_DIR")
-RECORD_LINES = 100_000  # far more than are queued between two writes
+# Maximum number of recorded lines that wait to be written; far more than gather between two writes,
+# so that none is dropped.
+RECORD_LINES = 100_000
 
 
 def free_port():
@@ -48,7 +52,8 @@
 
 
 def http(method, port, path, body=None, timeout_s=5.0):
-    """Sends one HTTP request; returns (status, headers, body bytes)."""
+    """Sends one HTTP request, with body as JSON unless it is None. Returns status, headers (lower
+    case) and body."""
     data = b"" if body is None else json.dumps(body).encode()
     return request(f"{HOST}:{port}", method, path, data, timeout_s=timeout_s)
 
@@ -80,7 +85,7 @@
         self.data_centre = data_centre
         self.service = service
         self.version = version
-        self.options = options  # extra options of the backend server
+        self.options = options  # extra options of the backend server, with _ for -
         self.ports = {
             key: free_port()
             for key in ("traffic", "udp", "bulk", "admin", "server", "server_control")
@@ -88,7 +93,7 @@
         self.advertised_ports = {key: self.ports[key] for key in ("traffic", "udp", "bulk")}
         self.server = None
         self.node = None
-        self.node_logs = []  # one file for each start of the node
+        self.node_logs = []  # one path for each start of the node
 
 
 class Mesh:
@@ -183,15 +188,16 @@
         assert status == 200, (status, body)
 
     def cut_data_centre(self, data_centre, cut=True):
-        """Cuts or restores the inbound links of all nodes in a data centre, also between
-        themselves."""
+        """Cuts or restores the inbound links of all nodes in a data centre, including those from
+        each other."""
         for instance in self.in_data_centre(data_centre):
             for key in ("traffic", "udp", "bulk"):
                 self.set_link_fault(f"{key}/{instance.name}", cut=cut)
 
     def partition(self, data_centre, inbound=True, outbound=True):
         """Cuts a data centre off from the others, in both directions or one. Its nodes still reach
-        each other and, unless that link is cut, the store. Without a direction the cut heals."""
+        each other and, unless that link is cut, the store. With neither direction, heals the
+        cut."""
         own_sources = [self.source_addresses[data_centre]]
         other_sources = [s for d, s in self.source_addresses.items() if d != data_centre]
         for instance in self.instances.values():
@@ -286,7 +292,7 @@
         return completed
 
     def apply(self, text, check=True):
-        """Applies a text on top of the current revision."""
+        """Applies a text with carawayctl, based on the current revision."""
         self.applied_texts += 1
         path = f"{self.dir}/text-{self.applied_texts}.toml"
         with open(path, "w") as out:
@@ -318,7 +324,7 @@
 
     def wait_version(self, version, timeout=30, names=None):
         """Waits until the nodes run the version or a newer one. A node that does is not polled
-        again."""
+        again. Returns the seconds waited."""
         pending = list(names or [i.name for i in self.running_instances()])
 
         def complete():
@@ -393,7 +399,8 @@
         return matching
 
     def lease_holders(self, lease):
-        """Returns the names of the running nodes that report holding a lease, such as "accepter"."""
+        """Returns the names of the running nodes that report that they hold a lease, such as
+        "accepter"."""
         holders = []
         for instance in self.running_instances():
             try:
@@ -413,17 +420,18 @@
             assert versions == sorted(versions), f"{name} went back: {versions}"
 
     def run_count(self, number, names=None):
-        """Returns how often the backend servers ran a request, by their own counts."""
+        """Returns how often the backend servers ran a request, by their own counts. Without names,
+        asks all running backend servers."""
         names = names or [i.name for i in self.instances.values() if i.server.running()]
         ports = [self.instances[name].ports["server_control"] for name in names]
         return sum(http_json(port, f"/control/ran?request={number}")["ran"] for port in ports)
 
-    def check_not_run(self, records, names=None, max_checked=150):
+    def check_not_run(self, records, names=None, min_checked=150):
         """Fails if a backend server ran a request that was answered as not run (guarantee 8).
-        Checks all of them or, if there are many, at least max_checked evenly spaced ones; returns
+        Checks all of them or, if there are many, at least min_checked evenly spaced ones; returns
         how many were checked."""
         refused = [r["number"] for r in records if is_refused(r)]
-        sample = refused[:: max(1, len(refused) // max_checked)]
+        sample = refused[:: max(1, len(refused) // min_checked)]
         for number in sample:
             run_count = self.run_count(number, names)
             assert run_count == 0, f"{number} was refused as not run but ran {run_count} times"
@@ -465,7 +473,7 @@
     def finish(self, allowed=None):
         """Ends a test: checks that planned stops are graceful (guarantee 11), that versions never
         decrease and that the audit of all logs finds only breaches for which allowed(line) is
-        true. Returns the end of the audit's last line."""
+        true (none without allowed). Returns the counts in the audit's last line."""
         statuses = self.stop_nodes()
         assert set(statuses) <= {0}, f"exit statuses {statuses}"
         self.check_versions()
@@ -480,7 +488,8 @@
 
 
 def mesh_text(data_centres, services, routes, out=(), name="proof"):
-    """Returns an operators' text. services: name -> dict of TOML values; routes: path -> dict."""
+    """Returns a configuration text. services and routes map a name or path to a dict of TOML
+    values; out lists the data centres that are taken out."""
     lines = ["format = 1", f'name = "{name}"']
     for data_centre in data_centres:
         lines += [f"[data_centre.{data_centre}]", f"out = {json.dumps(data_centre in out)}"]
@@ -500,8 +509,9 @@
 
 
 def check_calls(summary, unknown=0):
-    """Fails if a call was lost, crossed or cut, or if more than unknown calls had an unknown
-    outcome (None: no limit). Returns the figures."""
+    """Fails if a call got no answer (lost), an answer to another request (crossed) or an incomplete
+    answer (cut), if no call was answered, or if more than unknown calls had an unknown outcome
+    (None: no limit). Returns the totals as text."""
     for what in ("lost", "crossed", "cut"):
         assert summary[what] == 0, f"{what}: {summary[what]}, {summary['other_reasons']}"
     assert unknown is None or summary["unknown"] <= unknown, summary["other_reasons"]
--- a/tests/integration/move_faults_test.py
+++ b/tests/integration/move_faults_test.py
@@ -15,7 +15,8 @@
 
 
 def text(move=None, queue=48):
-    """Returns a text of one service with an idempotent route and one that must not run twice; move: (to, deadline)."""
+    """Returns a text of one service with an idempotent route and one whose calls must not run
+    twice. move is (version, deadline), or None for a text without a move."""
     result = mesh_text(
         ["east", "west"], {"pour": {"version": "1", "queue": queue}},
         {"/read": {"service": "pour", "timeout": "2s", "idempotent": True},
@@ -31,7 +32,8 @@
 
 
 def start_mesh(mesh, **new_version_options):
-    """Two instances of version 1 and two of version 2 with the given backend server options."""
+    """Starts two instances of version 1, and two of version 2 whose backend servers get the
+    options."""
     for i in range(2):
         mesh.add(f"old-{i}", ("east", "west")[i], "pour", "1", service_ms=5)
     for i in range(2):
@@ -45,7 +47,7 @@
 
 
 def start_move(mesh, duration_s, load_s, to="2"):
-    """Starts the load and the move; returns the load and the deadline in local time."""
+    """Starts the load and the move. Returns the load and the deadline as a monotonic time."""
     load = mesh.start_load("load", "--path", "/read/a:3", "--path", "/book/b:2",
                            "--rate", CALLS_PER_S, "--duration-s", load_s,
                            targets=["old-0", "old-1"])
@@ -56,15 +58,15 @@
 
 
 def wait_second_stage(mesh, timeout_s):
-    """Waits for the last stage whose share stays below 5% of the calls. Later stages always exceed
-    it."""
+    """Waits for the second stage, the last one in which the new version gets less than 5% of the
+    calls."""
     wait_ignoring_errors(lambda: mesh.move_record("pour")["stage"] >= 1, timeout_s,
                          "the second stage")
     assert mesh.move_record("pour")["stage"] == 1, mesh.move_record("pour")
 
 
 def final_record(mesh, timeout_s):
-    """Waits for the final state and for its verdict; returns the record."""
+    """Waits for the final state of the move and for its verdict. Returns the move's record."""
     wait_ignoring_errors(lambda: mesh.move_record("pour")["state"] != "running", timeout_s,
                          "the final state")
     record = mesh.move_record("pour")
@@ -75,7 +77,8 @@
 
 
 def backend_call_starts(mesh):
-    """Returns (time in ms, version) of each call started at a backend server, from all nodes' logs."""
+    """Returns (Unix time in ms, version) of each call started at a backend server, from the logs of
+    all nodes."""
     return sorted((line["time"], mesh.instances[name].version)
                   for name in mesh.instances
                   for line in mesh.log_lines(name, "backend_call_started"))
@@ -83,7 +86,7 @@
 
 def check_suspended(mesh, to="2"):
     """Fails unless the version was suspended, got at most 5% of the calls until then and none
-    later than 3 s after it. Returns the figures."""
+    later than 3 s after it. Returns the measured values as text."""
     lines = [line for name in mesh.instances for line in mesh.log_lines(name, "version_suspended")
              if line["version"] == to]
     assert lines, "never suspended"
@@ -95,7 +98,7 @@
     share = versions.count(to) / max(1, len(versions))
     new_starts = [t for t, version in all_starts if version == to]
     last_logged_s = (max(new_starts) - suspended_ms) / 1000 if new_starts else -1.0
-    # The backend servers' own counts agree with the nodes' logs, so no call is missing from the logs.
+    # If the backend servers' own counts agree with the nodes' logs, the logs lack no call.
     servers = [mesh.executions(i.name) for i in mesh.of_service("pour", to)]
     assert sum(s["started"] for s in servers) == len(new_starts), (servers, len(new_starts))
     last_counted_s = (max(s["last_started_ms"] for s in servers) - suspended_ms) / 1000 \
@@ -118,7 +121,7 @@
 
 
 def bad_version(name, **new_version_options):
-    """Returns a test that checks that a bad version is taken back."""
+    """Returns a test that fails unless a version with these defects is taken back."""
 
     def test():
         with Mesh(proxied=True) as mesh:
@@ -130,7 +133,7 @@
     return test
 
 
-# Each guards against one kind of defect that is detected too late or not at all.
+# Each test guards against one kind of defect that is detected too late or not at all.
 BAD_VERSIONS = [
     bad_version("fails", behaviour="fails"),
     bad_version("fails_later", behaviour="fails_later", behaviour_after_s=4,
@@ -163,13 +166,12 @@
 
 
 def holder_fails(kind):
-    """Kills the holder or pauses it past its lease when a version turns bad."""
+    """Kills the holder of a move, or pauses it past its lease, when the version turns bad. Fails
+    unless another holder takes the move back."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         load, _ = start_move(mesh, 30, 45)
         wait_second_stage(mesh, 20)
-        # Callers enter at the old instances: pausing a holder among them also
-        # pauses its callers' calls, so the load goes to the other instances.
         holder = mesh.move_record("pour")["holder"]
         for i in mesh.of_service("pour", "2"):
             mesh.set_server_fault(i.name, behaviour="fails", behaviour_permille=800)
@@ -191,6 +193,8 @@
             "the late holder rewrote the record"
         load.terminate()
         summary = mesh.summary(load)
+        # Callers enter at the old instances. If the holder is one of them, calls through it may be
+        # lost, so only crossed and cut answers fail the test.
         for what in ("crossed", "cut"):
             assert summary[what] == 0, summary["other_reasons"]
         assert len(others) == 3
@@ -253,7 +257,8 @@
 
 
 def run_good_move(outage_start_share, duration_s):
-    """A good version with the store down for a third of the time given; outage_at is a share."""
+    """Moves to a good version within duration_s while the store is down for a third of that time,
+    from the share outage_start_share on. Fails unless the move is done by its deadline."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         load, deadline = start_move(mesh, duration_s, duration_s + 15)
@@ -282,20 +287,20 @@
 
 
 def test_good_version_with_a_late_outage():
-    """Guards against a good version that is taken back because the store was unavailable while the last
-    stage was due."""
+    """Guards against a good version that is taken back because the store was unavailable while the
+    last stage was due."""
     return run_good_move(0.45, 30)
 
 
 def test_good_version_with_an_outage_before_the_raise():
-    """Guards against a schedule that leaves no time for the next holder's lease and evidence after
-    an outage of a third of the time given, just before the weight leaves 4%."""
+    """Guards against a schedule that leaves no time for the next holder to get the lease and
+    evidence after an outage of a third of the time given, just before the weight rises above 4%."""
     return run_good_move(0.34, 40)
 
 
 def test_two_texts_race_on_one_service():
-    """Guards against two moves of one service at a time, or a final state that a second text
-    changes. The second text sets a later deadline, which makes another move."""
+    """Guards against two moves of one service at a time, and against a final state that a second
+    text changes. The second text sets a later deadline, which makes it another move."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, behaviour="fails", behaviour_permille=800)
         load = mesh.start_load("load", "--path", "/read/a:3", "--path", "/book/b:2",
--- a/tests/integration/partition_test.py
+++ b/tests/integration/partition_test.py
@@ -1,4 +1,5 @@
-"""A data centre cut off in both directions or one: guarantees 1, 6, 8, 9 and 12 in a partition."""
+"""A data centre that is cut off in one or both directions: guarantees 1, 6, 8, 9 and 12 during a
+network partition."""
 import collections
 import random
 import time
@@ -10,8 +11,11 @@
 CONVERGENCE_S = 18.0
 DATA_CENTRES = ["harris", "martin", "thurlow"]
 CUT_DATA_CENTRE = "harris"
-KEYS_READY_S = 12.5  # a node registers keys first sent 12 s after the first start of its name
-MIN_NODE_AGE_S = 76  # after a loss, only nodes first started 75 s before it stay registrars
+# A node can be a registrar only of keys first sent at least 12 s after the first start under its
+# name.
+KEYS_READY_S = 12.5
+# After a loss of members, only nodes first started at least 75 s before it remain registrars.
+MIN_NODE_AGE_S = 76
 
 
 def text(out=()):
@@ -37,8 +41,8 @@
 
 
 def start_load(mesh, name, targets, seconds):
-    """Starts a load of requests that must run at most once, so that the servers' counts check
-    every answer."""
+    """Starts a load of requests that must run at most once, so that every answer can be checked
+    against the servers' counts."""
     return mesh.start_load(name, "--path", "/cycle/b", "--rate", 80, "--duration-s", seconds,
                            targets=targets, direct=True)
 
@@ -59,14 +63,14 @@
 
 def out_during_cut(store_inside, inbound=True, outbound=True):
     """Cuts harris off, takes it out by a text while the store is reachable from one side only, and
-    heals the cut. A node fetches texts itself, so harris can get the text before the cut heals
-    only if it reaches the store or, by an outbound connection, a node that does."""
+    heals the cut. Nodes fetch texts, they don't push them, so harris can get the text before the
+    cut heals only if it reaches the store or, by an outbound connection, a node that does."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
 
         def is_uninformed_work(line):
             """Returns whether a breach is work in the disconnected data centre, which could not
-            know the text. Its last start is checked below against the end of the cut."""
+            know the text. Its last call is checked below against the end of the cut."""
             return "work-in-data-centre-out: " in line and any(f" on {n} " in line for n in inside)
 
         inside, outside = names_on_side(mesh, True), names_on_side(mesh, False)
@@ -91,7 +95,7 @@
             last_call_s = (last_start_ms(mesh, inside) - accepted_ms) / 1000
             assert last_call_s <= STOP_LIMIT_S, f"last call {last_call_s:.2f} s after acceptance"
         else:
-            # Without the text, the disconnected data centre keeps working.
+            # Without the text, the disconnected data centre keeps serving calls.
             assert {mesh.status(n)["config_version"] for n in uninformed} == {1}
             assert last_start_ms(mesh, inside) > accepted_ms + 1000, \
                 "the cut off side stopped serving"
@@ -124,14 +128,14 @@
 
 
 def test_inbound_cut():
-    """Guards against a data centre that the others can't reach and that gets answers to its own
-    probes, so that it does not detect from them that it is out."""
+    """Guards against a data centre that doesn't learn that it is out, because the others can't
+    reach it while its own probes are answered."""
     return out_during_cut(store_inside=False, outbound=False)
 
 
 def test_outbound_cut():
-    """Guards against an older version or a false answer when a data centre is told of a text that
-    it cannot fetch."""
+    """Guards against an older version or a false answer when a data centre hears of a text that it
+    cannot fetch."""
     return out_during_cut(store_inside=False, inbound=False)
 
 
--- a/tests/integration/platform_standins.py
+++ b/tests/integration/platform_standins.py
@@ -45,7 +45,7 @@
 
 
 class PlatformStore:
-    """The key-value store. The test acts as its operator."""
+    """The key-value store. Tests write to it as the platform's operators do."""
 
     def __init__(self):
         self.items, self.events, self.leases = {}, [], {}
@@ -121,7 +121,7 @@
                 rows = [self.items[k] for k in sorted(self.items)
                         if k.startswith(prefix) and k > query.get("after", "")
                         and not any(part in k for part in self.hidden_key_parts)]
-                # Two rows a page, so that lists have to read several pages.
+                # Two items a page, so that lists consist of several pages.
                 return handler.reply(200, {"items": rows[:2], "has_more": len(rows) > 2,
                                            "current_rev": self.revision})
 
@@ -170,7 +170,8 @@
 
 
 class ReportingServer:
-    """A backend server that seals its answers and reports itself to the node beside it."""
+    """A backend server that seals its answers, that is, states its instance in them, and reports
+    itself to the node beside it."""
 
     def __init__(self, service, data_centre, reports_address, version="v1"):
         self.service, self.data_centre, self.version = service, data_centre, version
--- a/tests/integration/platform_test.py
+++ b/tests/integration/platform_test.py
@@ -7,10 +7,10 @@
 from harness import HOST, Harness, free_ports, request, run_tests, wait_until
 from platform_standins import PlatformStore, ReportingServer
 
-READY_S = 10
-APPLY_S = 2        # an accepted configuration is in force
-JOINED_S = 1.2     # nodes that start together have joined; they look for others after 2 s
-EVACUATE_S = 3     # a data centre that was taken out gets no new calls
+READY_S = 10    # until started nodes are ready
+APPLY_S = 2     # until an accepted configuration is in force
+JOINED_S = 1.2  # until nodes that start together have joined; they look for others after 2 s
+EVACUATE_S = 3  # until a data centre that was taken out gets no new calls
 
 SETTINGS = """
 [instance]
@@ -97,7 +97,7 @@
     """A store and four instances in two data centres."""
 
     def __init__(self, separate_groups=False):
-        # At first the instances of a service join only each other.
+        # If true, the instances of a service at first join only each other.
         self.separate_groups = separate_groups
 
     def __enter__(self):
@@ -111,7 +111,8 @@
                                         service, data_centre) for data_centre in ("north", "south")]
             if self.separate_groups:
                 wait_until(lambda: all(i.ready() for i in self.instances), READY_S, "ready")
-                self.store.hidden_key_parts = ("/orders-",)  # their entry points
+                # Hides the entry points of "orders" from the instances of "stock".
+                self.store.hidden_key_parts = ("/orders-",)
         wait_until(lambda: all(i.ready() for i in self.instances), READY_S, "ready")
         if self.separate_groups:
             time.sleep(JOINED_S)
@@ -127,8 +128,8 @@
 
 
 def test_calls_and_configuration_change():
-    """Guards against a path through the adapter that loses, changes or misroutes a call, against a
-    configuration that is not in force in time, and against 404 for an existing route."""
+    """Guards against an adapter that loses, changes or misroutes a call, against a configuration
+    that is not in force in time, and against 404 for an existing route."""
     with Platform() as platform:
         entry = platform.instances[0]
         body = bytes(range(256)) * 40
@@ -204,8 +205,8 @@
 
 
 def test_groups_that_started_apart():
-    """Guards against nodes that started together, joined only each other and never join the
-    rest: in 3 of 8 runs of a day with a power loss, a fifth of its calls was refused after it."""
+    """Guards against nodes that start together, join only each other and never join the rest. In 3
+    of 8 runs of a day with a power loss, a fifth of the day's calls was refused after the loss."""
     with Platform(separate_groups=True) as platform:
         for instance in platform.instances:
             wait_until(lambda: all(instance.call(path)[0] == 200
@@ -215,5 +216,4 @@
 
 if __name__ == "__main__":
     run_tests([test_calls_and_configuration_change, test_drain_and_evacuation,
-               test_store_unavailable,
-               test_groups_that_started_apart])
+               test_store_unavailable, test_groups_that_started_apart])
--- a/tests/integration/standins_test.py
+++ b/tests/integration/standins_test.py
@@ -36,7 +36,7 @@
 
 
 def test_load_straight_to_a_backend_server():
-    """Guards against a generator that loses or miscounts requests without any fault."""
+    """Guards against a load generator that loses or miscounts requests without any fault."""
     with Harness() as harness:
         # Enough slots that stalls of a busy machine do not cause shedding.
         listen, control, backend = start_backend(harness, "--service-ms", 2, "--slots", 200)
@@ -59,12 +59,14 @@
     with Harness() as harness:
         listen, control, _ = start_backend(harness, "--service-ms", 5, "--slots", 200)
         link, proxy_control = free_addresses(2)
-        harness.start("fault_proxy", "--link", f"in.a=tcp,{link},{listen}", "--control", proxy_control)
+        harness.start("fault_proxy", "--link", f"in.a=tcp,{link},{listen}",
+                      "--control", proxy_control)
         load = harness.start_load("--target", link, "--rate", 500, "--duration-s", 2.5)
         time.sleep(0.7)
         post_json(proxy_control, "/control", {"link": "in.*", "cut": True})
         time.sleep(0.5)
-        post_json(proxy_control, "/control", {"link": "in.a", "cut": False, "truncate_after_bytes": 60})
+        post_json(proxy_control, "/control",
+                  {"link": "in.a", "cut": False, "truncate_after_bytes": 60})
         summary, records = harness.load_result(load)
         counted = sum(summary[k] for k in ("answered", "not_run", "unknown", "deadline", "crossed",
                                            "cut", "lost"))
@@ -80,7 +82,7 @@
 
 
 def test_proxy_delays_freezes_and_forwards_datagrams():
-    """Guards against faults without effect and datagrams that reach the wrong sender."""
+    """Guards against injected faults without effect and answers that reach the wrong sender."""
     with Harness() as harness:
         target = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         target.bind((HOST, 0))
@@ -117,7 +119,7 @@
 
 
 def test_proxy_limits_tcp():
-    """Guards against bandwidth, delay and freeze that let bytes through."""
+    """Guards against a bandwidth limit, delay or freeze that lets bytes through too early."""
     with Harness() as harness:
         listen, _, _ = start_backend(harness, "--service-ms", 0)
         link, proxy_control = free_addresses(2)
--- a/tests/integration/stored_text_test.py
+++ b/tests/integration/stored_text_test.py
@@ -1,4 +1,5 @@
-"""The submitted and accepted texts in the store: compressed, restored and removed under faults."""
+"""The submitted and accepted texts in the store, which are compressed, restored and removed under
+faults."""
 import json
 import random
 import time
@@ -10,7 +11,7 @@
 
 
 def text(slots):
-    """A text in which every change moves many bytes between versions."""
+    """Returns a text of which many bytes change with slots."""
     services = {f"s{i}": {"version": "1", "slots": slots + i} for i in range(40)}
     return mesh_text(DATA_CENTRES, {"alpha": {"version": "1"}, **services},
                      {"/alpha": {"service": "alpha", "timeout": "2s", "idempotent": True}})
@@ -33,7 +34,7 @@
 
 
 def put_raw(mesh, value):
-    """Writes an uncompressed text as another tool does, again if the answer was lost."""
+    """Writes an uncompressed text, as other tools do. Repeats the write if its answer is lost."""
     def put():
         return request(f"{HOST}:{mesh.store_port}", "PUT", "/v1/kv/caraway/text", value)[0] == 200
 
@@ -41,7 +42,7 @@
 
 
 def is_accepted_text(mesh, value):
-    """Returns whether the accepted text, restored from the store, is equivalent to the given one."""
+    """Returns whether the accepted text, restored from the store, is equivalent to value."""
     path = f"{mesh.dir}/expected.toml"
     with open(path, "w") as out:
         out.write(value)
@@ -50,7 +51,7 @@
 
 
 def restart_all(mesh):
-    """Restarts every node at once, so that only the store holds the text."""
+    """Kills all nodes before it starts any again, so that only the store holds the text."""
     for name, instance in mesh.instances.items():
         if instance.node.running():
             instance.node.kill()
@@ -84,7 +85,8 @@
                 restart_all(mesh)
                 assert {mesh.status(n)["config_version"] for n in mesh.instances} == {version}
                 mesh.wait_members()
-        # Two intervals of 8 deltas and their whole texts, and one more while they are removed.
+        # Up to two intervals are kept, each with up to 8 deltas and a full text, and a third until
+        # it has been removed: 3 * 9 values.
         assert max(counts) <= 27, counts
         return f"{counts[-1]} values kept, at most {max(counts)}; {mesh.finish()}"
 
@@ -138,8 +140,8 @@
 
 
 def test_accepter_stays_below_the_bound_with_a_text_of_1_mb():
-    """Guards against an accepter that reads submitted texts whole or writes whole texts for each
-    change: at 7,100 changes a day, 9 KB/s are 109 KB a change (design page, section 1.3)."""
+    """Guards against an accepter that reads or writes the full text for each change. The bound of
+    9 KB/s at 7,100 changes a day is 109 KB a change (design page, section 1.3)."""
     max_bytes_per_change = 9_000 * 86_400 / 7_100
 
     def large(slots):
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -3,9 +3,10 @@
 usage: soak.py BIN_DIR [--seeds FIRST..LAST | --seeds N,N | --fresh COUNT] [--kept] [--seconds S]
 
 For each seed, injects overlapping faults for some seconds while callers send calls, and checks the
-guarantees from the records of callers and backend servers. Then it removes all faults and checks that
-the whole mesh works again. Signals only processes that this run started. Prints one line per seed and
-exits with 1 if a guarantee was violated. kept_seeds.txt lists the seeds that failed in earlier runs.
+guarantees from the records of callers and backend servers. Then it removes all faults and checks
+that the whole mesh works again. Signals only processes that this run started. Prints one line per
+seed and exits with 1 if a guarantee was violated. --kept adds the seeds that failed in earlier
+runs, which kept_seeds.txt lists.
 """
 import argparse
 import os
@@ -21,24 +22,25 @@
 from mesh import Mesh, is_refused, mesh_text, wait_ignoring_errors  # noqa: E402
 
 KEPT_SEEDS = os.path.join(ROOT, "tests", "soak", "kept_seeds.txt")
-READY_LIMIT_S = 20      # until all nodes are ready after the faults
-IN_FORCE_LIMIT_S = 18         # limit of design.md for an accepted text
-CALLS_ANSWERED_LIMIT_S = 10      # until every call is answered after the faults
-FAULT_PAUSE_S = (0.2, 1.0)
+READY_LIMIT_S = 20  # until all nodes are ready after the faults
+IN_FORCE_LIMIT_S = 18  # until an accepted text is in force; limit of design.md
+CALLS_ANSWERED_LIMIT_S = 10  # until every call is answered after the faults
+FAULT_PAUSE_S = (0.2, 1.0)  # bounds of the random time between two faults
 MAX_CONCURRENT_FAULTS = 3
-RATE_PER_S = 60
-MAX_CHECKED_REQUESTS = 200      # requests per caller and kind whose executions are counted
+RATE_PER_S = 60  # calls of each load generator
+# If there are more requests of a load and kind, the executions of at least so many are counted.
+MIN_CHECKED_REQUESTS = 200
 DATA_CENTRES = ["east", "west", "north"]
-GATE_COUNT, WORKER_COUNT = 2, 6   # gates receive the callers' calls; faults spare gate-0
+GATE_COUNT, WORKER_COUNT = 2, 6  # gates receive the callers' calls; node faults spare gate-0
 
 
 class Soak:
-    """Mesh of one seed, its faults, and the failures that they excuse."""
+    """The run of one seed: the mesh, its faults, and which failures they excuse."""
 
     def __init__(self, mesh, seed):
         self.mesh, self.rng = mesh, random.Random(seed)
         self.held_targets, self.faults, self.data_centres_out = set(), [], set()
-        self.killed_servers = set()    # their execution counts are lost
+        self.killed_servers = set()  # their execution counts are lost
         self.gate_was_killed = False
         self.extra_route_enabled = True
         self.errors = []
@@ -66,7 +68,8 @@
         names = [n for n in self.mesh.instances if n != "gate-0" and n not in self.held_targets]
         return self.rng.choice(names) if names else None
 
-    # Each fault has its own random generator and returns after the fault has been removed.
+    # Each of these methods injects one fault, with a random generator of its own, and returns after
+    # the fault has been removed.
 
     def restart_node(self, rng, name, graceful):
         node = self.mesh.instances[name].node
@@ -137,12 +140,12 @@
             self.data_centres_out = set() if self.data_centres_out else {data_centre}
         try:
             self.mesh.apply(self.text(), check=False)
-        except OSError as error:  # the store may be unreachable for operators too
+        except OSError as error:  # the store may be unreachable from here too
             self.faults.append(f"text not applied: {error}")
 
     def next_fault(self):
-        """Picks a fault. Returns its name, the targets that it holds exclusively, and its action, or
-        None if no node is free."""
+        """Picks a fault. Returns its name, the targets that no other fault may use meanwhile, and
+        its action, or None if no node is free."""
         kind = self.rng.choice(["kill", "kill", "terminate", "pause", "server", "server-pause",
                                 "links", "links", "one-way", "store", "store-cut", "text"])
         if kind in ("one-way", "store-cut"):
@@ -218,16 +221,18 @@
             assert summary["answered"] > 0, summary
 
     def check_runs(self, records, counted_names):
-        """Checks that refused calls never ran and that non-idempotent calls ran at most once."""
+        """Checks that refused calls never ran and that the other non-idempotent calls ran at most
+        once, by the counts of the backend servers beside the named instances."""
         refused = [r for r in records if is_refused(r)]
         non_idempotent = [r for r in records if r["path"].startswith("/book") and not is_refused(r)]
         for max_runs, selected in ((0, refused), (1, non_idempotent)):
-            for record in selected[:: max(1, len(selected) // MAX_CHECKED_REQUESTS)]:
+            for record in selected[:: max(1, len(selected) // MIN_CHECKED_REQUESTS)]:
                 ran = self.mesh.run_count(record["number"], counted_names)
                 assert ran <= max_runs, f"{record['number']} ran {ran} times: {record}"
 
     def check_recovery(self):
-        """Checks that a new text is in force on every node in time and that every call is answered."""
+        """Checks that all nodes become ready in time, that a new text is in force on every node in
+        time and that every call is answered. Returns the times as text."""
         ready = self.mesh.wait_ready(READY_LIMIT_S)
         self.data_centres_out, self.extra_route_enabled = set(), True
         before = self.mesh.accepted_version()
@@ -252,7 +257,7 @@
 
 
 def soak(bins, seed, seconds):
-    """Runs one seed; returns whether all guarantees held."""
+    """Runs one seed and prints its result. Returns whether all guarantees held."""
     started, soak_run = time.monotonic(), None
     try:
         with Mesh(bins, proxied=True) as mesh:
