--- a/tests/integration/calls_test.py
+++ b/tests/integration/calls_test.py
@@ -121,7 +121,7 @@
         assert all(count <= 1 for count in run_counts), run_counts
         answered = sum(r["outcome"] == "answered" and r["instance"] not in killed for r in records)
         assert started == answered + sum(run_counts), (started, answered, sum(run_counts))
-        return f"{check_calls(summary, unknown=None)}; {checked} refusals true; {mesh.finish()}"
+        return f"{check_calls(summary, unknown=None)}; {checked} refusals checked; {mesh.finish()}"
 
 
 def test_keyed_requests_sent_again_while_nodes_restart():
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -192,8 +192,8 @@
     def start_load(self, name, gate):
         return self.mesh.start_load(name, "--path", "/read/a", "--path", "/book/b",
                                     "--rate", RATE_PER_S, "--duration-s", self.seconds,
-                                    "--response-bytes", 3000,
-                                    "--deadline-ms", 1500, direct=True, targets=[gate])
+                                    "--response-bytes", 3000, "--deadline-ms", 1500, direct=True,
+                                    targets=[gate])
 
     def run(self, seconds):
         self.seconds = seconds
