--- a/tests/integration/ctl_test.py
+++ b/tests/integration/ctl_test.py
@@ -20,7 +20,7 @@
 
 
 class Store:
-    """The store stand-in with its faults, and a folder for files."""
+    """A store stand-in on which a test runs carawayctl."""
 
     def __init__(self, harness):
         self.harness = harness
@@ -33,10 +33,10 @@
         return self.harness.path(name)
 
     def ctl(self, *arguments):
-        """Returns the exit code and what was printed."""
+        """Runs carawayctl. Returns its exit status and its standard output and error."""
         completed = subprocess.run([os.path.join(self.harness.bins, "carawayctl"), "--store",
-                               self.address, *arguments],
-                              capture_output=True, text=True, timeout=60)
+                                    self.address, *arguments],
+                                   capture_output=True, text=True, timeout=60)
         return completed.returncode, completed.stdout + completed.stderr
 
     def text(self):
@@ -68,7 +68,8 @@
         assert 'timeout = "2s"' in store.text()
         # The writer that won can apply again without fetching first.
         expect(store.ctl("apply", copies[0], "--by", "ana"), 0)
-        expect(store.ctl("check", store.write("bad.toml", TEXT + "slots = 3\n")), 1, "bad.toml:11:1")
+        expect(store.ctl("check", store.write("bad.toml", TEXT + "slots = 3\n")), 1,
+               "bad.toml:11:1")
         expect(store.ctl("apply", harness.path("bad.toml"), "--from", "1"), 1, "unknown key")
 
 
@@ -118,14 +119,13 @@
         # The accepter refuses an invalid text that another writer stored without a check.
         request(f"{HOST}:{mesh.store_port}", "PUT", "/v1/kv/caraway/text", "format = 1\nnmae = 1\n")
         refused = wait_until(lambda: (completed := mesh.ctl("status", check=False)).returncode == 1
-                             and completed,
-                             10, "refusal")
+                             and completed, 10, "refusal")
         assert "text:2:1: found unknown key \"nmae\"" in refused.stdout, refused.stdout
         assert "version 2 accepted" in refused.stdout, refused.stdout
         verdicts = mesh.ctl("verdicts").stdout
         assert "version 1: in force" in verdicts and "version 2: in force" in verdicts, verdicts
 
-        load = mesh.load("calls", "--duration-s", "2", "--rate", "50", "--path", "/alpha/x")
+        load = mesh.start_load("calls", "--duration-s", "2", "--rate", "50", "--path", "/alpha/x")
         mesh.summary(load)
         assert mesh.stop_nodes() == [0, 0, 0]
         audit = mesh.audit()
--- a/tests/integration/platform_test.py
+++ b/tests/integration/platform_test.py
@@ -7,10 +7,10 @@
 from harness import HOST, Harness, free_ports, request, run_tests, wait_until
 from platform_standins import PlatformStore, ReportingServer
 
-READY_S = 10
-APPLY_S = 2        # an accepted configuration is in force
-JOINED_S = 1.2     # nodes that start together have joined; they look for others after 2 s
-EVACUATE_S = 3     # a data centre that was taken out gets no new calls
+READY_S = 10    # until started nodes are ready
+APPLY_S = 2     # until an accepted configuration is in force
+JOINED_S = 1.2  # until nodes that start together have joined; they look for others after 2 s
+EVACUATE_S = 3  # until a data centre that was taken out gets no new calls
 
 SETTINGS = """
 [instance]
@@ -51,10 +51,10 @@
                      for name in ("orders", "stock")]})
 
 
-FIRST = [("/orders/", "non_idempotent", {"service": "orders"}),
-         ("/stock/", "idempotent", {"service": "stock"}),
-         ("/both/", "idempotent", {"traffic_split": [{"service": "orders", "weight": 75},
-                                                     {"service": "stock", "weight": 25}]})]
+FIRST_ROUTES = [("/orders/", "non_idempotent", {"service": "orders"}),
+                ("/stock/", "idempotent", {"service": "stock"}),
+                ("/both/", "idempotent", {"traffic_split": [{"service": "orders", "weight": 75},
+                                                            {"service": "stock", "weight": 25}]})]
 
 
 class Instance:
@@ -66,8 +66,8 @@
         callers, traffic, peer, admin, reports = ports
         self.callers, self.admin = f"{HOST}:{callers}", f"{HOST}:{admin}"
         self.server = ReportingServer(service, data_centre, f"{HOST}:{reports}")
-        self.file = harness.path(name + ".toml")
-        with open(self.file, "w") as out:
+        self.settings_path = harness.path(name + ".toml")
+        with open(self.settings_path, "w") as out:
             out.write(SETTINGS.format(name=name, data_centre=data_centre, service=service,
                                       host=HOST, callers=callers, traffic=traffic, peer=peer,
                                       admin=admin, reports=reports, server=self.server.address,
@@ -75,7 +75,7 @@
         self.start()
 
     def start(self):
-        self.node = self.harness.start("carawayd", "--platform", self.file, name=self.name,
+        self.node = self.harness.start("carawayd", "--platform", self.settings_path, name=self.name,
                                        ready="node_started")
 
     def ready(self):
@@ -97,21 +97,22 @@
     """A store and four instances in two data centres."""
 
     def __init__(self, separate_groups=False):
-        # At first the instances of a service join only each other.
+        # If true, the instances of a service at first join only each other.
         self.separate_groups = separate_groups
 
     def __enter__(self):
         self.harness = Harness()
         self.harness.__enter__()
         self.store = PlatformStore()
-        self.store.put("op/config", config(5, FIRST))
+        self.store.put("op/config", config(5, FIRST_ROUTES))
         self.instances = []
         for service in ("orders", "stock"):
-            self.instances += [Instance(self.harness, self.store, f"{service}-{data_centre}", service,
-                                        data_centre) for data_centre in ("north", "south")]
+            self.instances += [Instance(self.harness, self.store, f"{service}-{data_centre}",
+                                        service, data_centre) for data_centre in ("north", "south")]
             if self.separate_groups:
                 wait_until(lambda: all(i.ready() for i in self.instances), READY_S, "ready")
-                self.store.hidden_key_parts = ("/orders-",)  # their entry points
+                # Hides the entry points of "orders" from the instances of "stock".
+                self.store.hidden_key_parts = ("/orders-",)
         wait_until(lambda: all(i.ready() for i in self.instances), READY_S, "ready")
         if self.separate_groups:
             time.sleep(JOINED_S)
@@ -127,8 +128,8 @@
 
 
 def test_calls_and_configuration_change():
-    """Guards against a path through the adapter that loses, changes or misroutes a call, against a
-    configuration that is not in force in time, and against 404 for an existing route."""
+    """Guards against an adapter that loses, changes or misroutes a call, against a configuration
+    that is not in force in time, and against 404 for an existing route."""
     with Platform() as platform:
         entry = platform.instances[0]
         body = bytes(range(256)) * 40
@@ -140,15 +141,16 @@
         runs = [len(i.server.runs) - n for i, n in zip(platform.instances, before)]
         assert runs[0] + runs[1] == 30 and runs[2] + runs[3] == 10, runs
         assert {c for i in platform.instances for c in i.server.callers} <= {"orders", "stock"}
-        platform.store.put("op/config", config(9, [*FIRST[:2], ("/new/", "idempotent",
-                                                               {"service": "stock"})]))
-        since = time.monotonic()
+        platform.store.put("op/config", config(9, [*FIRST_ROUTES[:2], ("/new/", "idempotent",
+                                                                       {"service": "stock"})]))
+        written_at = time.monotonic()
         wait_until(lambda: all(i.call("/new/z")[0] == 200 and i.call("/both/z")[0] == 404
                                for i in platform.instances), APPLY_S, "in force")
-        elapsed_s = time.monotonic() - since
-        attempt_ids = [n for i in platform.instances for n, _ in i.server.runs]
-        assert len(attempt_ids) == len(set(attempt_ids)), "a call ran twice"
-        return f"{len(attempt_ids)} runs, in force after {elapsed_s:.2f} s, {platform.store.calls} store calls"
+        delay_s = time.monotonic() - written_at
+        attempts = [n for i in platform.instances for n, _ in i.server.runs]
+        assert len(attempts) == len(set(attempts)), "a call ran twice"
+        return \
+            f"{len(attempts)} runs, applied in {delay_s:.2f} s, {platform.store.calls} store calls"
 
 
 def test_drain_and_evacuation():
@@ -158,26 +160,27 @@
         first, second = platform.instances[0], platform.instances[1]
         first.server.state = "draining"
         assert first.server.report() == 200
-        drained = time.monotonic()
+        draining_at = time.monotonic()
         for _ in range(20):
             assert first.call("/orders/a")[0] == 200
-        assert all(at < drained for _, at in first.server.runs), "a run after the leave"
+        assert all(at < draining_at for _, at in first.server.runs), "a run after the leave"
         assert second.server.leave() == 200
-        left = time.monotonic()
+        left_at = time.monotonic()
         status, _ = second.call("/orders/b")
         assert status == 503, status
-        assert all(at < left for _, at in second.server.runs)
+        assert all(at < left_at for _, at in second.server.runs)
         platform.store.put("op/evacuate/north", "{}")
         time.sleep(EVACUATE_S)
-        since = time.monotonic()
+        evacuated_at = time.monotonic()
         for _ in range(20):
             assert first.call("/stock/c")[0] == 200
         north, south = platform.instances[2], platform.instances[3]
-        assert all(at < since for _, at in north.server.runs), "a run in an evacuated data centre"
-        assert sum(at > since for _, at in south.server.runs) == 20
+        assert all(at < evacuated_at for _, at in north.server.runs), \
+            "a run in an evacuated data centre"
+        assert sum(at > evacuated_at for _, at in south.server.runs) == 20
         platform.store.delete("op/evacuate/north")
         wait_until(lambda: [first.call("/stock/d") for _ in range(8)] and
-                   any(at > since for _, at in north.server.runs), 5, "taken back")
+                   any(at > evacuated_at for _, at in north.server.runs), 5, "taken back")
 
 
 def test_store_unavailable():
@@ -196,14 +199,14 @@
         wait_until(restarted.ready, READY_S, "ready without the store")
         wait_until(lambda: restarted.call("/orders/a")[0] == 200, 5, "calls without the store")
         platform.store.down = False
-        platform.store.put("op/config", config(6, FIRST[:2]))
+        platform.store.put("op/config", config(6, FIRST_ROUTES[:2]))
         wait_until(lambda: all(i.call("/both/a")[0] == 404 for i in platform.instances), 5,
                    "in force after the store's return")
 
 
 def test_groups_that_started_apart():
-    """Guards against nodes that started together, joined only each other and never join the
-    rest: in 3 of 8 runs of a day with a power loss, a fifth of its calls was refused after it."""
+    """Guards against nodes that start together, join only each other and never join the rest. In 3
+    of 8 runs of a day with a power loss, a fifth of the day's calls was refused after the loss."""
     with Platform(separate_groups=True) as platform:
         for instance in platform.instances:
             wait_until(lambda: all(instance.call(path)[0] == 200
@@ -213,5 +216,4 @@
 
 if __name__ == "__main__":
     run_tests([test_calls_and_configuration_change, test_drain_and_evacuation,
-               test_store_unavailable,
-               test_groups_that_started_apart])
+               test_store_unavailable, test_groups_that_started_apart])
