--- a/bench/call_cost.cpp
+++ b/bench/call_cost.cpp
@@ -70,7 +70,7 @@
 };
 
 // Redirects stderr to a pipe that a thread reads, as a supervisor would read the log.
-void drain_log() {
+void drain_stderr() {
     std::array<int, 2> pipe_ends{};
     if (::pipe(pipe_ends.data()) != 0) {
         std::abort();
@@ -317,23 +317,23 @@
 // Prints a table row for each path and returns the rows as JSON. The first path is the baseline.
 boost::json::array report(std::string_view load, std::vector<path_result>& paths) {
     boost::json::array rows;
-    const double direct_50 = paths.front().percentile(0.5);
-    const double direct_99 = paths.front().percentile(0.99);
+    const double direct_p50 = paths.front().percentile(0.5);
+    const double direct_p99 = paths.front().percentile(0.99);
     for (path_result& path : paths) {
         const double p50 = path.percentile(0.5);
         const double p99 = path.percentile(0.99);
         fmt::print(
             "{:<10} {:<9} {:>8} {:>7} {:>9.0f} {:>9.0f} {:>9.0f} {:>9.0f} {:>9.0f} {:>9.1f}\n",
             load, path.m_name, path.m_latencies_us.size(), path.m_failed_calls, p50, p99,
-            p50 - direct_50, p99 - direct_99, path.m_calls_per_second, path.m_node_us_per_call);
+            p50 - direct_p50, p99 - direct_p99, path.m_calls_per_second, path.m_node_us_per_call);
         rows.push_back({{"load", load},
                         {"path", path.m_name},
                         {"calls", path.m_latencies_us.size()},
                         {"failed", path.m_failed_calls},
                         {"p50_us", p50},
                         {"p99_us", p99},
-                        {"added_p50_us", p50 - direct_50},
-                        {"added_p99_us", p99 - direct_99},
+                        {"added_p50_us", p50 - direct_p50},
+                        {"added_p99_us", p99 - direct_p99},
                         {"calls_per_second", path.m_calls_per_second},
                         {"node_cpu_us_per_call", path.m_node_us_per_call}});
     }
@@ -347,7 +347,7 @@
     const auto threads =
         argc > 2 ? static_cast<std::uint32_t>(std::atoi(argv[2])) : node_settings{}.m_threads;
     set_log_identity("bench", "north", log_level::info);
-    drain_log();
+    drain_stderr();
     static const system_clock_source clock;
     static echo_server server; // its detached thread runs until the process exits
     const auto nodes = start_nodes(server.port(), clock, threads);
--- a/bench/control_cost.cpp
+++ b/bench/control_cost.cpp
@@ -163,11 +163,11 @@
     measured_node node;
     member self = make_member(count);
     node.m_table = make_membership(self, {}, 1, now);
-    const std::size_t before = mallinfo2().uordblks;
+    const std::size_t heap_bytes_before = mallinfo2().uordblks;
     const double merge_start = cpu_seconds();
     membership_merge(node.m_table, members, now);
     const double merge_s = cpu_seconds() - merge_start;
-    const std::size_t after = mallinfo2().uordblks;
+    const std::size_t heap_bytes_after = mallinfo2().uordblks;
     random_source random(count);
     // The first 40 s show the behaviour of a newly started node and are not counted.
     run_protocol(node, members, now, random, 40);
@@ -191,7 +191,8 @@
     const auto per_second = [](std::uint64_t value) {
         return static_cast<double>(value) / measured_seconds;
     };
-    const double memory = static_cast<double>(after - before) / static_cast<double>(count);
+    const double memory =
+        static_cast<double>(heap_bytes_after - heap_bytes_before) / static_cast<double>(count);
     fmt::print("{:>8} {:>10.4f} {:>8.1f} {:>8.0f} {:>8.1f} {:>8.0f} {:>10.2f} {:>10.0f} {:>9.1f} "
                "{:>10.0f}\n",
                count, cpu_percent, per_second(node.m_packets_out), per_second(node.m_bytes_out),
--- a/bench/move_simulation.hpp
+++ b/bench/move_simulation.hpp
@@ -20,7 +20,7 @@
 namespace caraway::bench {
 
 // Scenarios of a move: how the new version behaves, and what else goes wrong during the move.
-enum class move_kind : std::uint8_t {
+enum class move_scenario : std::uint8_t {
     good,
     fails_at_once,
     fails_later,
@@ -36,24 +36,24 @@
     fails_store_and_holder_down,
 };
 
-inline constexpr std::array move_kinds{
-    move_kind::good,
-    move_kind::fails_at_once,
-    move_kind::fails_later,
-    move_kind::slow,
-    move_kind::bad_under_load,
-    move_kind::bad_on_one_route,
-    move_kind::good_under_overload,
-    move_kind::good_store_down,
-    move_kind::good_cold_starts,
-    move_kind::good_holder_dies,
-    move_kind::good_server_crashes,
-    move_kind::fails_store_down,
-    move_kind::fails_store_and_holder_down,
+inline constexpr std::array move_scenarios{
+    move_scenario::good,
+    move_scenario::fails_at_once,
+    move_scenario::fails_later,
+    move_scenario::slow,
+    move_scenario::bad_under_load,
+    move_scenario::bad_on_one_route,
+    move_scenario::good_under_overload,
+    move_scenario::good_store_down,
+    move_scenario::good_cold_starts,
+    move_scenario::good_holder_dies,
+    move_scenario::good_server_crashes,
+    move_scenario::fails_store_down,
+    move_scenario::fails_store_and_holder_down,
 };
 
 // Returns the name of the scenario in tables and JSON.
-inline std::string_view move_kind_name(move_kind kind) {
+inline std::string_view scenario_name(move_scenario scenario) {
     constexpr std::array names{"good",
                                "fails at once",
                                "fails later",
@@ -67,14 +67,16 @@
                                "good, server crashes",
                                "fails, store down",
                                "fails, store+holder down"};
-    return names[static_cast<std::size_t>(kind)];
+    return names[static_cast<std::size_t>(scenario)];
 }
 
 // Returns whether the new version of this scenario has no defect, so that its move must succeed.
-inline bool is_good_kind(move_kind kind) {
-    return kind == move_kind::good || kind == move_kind::good_under_overload ||
-           kind == move_kind::good_store_down || kind == move_kind::good_cold_starts ||
-           kind == move_kind::good_holder_dies || kind == move_kind::good_server_crashes;
+inline bool is_good_scenario(move_scenario scenario) {
+    return scenario == move_scenario::good || scenario == move_scenario::good_under_overload ||
+           scenario == move_scenario::good_store_down ||
+           scenario == move_scenario::good_cold_starts ||
+           scenario == move_scenario::good_holder_dies ||
+           scenario == move_scenario::good_server_crashes;
 }
 
 // Policy under test: the decision code, or a baseline of fixed steps with an error threshold of 5%.
@@ -106,9 +108,9 @@
 // shares of the traffic.
 class move_simulation {
 public:
-    move_simulation(move_kind kind, move_policy policy, std::uint64_t seed,
+    move_simulation(move_scenario scenario, move_policy policy, std::uint64_t seed,
                     const simulation_options& options)
-        : m_kind(kind), m_policy(policy), m_random(seed), m_options(options) {
+        : m_scenario(scenario), m_policy(policy), m_random(seed), m_options(options) {
         draw_parameters();
     }
 
@@ -195,11 +197,11 @@
         for (auto& arm : m_cold_until_s) {
             arm.fill(0);
         }
-        if (m_kind == move_kind::good_cold_starts) {
+        if (m_scenario == move_scenario::good_cold_starts) {
             m_cold_until_s[1].fill(cold_start_s);
         }
-        if (m_kind == move_kind::fails_store_down ||
-            m_kind == move_kind::fails_store_and_holder_down) {
+        if (m_scenario == move_scenario::fails_store_down ||
+            m_scenario == move_scenario::fails_store_and_holder_down) {
             m_disturbance_begin_s =
                 uniform(0, 0.5) * time_limit_s; // starts before the move can be done
             m_disturbance_end_s = m_disturbance_begin_s + time_limit_s / 3;
@@ -209,24 +211,25 @@
 
     // Returns whether the store is unreachable at this time.
     bool store_down(double now) const {
-        return (m_kind == move_kind::good_store_down || m_kind == move_kind::fails_store_down ||
-                m_kind == move_kind::fails_store_and_holder_down) &&
+        return (m_scenario == move_scenario::good_store_down ||
+                m_scenario == move_scenario::fails_store_down ||
+                m_scenario == move_scenario::fails_store_and_holder_down) &&
                now >= m_disturbance_begin_s && now < m_disturbance_end_s;
     }
 
     // Returns whether the defect affects calls to the new version on this route at this time.
     bool is_defect_active(std::size_t route, double now) const {
-        switch (m_kind) {
-        case move_kind::fails_at_once:
-        case move_kind::slow:
+        switch (m_scenario) {
+        case move_scenario::fails_at_once:
+        case move_scenario::slow:
             return true;
-        case move_kind::fails_later:
-        case move_kind::fails_store_down:
-        case move_kind::fails_store_and_holder_down:
+        case move_scenario::fails_later:
+        case move_scenario::fails_store_down:
+        case move_scenario::fails_store_and_holder_down:
             return now >= m_defect_onset_s;
-        case move_kind::bad_under_load:
+        case move_scenario::bad_under_load:
             return m_record.m_weight_permille > m_defect_min_weight;
-        case move_kind::bad_on_one_route:
+        case move_scenario::bad_on_one_route:
             return route == m_defect_route;
         default:
             return false;
@@ -245,7 +248,7 @@
                 m_reports.push_back(report);
             }
         }
-        if (m_kind == move_kind::good_cold_starts && m_random.unit() < 0.02 * interval_s) {
+        if (m_scenario == move_scenario::good_cold_starts && m_random.unit() < 0.02 * interval_s) {
             // A server of either version becomes cold without warning.
             m_cold_until_s[m_random.below(2)][m_random.below(instances)] = begin + cold_start_s;
         }
@@ -259,7 +262,8 @@
                 serve_call(route, begin + interval_s * m_random.unit(), counts);
             }
         }
-        if (m_kind == move_kind::good_server_crashes && m_random.unit() < 0.01 * interval_s) {
+        if (m_scenario == move_scenario::good_server_crashes &&
+            m_random.unit() < 0.01 * interval_s) {
             // A server of either version crashes, which fails the calls in its slots (up to 12).
             evidence_report& report = m_reports[m_random.below(2 * instances)];
             for (auto& [route, counts] : report.m_routes) {
@@ -277,7 +281,7 @@
         const std::size_t instance = m_random.below(instances);
         double latency = m_latency_ms[route] * std::exp(0.5 * normal());
         double failure = m_failure_share[route];
-        if (m_kind == move_kind::good_under_overload && at >= m_disturbance_begin_s &&
+        if (m_scenario == move_scenario::good_under_overload && at >= m_disturbance_begin_s &&
             at < m_disturbance_end_s) {
             latency *= m_overload_factor;
             failure += m_overload_failures;
@@ -294,7 +298,7 @@
             }
             if (is_defect_active(route, at)) {
                 bool harmed = false;
-                if (m_kind == move_kind::slow) {
+                if (m_scenario == move_scenario::slow) {
                     latency *= m_slow_factor;
                     harmed = true;
                 } else if (m_random.unit() < m_defect_share) {
@@ -339,7 +343,8 @@
     void decide_sequential(double now) {
         const bool is_down = store_down(now);
         const bool no_holder =
-            (is_down && m_kind == move_kind::fails_store_and_holder_down) || now < m_next_holder_s;
+            (is_down && m_scenario == move_scenario::fails_store_and_holder_down) ||
+            now < m_next_holder_s;
         evidence_report old_sum;
         old_sum.m_version = "v1";
         for (std::size_t i = 0; i < instances && !no_holder; ++i) {
@@ -362,7 +367,7 @@
                 set_weight(0, now);
             }
         }
-        if (m_kind == move_kind::good_holder_dies && m_random.unit() < 0.01 * interval_s) {
+        if (m_scenario == move_scenario::good_holder_dies && m_random.unit() < 0.01 * interval_s) {
             // The next holder takes over after a lease period of 5 s and starts without evidence.
             m_next_holder_s = now + 5;
             m_evidence = {};
@@ -445,7 +450,7 @@
         }
     }
 
-    move_kind m_kind;
+    move_scenario m_scenario;
     move_policy m_policy;
     random_source m_random;
     simulation_options m_options;
@@ -481,9 +486,9 @@
 };
 
 // Runs one simulated move and returns its result.
-inline move_result simulate_move(move_kind kind, move_policy policy, std::uint64_t seed,
+inline move_result simulate_move(move_scenario scenario, move_policy policy, std::uint64_t seed,
                                  const simulation_options& options) {
-    return move_simulation(kind, policy, seed, options).run();
+    return move_simulation(scenario, policy, seed, options).run();
 }
 
 } // namespace caraway::bench
--- a/bench/moves.cpp
+++ b/bench/moves.cpp
@@ -17,21 +17,21 @@
 namespace {
 
 // Returns the value at the given quantile (0 to 1), or 0 if there are no values.
-double quantile(std::vector<double> values, double share) {
+double quantile(std::vector<double> values, double fraction) {
     if (values.empty()) {
         return 0;
     }
     std::sort(values.begin(), values.end());
     const auto last = static_cast<double>(values.size() - 1);
-    return values[static_cast<std::size_t>(std::lround(share * last))];
+    return values[static_cast<std::size_t>(std::lround(fraction * last))];
 }
 
 // Simulates one scenario under one policy, prints its row and returns the row as JSON.
-boost::json::object measure(move_kind kind, move_policy policy, int runs, std::uint64_t seed,
-                            const simulation_options& options) {
-    int taken_back = 0;
-    int in_time = 0;
-    int visible = 0;
+boost::json::object measure(move_scenario scenario, move_policy policy, int runs,
+                            std::uint64_t seed, const simulation_options& options) {
+    int runs_taken_back = 0;
+    int runs_in_time = 0;
+    int runs_with_visible_defect = 0;
     std::vector<double> seconds_to_stop;
     std::vector<double> shares_before_visible;
     std::vector<double> harmed_calls;
@@ -39,12 +39,12 @@
     std::uint32_t largest_weight = 0;
     for (int i = 0; i < runs; ++i) {
         const move_result result =
-            simulate_move(kind, policy, seed + static_cast<std::uint64_t>(i), options);
-        taken_back += result.m_state == move_state::taken_back ? 1 : 0;
-        in_time += result.m_in_time ? 1 : 0;
+            simulate_move(scenario, policy, seed + static_cast<std::uint64_t>(i), options);
+        runs_taken_back += result.m_state == move_state::taken_back ? 1 : 0;
+        runs_in_time += result.m_in_time ? 1 : 0;
         harmed_calls.push_back(static_cast<double>(result.m_harmed_calls));
         if (result.m_defect_visible_s) {
-            ++visible;
+            ++runs_with_visible_defect;
             largest_weight = std::max(largest_weight, result.m_max_weight_before_visible);
             shares_before_visible.push_back(result.m_share_before_visible);
             calls_after_3s.push_back(static_cast<double>(result.m_calls_after_3s));
@@ -53,23 +53,23 @@
             }
         }
     }
-    const std::string name(move_kind_name(kind));
+    const std::string name(scenario_name(scenario));
     const std::string policy_name =
         policy == move_policy::sequential ? "sequential" : "fixed steps";
     fmt::print("{:<25} {:<11} {:>5} {:>6} {:>6} {:>7} {:>7.1f} {:>7.1f} {:>7} {:>7.2f} {:>7.0f} "
                "{:>7.0f} {:>7.0f}\n",
-               name, policy_name, runs, taken_back, in_time, visible,
+               name, policy_name, runs, runs_taken_back, runs_in_time, runs_with_visible_defect,
                quantile(seconds_to_stop, 0.5), quantile(seconds_to_stop, 0.95), largest_weight,
                100 * quantile(shares_before_visible, 1.0), quantile(harmed_calls, 0.5),
                quantile(harmed_calls, 0.95), quantile(calls_after_3s, 0.5));
     boost::json::object row;
     row["kind"] = name;
     row["policy"] = policy_name;
-    row["good"] = is_good_kind(kind);
+    row["good"] = is_good_scenario(scenario);
     row["runs"] = runs;
-    row["taken_back"] = taken_back;
-    row["done_in_time"] = in_time;
-    row["visible"] = visible;
+    row["taken_back"] = runs_taken_back;
+    row["done_in_time"] = runs_in_time;
+    row["visible"] = runs_with_visible_defect;
     row["seconds_to_stop_median"] = quantile(seconds_to_stop, 0.5);
     row["seconds_to_stop_p95"] = quantile(seconds_to_stop, 0.95);
     row["largest_weight_before_permille"] = largest_weight;
@@ -121,9 +121,10 @@
                "kind", "policy", "runs", "back", "intime", "visible", "stop50", "stop95", "weight",
                "share%", "harm50", "harm95", "after50");
     boost::json::array rows;
-    for (const move_kind kind : move_kinds) {
+    for (const move_scenario scenario : move_scenarios) {
         for (const move_policy policy : {move_policy::sequential, move_policy::fixed_steps}) {
-            rows.push_back(measure(kind, policy, runs, static_cast<std::uint64_t>(seed), options));
+            rows.push_back(
+                measure(scenario, policy, runs, static_cast<std::uint64_t>(seed), options));
         }
     }
     int status = 0;
--- a/bench/watch_baseline.cpp
+++ b/bench/watch_baseline.cpp
@@ -49,8 +49,8 @@
     std::uint64_t m_change = 0;
     std::chrono::steady_clock::time_point m_written;
     std::vector<double> m_delays_ms; // of the current change
-    std::vector<double> m_medians_ms;
-    std::vector<double> m_worsts_ms;
+    std::vector<double> m_median_delays_ms;
+    std::vector<double> m_max_delays_ms;
 };
 
 void watch(measurement& state, watcher& node);
@@ -106,8 +106,8 @@
               [&] { return written && state.m_delays_ms.size() >= state.m_watchers.size(); });
     std::sort(state.m_delays_ms.begin(), state.m_delays_ms.end());
     if (!state.m_delays_ms.empty()) {
-        state.m_medians_ms.push_back(state.m_delays_ms[state.m_delays_ms.size() / 2]);
-        state.m_worsts_ms.push_back(state.m_delays_ms.back());
+        state.m_median_delays_ms.push_back(state.m_delays_ms[state.m_delays_ms.size() / 2]);
+        state.m_max_delays_ms.push_back(state.m_delays_ms.back());
     }
     run_until(state, pause_between_changes, [] { return false; });
 }
@@ -167,10 +167,10 @@
     fmt::print("{{\"nodes\":{},\"changes\":{},\"median_ms\":{:.1f},\"worst_ms\":{:.1f},"
                "\"store_calls_per_change\":{:.1f},\"bytes_per_change_per_node\":{:.0f},"
                "\"throttled\":{}}}\n",
-               nodes, changes, median(state.m_medians_ms),
-               state.m_worsts_ms.empty()
+               nodes, changes, median(state.m_median_delays_ms),
+               state.m_max_delays_ms.empty()
                    ? 0.0
-                   : *std::max_element(state.m_worsts_ms.begin(), state.m_worsts_ms.end()),
+                   : *std::max_element(state.m_max_delays_ms.begin(), state.m_max_delays_ms.end()),
                static_cast<double>(state.m_totals.m_calls) / changes,
                static_cast<double>(state.m_totals.m_bytes) / changes / nodes,
                state.m_totals.m_throttled);
--- a/src/ctl/audit.cpp
+++ b/src/ctl/audit.cpp
@@ -190,9 +190,9 @@
     std::map<std::string, tracked_move, std::less<>> m_moves;
     // Time of the first suspension, Unix milliseconds, by service and version.
     std::map<std::pair<std::string, std::string>, std::int64_t> m_suspension_times;
-    std::unordered_map<std::uint64_t, request_record> m_requests; // by identity_hash
-    std::unordered_map<std::uint64_t, request_record> m_keys;     // by identity_hash
-    std::unordered_map<std::uint64_t, bool> m_route_idempotent;   // by identity_hash of the route
+    std::unordered_map<std::uint64_t, request_record> m_requests;         // by identity_hash
+    std::unordered_map<std::uint64_t, request_record> m_idempotency_keys; // by identity_hash
+    std::unordered_map<std::uint64_t, bool> m_route_idempotent; // by identity_hash of the route
 };
 
 void add_breach(audit_state& state, line_position position, std::string_view kind,
@@ -239,7 +239,7 @@
     }
     const std::string key = identity_at(line.m_fields, "key");
     if (!key.empty()) {
-        request_record& record = state.m_keys[identity_hash(key, service)];
+        request_record& record = state.m_idempotency_keys[identity_hash(key, service)];
         count_start(record, line.m_position, route);
         record.m_idempotent = idempotent ? idempotent : record.m_idempotent;
     }
@@ -294,7 +294,7 @@
     const bool shed = !entry && text_at(line.m_fields, "reason") == "backend-shed";
     const std::string key = identity_at(line.m_fields, "key");
     if (shed && !key.empty()) {
-        ++state.m_keys[identity_hash(key, service)].m_shed_count;
+        ++state.m_idempotency_keys[identity_hash(key, service)].m_shed_count;
     }
     const std::string request = identity_at(line.m_fields, "request");
     if (request.empty()) {
@@ -485,7 +485,7 @@
         advance(file);
     }
     check_start_counts(state, state.m_requests, "request");
-    check_start_counts(state, state.m_keys, "key");
+    check_start_counts(state, state.m_idempotency_keys, "key");
     for (const log_file& file : readers) {
         if (file.failed()) {
             state.m_report.m_unreadable_files.push_back(file.path());
--- a/src/ctl/current_text.cpp
+++ b/src/ctl/current_text.cpp
@@ -28,7 +28,7 @@
 
 // Reads the accepted text. Unless it is stored whole, restores it from its delta and the base text.
 // The reply's kind is store_not_found if a value is missing or damaged.
-store_reply read_accepted_text(const store_interface& store, const accepted_view& accepted) {
+store_reply read_accepted_text(const store_interface& store, const stored_acceptance& accepted) {
     if (accepted.m_base_version == 0) {
         return read_whole_text(store, accepted.m_version, accepted.m_hash);
     }
--- a/src/ctl/current_text.hpp
+++ b/src/ctl/current_text.hpp
@@ -14,7 +14,7 @@
 // first acceptance. The text and the mesh are absent if the stored text is missing or damaged. Only
 // the mesh is absent if this program is too old to parse the text.
 struct accepted_config {
-    std::optional<accepted_view> m_accepted;
+    std::optional<stored_acceptance> m_accepted;
     std::string m_text;
     std::optional<mesh> m_mesh;
 };
--- a/src/ctl/records.cpp
+++ b/src/ctl/records.cpp
@@ -41,90 +41,90 @@
 
 } // namespace
 
-std::optional<accepted_view> parse_accepted(std::string_view value) {
+std::optional<stored_acceptance> parse_accepted(std::string_view value) {
     const auto object = parse_object(value);
     if (!object || !object->contains("version")) {
         return std::nullopt;
     }
-    accepted_view view;
-    view.m_version = number_at<std::uint64_t>(*object, "version");
-    view.m_source_revision = number_at<std::uint64_t>(*object, "source_revision");
-    view.m_hash = text_at(*object, "hash");
-    view.m_accepter = text_at(*object, "accepter");
-    view.m_accepted_ms = number_at<std::int64_t>(*object, "accepted_ms");
-    view.m_base_version = number_at<std::uint64_t>(*object, "base_version");
-    view.m_base_hash = text_at(*object, "base_hash");
-    return view;
+    stored_acceptance record;
+    record.m_version = number_at<std::uint64_t>(*object, "version");
+    record.m_source_revision = number_at<std::uint64_t>(*object, "source_revision");
+    record.m_hash = text_at(*object, "hash");
+    record.m_accepter = text_at(*object, "accepter");
+    record.m_accepted_ms = number_at<std::int64_t>(*object, "accepted_ms");
+    record.m_base_version = number_at<std::uint64_t>(*object, "base_version");
+    record.m_base_hash = text_at(*object, "base_hash");
+    return record;
 }
 
-std::optional<refused_view> parse_refused(std::string_view value) {
+std::optional<stored_refusal> parse_refused(std::string_view value) {
     const auto object = parse_object(value);
     if (!object || !object->contains("source_revision")) {
         return std::nullopt;
     }
-    refused_view view;
-    view.m_source_revision = number_at<std::uint64_t>(*object, "source_revision");
+    stored_refusal record;
+    record.m_source_revision = number_at<std::uint64_t>(*object, "source_revision");
     const json::value* faults = object->if_contains("faults");
     if (faults == nullptr || !faults->is_array()) {
-        return view;
+        return record;
     }
     for (const json::value& item : faults->get_array()) {
         if (const json::object* fault = item.if_object()) {
-            view.m_faults.push_back({number_at<std::uint32_t>(*fault, "line"),
-                                     number_at<std::uint32_t>(*fault, "column"),
-                                     text_at(*fault, "found"), text_at(*fault, "expected")});
+            record.m_faults.push_back({number_at<std::uint32_t>(*fault, "line"),
+                                       number_at<std::uint32_t>(*fault, "column"),
+                                       text_at(*fault, "found"), text_at(*fault, "expected")});
         }
     }
-    return view;
+    return record;
 }
 
-std::optional<move_view> parse_move(std::string_view value) {
+std::optional<stored_move> parse_move(std::string_view value) {
     const auto object = parse_object(value);
     if (!object || !object->contains("move_id")) {
         return std::nullopt;
     }
-    move_view view;
-    view.m_move_id = text_at(*object, "move_id");
-    view.m_service = text_at(*object, "service");
-    view.m_from = text_at(*object, "from");
-    view.m_to = text_at(*object, "to");
-    view.m_state = text_at(*object, "state");
-    view.m_stage = number_at<std::uint64_t>(*object, "stage");
-    view.m_weight_permille = number_at<std::uint64_t>(*object, "weight_permille");
-    view.m_deadline_ms = number_at<std::int64_t>(*object, "deadline_ms");
-    view.m_holder = text_at(*object, "holder");
-    view.m_reason = text_at(*object, "reason");
-    return view;
+    stored_move record;
+    record.m_move_id = text_at(*object, "move_id");
+    record.m_service = text_at(*object, "service");
+    record.m_from = text_at(*object, "from");
+    record.m_to = text_at(*object, "to");
+    record.m_state = text_at(*object, "state");
+    record.m_stage = number_at<std::uint64_t>(*object, "stage");
+    record.m_weight_permille = number_at<std::uint64_t>(*object, "weight_permille");
+    record.m_deadline_ms = number_at<std::int64_t>(*object, "deadline_ms");
+    record.m_holder = text_at(*object, "holder");
+    record.m_reason = text_at(*object, "reason");
+    return record;
 }
 
-bool is_final(const move_view& move) {
+bool is_final(const stored_move& move) {
     return !move.m_state.empty() && move.m_state != "running";
 }
 
-std::optional<config_verdict_view> parse_config_verdict(std::string_view value) {
+std::optional<stored_config_verdict> parse_config_verdict(std::string_view value) {
     const auto object = parse_object(value);
     if (!object || !object->contains("version")) {
         return std::nullopt;
     }
-    config_verdict_view view;
-    view.m_version = number_at<std::uint64_t>(*object, "version");
-    view.m_in_force = number_at<std::uint64_t>(*object, "in_force");
-    view.m_members = number_at<std::uint64_t>(*object, "members");
+    stored_config_verdict record;
+    record.m_version = number_at<std::uint64_t>(*object, "version");
+    record.m_in_force = number_at<std::uint64_t>(*object, "in_force");
+    record.m_members = number_at<std::uint64_t>(*object, "members");
     if (const json::value* missing = object->if_contains("missing");
         missing != nullptr && missing->is_array()) {
         for (const json::value& name : missing->get_array()) {
             if (name.is_string()) {
-                view.m_missing.emplace_back(name.get_string().data(), name.get_string().size());
+                record.m_missing.emplace_back(name.get_string().data(), name.get_string().size());
             }
         }
     }
     const json::value* final_verdict = object->if_contains("final");
-    view.m_final =
+    record.m_final =
         final_verdict != nullptr && final_verdict->is_bool() && final_verdict->get_bool();
-    return view;
+    return record;
 }
 
-bool is_in_force(const config_verdict_view& verdict) {
+bool is_in_force(const stored_config_verdict& verdict) {
     return verdict.m_members > 0 && verdict.m_in_force >= verdict.m_members;
 }
 
@@ -137,13 +137,13 @@
                        std::chrono::floor<std::chrono::seconds>(time), unix_milliseconds % 1000);
 }
 
-std::string describe(const accepted_view& accepted) {
+std::string describe(const stored_acceptance& accepted) {
     return fmt::format("version {} accepted by {} at {} from revision {}", accepted.m_version,
                        accepted.m_accepter, format_unix_ms(accepted.m_accepted_ms),
                        accepted.m_source_revision);
 }
 
-std::string describe(const move_view& move) {
+std::string describe(const stored_move& move) {
     return fmt::format("move {} of {} from {} to {}: {}, stage {}, weight {} permille, deadline "
                        "{}, holder {}{}{}",
                        move.m_move_id, move.m_service, move.m_from, move.m_to, move.m_state,
@@ -151,7 +151,7 @@
                        move.m_holder, move.m_reason.empty() ? "" : ": ", move.m_reason);
 }
 
-std::string describe(const config_verdict_view& verdict) {
+std::string describe(const stored_config_verdict& verdict) {
     return fmt::format("version {}: {} on {} of {} instances{}{}", verdict.m_version,
                        is_in_force(verdict) ? "in force"
                        : verdict.m_final    ? "not in force everywhere"
--- a/src/ctl/records.hpp
+++ b/src/ctl/records.hpp
@@ -14,7 +14,7 @@
 namespace caraway {
 
 // The record of the accepted configuration, stored at caraway/state/accepted.
-struct accepted_view {
+struct stored_acceptance {
     std::uint64_t m_version = 0;
     std::uint64_t m_source_revision = 0; // store revision of the submitted text
     std::string m_hash;                  // content hash of the text, in hex
@@ -24,18 +24,18 @@
     std::uint64_t m_base_version = 0;
     std::string m_base_hash;
 };
-std::optional<accepted_view> parse_accepted(std::string_view value);
+std::optional<stored_acceptance> parse_accepted(std::string_view value);
 
 // The record of the last refused text, stored at caraway/state/refused.
-struct refused_view {
+struct stored_refusal {
     std::uint64_t m_source_revision = 0;
     std::vector<text_fault> m_faults;
 };
-std::optional<refused_view> parse_refused(std::string_view value);
+std::optional<stored_refusal> parse_refused(std::string_view value);
 
 // The record of a version move, stored at caraway/state/move/SERVICE and, once final, at
 // caraway/verdict/move/SERVICE/MOVEID.
-struct move_view {
+struct stored_move {
     std::string m_move_id;
     std::string m_service;
     std::string m_from;
@@ -47,26 +47,26 @@
     std::string m_holder;           // instance that wrote the record last
     std::string m_reason;
 };
-std::optional<move_view> parse_move(std::string_view value);
+std::optional<stored_move> parse_move(std::string_view value);
 // Returns whether the move has ended, with the state done or taken_back.
-bool is_final(const move_view& move);
+bool is_final(const stored_move& move);
 
 // The record of how widely a version is applied, stored at caraway/verdict/config/VERSION.
-struct config_verdict_view {
+struct stored_config_verdict {
     std::uint64_t m_version = 0;
     std::uint64_t m_in_force = 0; // members that have the version in force
     std::uint64_t m_members = 0;
     std::vector<std::string> m_missing; // instances without the version, at most 20
     bool m_final = false;
 };
-std::optional<config_verdict_view> parse_config_verdict(std::string_view value);
+std::optional<stored_config_verdict> parse_config_verdict(std::string_view value);
 // Returns whether every member has the version in force.
-bool is_in_force(const config_verdict_view& verdict);
+bool is_in_force(const stored_config_verdict& verdict);
 
 // These return one line of readable text without a line break.
-std::string describe(const accepted_view& accepted);
-std::string describe(const move_view& move);
-std::string describe(const config_verdict_view& verdict);
+std::string describe(const stored_acceptance& accepted);
+std::string describe(const stored_move& move);
+std::string describe(const stored_config_verdict& verdict);
 
 // Latest valid time in records and logs, in the year 2262: the system clock counts nanoseconds in
 // 64 bits. Converting or subtracting times outside [0, max_unix_ms] would overflow, so they are
--- a/src/ctl/replay_outcomes.cpp
+++ b/src/ctl/replay_outcomes.cpp
@@ -118,9 +118,9 @@
     if (!holds(process)) {
         return;
     }
-    std::string& last = m_last_holder[key];
-    m_holder_changes += last == process.m_instance ? 0 : 1;
-    last = process.m_instance;
+    std::string& last_holder = m_last_holder[key];
+    m_holder_changes += last_holder == process.m_instance ? 0 : 1;
+    last_holder = process.m_instance;
     for (const auto& [instance, other] : processes) {
         m_lease_overlaps += instance != process.m_instance && holds(other) ? 1 : 0;
     }
@@ -277,14 +277,14 @@
     if (m_suspension_times.empty() || outcome.m_count == 0) {
         return {false, "suspended_within: never suspended"};
     }
-    const auto& [version, at] = *m_suspension_times.begin();
+    const auto& [version, suspended_at] = *m_suspension_times.begin();
     const auto failed = m_failed_call_times.find(version);
     if (failed == m_failed_call_times.end() || failed->second.size() < outcome.m_count) {
         return {false, "suspended_within: the trace has fewer failed calls than failed_calls"};
     }
     std::vector<time_point> times = failed->second;
     std::sort(times.begin(), times.end());
-    const duration took = at - times[outcome.m_count - 1];
+    const duration took = suspended_at - times[outcome.m_count - 1];
     return {took <= outcome.m_limit,
             fmt::format("suspended_within: {:.2f} s after failed call {}, at most {:.1f} s",
                         seconds(took), outcome.m_count, seconds(outcome.m_limit))};
--- a/src/ctl/report_commands.cpp
+++ b/src/ctl/report_commands.cpp
@@ -38,7 +38,7 @@
     return exit_unreachable;
 }
 
-json::object to_json(const accepted_view& accepted) {
+json::object to_json(const stored_acceptance& accepted) {
     return {{"version", accepted.m_version},
             {"source_revision", accepted.m_source_revision},
             {"hash", accepted.m_hash},
@@ -46,7 +46,7 @@
             {"accepted_ms", accepted.m_accepted_ms}};
 }
 
-json::object to_json(const move_view& move) {
+json::object to_json(const stored_move& move) {
     return {{"service", move.m_service},
             {"move_id", move.m_move_id},
             {"from", move.m_from},
@@ -59,7 +59,7 @@
             {"reason", move.m_reason}};
 }
 
-json::object to_json(const config_verdict_view& verdict) {
+json::object to_json(const stored_config_verdict& verdict) {
     json::array missing;
     for (const std::string& name : verdict.m_missing) {
         missing.push_back(json::string(name));
@@ -69,7 +69,7 @@
             {"missing", std::move(missing)},  {"final", verdict.m_final}};
 }
 
-json::object to_json(const refused_view& refused) {
+json::object to_json(const stored_refusal& refused) {
     json::array faults;
     for (const text_fault& fault : refused.m_faults) {
         faults.push_back(json::object{{"line", fault.m_line},
@@ -83,10 +83,10 @@
 // The state of the mesh as read from the store.
 struct mesh_status {
     std::uint64_t m_text_revision = 0; // 0: no text submitted yet
-    std::optional<accepted_view> m_accepted;
-    std::optional<refused_view> m_refused;
-    std::vector<move_view> m_moves;
-    std::optional<config_verdict_view> m_verdict;
+    std::optional<stored_acceptance> m_accepted;
+    std::optional<stored_refusal> m_refused;
+    std::vector<stored_move> m_moves;
+    std::optional<stored_config_verdict> m_verdict;
     std::vector<std::pair<std::string, std::string>> m_leases; // key without lease_prefix, holder
 };
 
@@ -147,7 +147,7 @@
         is_current_text_refused(status) ? json::value(to_json(*status.m_refused)) : nullptr;
     object["verdict"] = status.m_verdict ? json::value(to_json(*status.m_verdict)) : nullptr;
     json::array moves;
-    for (const move_view& move : status.m_moves) {
+    for (const stored_move& move : status.m_moves) {
         moves.push_back(to_json(move));
     }
     object["moves"] = std::move(moves);
@@ -178,7 +178,7 @@
                                    : fmt::format("verdict: none yet for version {}",
                                                  status.m_accepted->m_version));
     }
-    for (const move_view& move : status.m_moves) {
+    for (const stored_move& move : status.m_moves) {
         out.m_out(describe(move));
     }
     for (const auto& [key, holder] : status.m_leases) {
@@ -198,10 +198,10 @@
     const console* m_out = nullptr;
     const verdict_options* m_options = nullptr;
     std::set<std::string> m_printed_move_ids; // moves whose final state was printed
-    std::optional<move_view> m_last_final;    // the final state printed last
+    std::optional<stored_move> m_last_final;  // the final state printed last
 };
 
-void print_move(const verdict_printer& printer, const move_view& move) {
+void print_move(const verdict_printer& printer, const stored_move& move) {
     const console& out = *printer.m_out;
     if (out.m_json) {
         json::object object = to_json(move);
@@ -212,7 +212,7 @@
     }
 }
 
-void print_verdict(const verdict_printer& printer, const config_verdict_view& verdict) {
+void print_verdict(const verdict_printer& printer, const stored_config_verdict& verdict) {
     const console& out = *printer.m_out;
     if (out.m_json) {
         json::object object = to_json(verdict);
--- a/src/ctl/store_session.cpp
+++ b/src/ctl/store_session.cpp
@@ -165,7 +165,7 @@
 write_result write_if_unchanged(const store_interface& store, std::string_view key,
                                 std::string_view value, std::uint64_t if_revision) {
     write_result result;
-    bool answer_lost = false;
+    bool reply_lost = false;
     for (int attempt = 0; attempt < max_write_attempts; ++attempt) {
         const store_reply reply = store.m_put(key, value, if_revision);
         result.m_text = reply.m_text;
@@ -181,15 +181,15 @@
         if (reply.m_kind != error_kind::store_conflict &&
             reply.m_kind != error_kind::store_outcome_unknown) {
             result.m_kind =
-                answer_lost ? write_result::kind::unknown : write_result::kind::unreachable;
+                reply_lost ? write_result::kind::unknown : write_result::kind::unreachable;
             return result;
         }
-        answer_lost = answer_lost || reply.m_kind == error_kind::store_outcome_unknown;
+        reply_lost = reply_lost || reply.m_kind == error_kind::store_outcome_unknown;
         const store_reply found = store.m_get(key);
         const bool absent = found.m_kind == error_kind::store_not_found;
         if (found.m_kind != error_kind::none && !absent) {
             result.m_kind =
-                answer_lost ? write_result::kind::unknown : write_result::kind::lost_race;
+                reply_lost ? write_result::kind::unknown : write_result::kind::lost_race;
             result.m_revision = reply.m_revision;
             result.m_text = found.m_text;
             return result;
@@ -198,7 +198,7 @@
         if (revision == if_revision && reply.m_kind == error_kind::store_outcome_unknown) {
             continue;
         }
-        if (answer_lost && !absent && found.m_value == value) {
+        if (reply_lost && !absent && found.m_value == value) {
             result.m_kind = write_result::kind::written;
             result.m_revision = revision;
             return result;
@@ -206,7 +206,7 @@
         result.m_kind = write_result::kind::lost_race;
         result.m_revision = revision;
         result.m_value = found.m_value;
-        result.m_may_have_been_stored = answer_lost;
+        result.m_may_have_been_stored = reply_lost;
         return result;
     }
     result.m_kind = write_result::kind::unknown;
--- a/src/ctl/text_commands.cpp
+++ b/src/ctl/text_commands.cpp
@@ -148,7 +148,7 @@
 // Appends an attribution line, which replaces an existing one at the end of the text. All other
 // lines keep their numbers, so that faults refer to lines of the operator's file.
 std::string add_attribution(std::string_view text, std::string_view by, wall_time now,
-                            std::uint64_t from) {
+                            std::uint64_t from_revision) {
     const std::size_t line_begin = text.rfind(attribution_prefix);
     if (line_begin != std::string_view::npos && (line_begin == 0 || text[line_begin - 1] == '\n') &&
         text.find('\n', line_begin) >= text.size() - 1) {
@@ -160,7 +160,8 @@
     }
     return fmt::format("{}{}{}{} at {} from revision {}\n", text,
                        text.empty() || text.ends_with('\n') ? "" : "\n", attribution_prefix,
-                       author.empty() ? "unknown" : author, format_unix_ms(unix_ms(now)), from);
+                       author.empty() ? "unknown" : author, format_unix_ms(unix_ms(now)),
+                       from_revision);
 }
 
 // Returns the name of the file that stores the revision of a fetched or applied text.
@@ -182,7 +183,7 @@
 }
 
 // Reports a lost race: who won it, and how the file differs from the winner's text.
-int report_lost_race(const console& out, const apply_options& options, std::uint64_t from,
+int report_lost_race(const console& out, const apply_options& options, std::uint64_t from_revision,
                      const write_result& result, const mesh& submitted) {
     std::vector<text_fault> faults;
     std::vector<std::string> changes;
@@ -193,7 +194,7 @@
     by = by.empty() ? "an unknown writer" : by;
     if (out.m_json) {
         out.m_out(json::serialize(json::object{{"result", "lost"},
-                                               {"from", from},
+                                               {"from", from_revision},
                                                {"revision", result.m_revision},
                                                {"by", by},
                                                {"may_have_run", result.m_may_have_been_stored},
@@ -202,7 +203,7 @@
     }
     out.m_err(fmt::format("{}: edited from revision {}, but the text is at revision {}, applied by "
                           "{}",
-                          options.m_file, from, result.m_revision, by));
+                          options.m_file, from_revision, result.m_revision, by));
     out.m_err(result.m_may_have_been_stored
                   ? "a reply of the store was lost: this text may have stood before the winner's"
                   : "nothing was changed; fetch the text, edit it and apply it again");
@@ -233,7 +234,7 @@
 // Handles the verdict on a version. If a later version is in force everywhere, no instance is
 // behind the submitted one either, so the wait ends successfully. When the text changes every few
 // seconds, many versions are superseded before they get a verdict of their own.
-void handle_verdict(const console& out, const config_verdict_view& verdict, wait_state& state) {
+void handle_verdict(const console& out, const stored_config_verdict& verdict, wait_state& state) {
     if (state.m_accepted_version == 0 || verdict.m_version < state.m_accepted_version) {
         return;
     }
@@ -247,7 +248,7 @@
 }
 
 // Handles an acceptance, of the submitted text or of a later one.
-void handle_accepted(const console& out, const accepted_view& accepted, wait_state& state) {
+void handle_accepted(const console& out, const stored_acceptance& accepted, wait_state& state) {
     if (state.m_accepted_version != 0) {
         return;
     }
@@ -445,9 +446,9 @@
     if (!text) {
         return report_unreadable(out, options.m_file);
     }
-    const auto from =
+    const auto from_revision =
         options.m_from_revision ? options.m_from_revision : read_revision(options.m_file);
-    if (!from) {
+    if (!from_revision) {
         return report_failure(out, exit_usage, "usage",
                               fmt::format("{}: no --from and no revision in {}; fetch the text "
                                           "first, or use --from 0 for the first one",
@@ -457,7 +458,7 @@
     if (const auto failure = read_accepted_config(store, current)) {
         return report_store_failure(out, *failure);
     }
-    const std::string submitted = add_attribution(*text, options.m_author, now, *from);
+    const std::string submitted = add_attribution(*text, options.m_author, now, *from_revision);
     std::vector<text_fault> faults;
     const auto parsed =
         parse_mesh(submitted, now, current.m_mesh ? &*current.m_mesh : nullptr, faults);
@@ -467,12 +468,12 @@
     // The delta's revision is read before the text is written, so that a slow operator's delta
     // doesn't replace the delta of a later text.
     const store_reply old_delta = store.m_get(text_delta_key);
-    const write_result result = write_if_unchanged(store, text_key, submitted, *from);
+    const write_result result = write_if_unchanged(store, text_key, submitted, *from_revision);
     switch (result.m_kind) {
     case write_result::kind::written:
         break;
     case write_result::kind::lost_race:
-        return report_lost_race(out, options, *from, result, *parsed);
+        return report_lost_race(out, options, *from_revision, result, *parsed);
     case write_result::kind::too_large:
         return report_failure(out, exit_refused, "refused",
                               "the store refused the text because it is too large");
--- a/standins/backend_server_main.cpp
+++ b/standins/backend_server_main.cpp
@@ -98,7 +98,7 @@
     counters m_counters;
     std::int64_t m_occupied_slots = 0;
     std::list<waiting_call> m_queue;
-    time_point m_started = steady_clock::now();
+    time_point m_behaviour_since = steady_clock::now();
     time_point m_cold_since = steady_clock::now();
     double m_served_since_cold = 0;
     time_point m_overload_failure_until{};
@@ -222,7 +222,7 @@
                                           : default_failing_permille;
     bool active = behaviour == "fails" || behaviour == "slow";
     if (behaviour == "fails_later") {
-        active = steady_clock::now() - backend.m_started >=
+        active = steady_clock::now() - backend.m_behaviour_since >=
                      std::chrono::seconds(options.m_behaviour_after_s) ||
                  (options.m_behaviour_after_calls > 0 &&
                   backend.m_counters.m_started >=
@@ -485,7 +485,8 @@
     for (const auto& [name, field] : string_options) {
         if (key == name && value.is_string()) {
             *field = value.get_string();
-            backend.m_started = name == "behaviour" ? steady_clock::now() : backend.m_started;
+            backend.m_behaviour_since =
+                name == "behaviour" ? steady_clock::now() : backend.m_behaviour_since;
             return true;
         }
     }
--- a/standins/common.cpp
+++ b/standins/common.cpp
@@ -131,9 +131,9 @@
 }
 
 void exit_with_error(const error& reason) {
-    const error_info& answer = error_info_for(reason.m_kind);
-    log_line("error", "failed", {{"reason", answer.m_name}, {"text", reason.m_text}});
-    std::exit(answer.m_exit_code);
+    const error_info& info = error_info_for(reason.m_kind);
+    log_line("error", "failed", {{"reason", info.m_name}, {"text", reason.m_text}});
+    std::exit(info.m_exit_code);
 }
 
 void log_line(std::string_view level, std::string_view event, boost::json::object fields) {
--- a/standins/fault_proxy_main.cpp
+++ b/standins/fault_proxy_main.cpp
@@ -661,8 +661,8 @@
     boost::asio::io_context context(1);
     std::vector<std::unique_ptr<network_link>> links;
     links.reserve(link_specs.size());
-    for (const std::string& name : link_specs) {
-        links.push_back(open_link_or_exit(context, name));
+    for (const std::string& spec : link_specs) {
+        links.push_back(open_link_or_exit(context, spec));
     }
     std::unique_ptr<http_server> control_server;
     if (!control_address.empty()) {
--- a/standins/kv_store_main.cpp
+++ b/standins/kv_store_main.cpp
@@ -252,7 +252,7 @@
 }
 
 // Selects the keys that a list or a watch returns.
-struct change_query {
+struct key_query {
     std::string m_prefix;
     std::uint64_t m_after_revision = 0;
     bool m_with_deleted = false;
@@ -261,8 +261,8 @@
 
 // Returns the keys that the query selects, without the revisions in dropped. A list excludes
 // deleted keys.
-json::array changed_keys(const store_state& store, const change_query& query,
-                         const std::set<std::uint64_t>& dropped) {
+json::array select_keys(const store_state& store, const key_query& query,
+                        const std::set<std::uint64_t>& dropped) {
     const std::string& prefix = query.m_prefix;
     json::array found;
     for (auto it = store.m_entries.lower_bound(prefix);
@@ -288,20 +288,20 @@
 // Returns all keys below a prefix.
 http_answer list_keys(store_state& store, const http_call& call) {
     ++store.m_counters.m_reads;
-    const change_query query{call.query("prefix").value_or(""), 0, false,
-                             call.query("keys_only").value_or("") == "1"};
-    return revision_answer(200, store.m_revision, json::serialize(changed_keys(store, query, {})));
+    const key_query query{call.query("prefix").value_or(""), 0, false,
+                          call.query("keys_only").value_or("") == "1"};
+    return revision_answer(200, store.m_revision, json::serialize(select_keys(store, query, {})));
 }
 
 // Decides at random which changes are withheld from a watch and adds their revisions to dropped.
 // Each revision is decided once, which considered records.
 void choose_dropped_events(store_state& store, const std::string& prefix,
-                           std::uint64_t after_revision_text, std::set<std::uint64_t>& considered,
+                           std::uint64_t after_revision, std::set<std::uint64_t>& considered,
                            std::set<std::uint64_t>& dropped) {
     for (auto it = store.m_entries.lower_bound(prefix);
          it != store.m_entries.end() && it->first.starts_with(prefix); ++it) {
         const std::uint64_t revision = it->second.m_revision;
-        if (revision > after_revision_text && considered.insert(revision).second &&
+        if (revision > after_revision && considered.insert(revision).second &&
             store.m_random.below(1000) < store.m_faults.m_drop_watch_events_permille) {
             dropped.insert(revision);
             ++store.m_counters.m_dropped_watch_events;
@@ -330,7 +330,7 @@
             choose_dropped_events(store, prefix, after_revision, considered, dropped);
         }
         const json::array found =
-            changed_keys(store, {prefix, after_revision, true, keys_only}, dropped);
+            select_keys(store, {prefix, after_revision, true, keys_only}, dropped);
         if (!found.empty()) {
             return revision_answer(200, store.m_revision, json::serialize(found));
         }
--- a/tests/version_move_test.cpp
+++ b/tests/version_move_test.cpp
@@ -58,7 +58,7 @@
     double m_latest_done_s = 0;
 };
 
-kind_totals simulate(move_kind kind, int runs, const simulation_options& options) {
+kind_totals simulate(move_scenario kind, int runs, const simulation_options& options) {
     kind_totals totals;
     for (int i = 0; i < runs; ++i) {
         const auto result =
@@ -83,30 +83,31 @@
 // Guards against a rate of false rollbacks above 1 in 100 and against good moves that end too late.
 BOOST_AUTO_TEST_CASE(good_versions_are_done_in_time) {
     const simulation_options options{120, 50, 150};
-    const kind_totals good = simulate(move_kind::good, 1'000, options);
+    const kind_totals good = simulate(move_scenario::good, 1'000, options);
     BOOST_TEST(good.m_taken_back < 10);
     BOOST_TEST(good.m_in_time > 990);
     BOOST_TEST(good.m_final_writes == 1'000);
     BOOST_TEST(good.m_latest_done_s < 0.9 * 120);
-    for (const move_kind kind : {move_kind::good_under_overload, move_kind::good_store_down,
-                                 move_kind::good_cold_starts, move_kind::good_holder_dies}) {
+    for (const move_scenario kind :
+         {move_scenario::good_under_overload, move_scenario::good_store_down,
+          move_scenario::good_cold_starts, move_scenario::good_holder_dies}) {
         const kind_totals totals = simulate(kind, 100, options);
-        BOOST_TEST(totals.m_in_time >= 99, move_kind_name(kind) << " " << totals.m_in_time);
+        BOOST_TEST(totals.m_in_time >= 99, scenario_name(kind) << " " << totals.m_in_time);
     }
 }
 
 // Guards against a bad version that is declared done, or that receives more than 5% of the calls
 // before a defect that exists from the start is detected.
 BOOST_AUTO_TEST_CASE(bad_versions_are_taken_back) {
-    for (const move_kind kind :
-         {move_kind::fails_at_once, move_kind::fails_later, move_kind::slow,
-          move_kind::bad_under_load, move_kind::bad_on_one_route, move_kind::fails_store_down,
-          move_kind::fails_store_and_holder_down}) {
+    for (const move_scenario kind :
+         {move_scenario::fails_at_once, move_scenario::fails_later, move_scenario::slow,
+          move_scenario::bad_under_load, move_scenario::bad_on_one_route,
+          move_scenario::fails_store_down, move_scenario::fails_store_and_holder_down}) {
         const kind_totals totals = simulate(kind, 40, {});
-        BOOST_TEST(totals.m_taken_back >= 39, move_kind_name(kind) << " " << totals.m_taken_back);
-        BOOST_TEST(totals.m_final_writes == 40, move_kind_name(kind));
-        if (kind == move_kind::fails_at_once || kind == move_kind::slow) {
-            BOOST_TEST(totals.m_largest_weight <= 50U, move_kind_name(kind));
+        BOOST_TEST(totals.m_taken_back >= 39, scenario_name(kind) << " " << totals.m_taken_back);
+        BOOST_TEST(totals.m_final_writes == 40, scenario_name(kind));
+        if (kind == move_scenario::fails_at_once || kind == move_scenario::slow) {
+            BOOST_TEST(totals.m_largest_weight <= 50U, scenario_name(kind));
         }
     }
 }
