--- a/Makefile
+++ b/Makefile
@@ -24,7 +24,7 @@
 export CCACHE_NOHASHDIR := 1
 export CCACHE_SLOPPINESS := pch_defines,time_macros
 
-# One static library of all folders under src without a main function, and of platform.
+# One static library of platform and all folders under src except those of the programs.
 LIB_SRC  := $(wildcard src/base/*.cpp src/config/*.cpp src/ctl/*.cpp src/decide/*.cpp src/store/*.cpp \
               src/peer/*.cpp src/observe/*.cpp src/traffic/*.cpp src/node/*.cpp platform/*.cpp)
 GEN_SRC  := $(wildcard src/peer/gen/*.cc)
@@ -126,7 +126,8 @@
 	@mkdir -p $(BUILD)/bin
 	tools/run_integration $(BUILD)/bin
 
-# Runs the fault soak with the seeds of SEED (N, N,N or N..N; 1 to 3 by default) or with FRESH new ones.
+# Runs the fault soak with the seeds in SEED, which is a number, a list such as 4,7 or a range such
+# as 1..3 (the default). FRESH=N uses N random seeds instead.
 SEED    ?= 1..3
 SECONDS ?= 12
 FRESH   ?= 0
--- a/bench/call_cost.cpp
+++ b/bench/call_cost.cpp
@@ -46,7 +46,8 @@
     return static_cast<double>(value.tv_sec) + 1e-9 * static_cast<double>(value.tv_nsec);
 }
 
-// Processor time in seconds of all threads outside the nodes: callers, backend server, log reader.
+// Processor time in seconds of all threads outside the nodes: callers, backend server, stderr
+// reader.
 std::atomic<double> s_non_node_cpu_s{0};
 
 // Adds the processor time of its thread to s_non_node_cpu_s. Must be destroyed on the thread that
@@ -69,7 +70,7 @@
     double m_begin;
 };
 
-// Redirects stderr to a pipe that a thread reads, as a supervisor would read the log.
+// Redirects stderr to a pipe that a thread reads.
 void drain_stderr() {
     std::array<int, 2> pipe_ends{};
     if (::pipe(pipe_ends.data()) != 0) {
@@ -380,6 +381,7 @@
                                                {"target_met", added_p99_us <= target_added_p99_us},
                                                {"rows", std::move(rows)}}));
     std::fflush(stdout);
-    // Skips destructors, since the backend server's and log reader's detached threads still run.
+    // Skips destructors, since the detached threads of the backend server and of the stderr reader
+    // still run.
     ::_exit(0);
 }
--- a/bench/control_cost.cpp
+++ b/bench/control_cost.cpp
@@ -1,7 +1,8 @@
 // Measures the cost of the membership protocol for one node at several table sizes: processor time
 // and bytes per second of protocol time, the time to hash the table for anti-entropy, and the
-// memory of the table. Packet sizes are the estimates with which the node itself fills packets. The
-// churn is that of the target scale: 1,545 restarts and failures a day among 14,000 members.
+// memory of the table. Packet sizes are estimated with the function that the node itself uses to
+// fill packets. The churn is that of the target scale: 1,545 restarts and failures a day among
+// 14,000 members.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -47,8 +48,8 @@
     return entry;
 }
 
-// Counts the packets that the node sends. Appends its pings to pings, unless that is null, so that
-// the benchmark can answer them.
+// Counts the packets that the node sends. If pings isn't null, also appends the sent pings to it,
+// so that the benchmark can answer them.
 void count_sent(measured_node& node, const std::vector<membership_action>& actions,
                 std::deque<packet>* pings) {
     for (const membership_action& action : actions) {
--- a/bench/move_simulation.hpp
+++ b/bench/move_simulation.hpp
@@ -84,7 +84,8 @@
 
 struct simulation_options {
     double m_time_limit_s = 300; // from the start of the move to its deadline
-    double m_min_rate = 50; // calls per second of the service; each run draws a rate between both
+    // Bounds of the service's calls per second. Each run draws a rate between them.
+    double m_min_rate = 50;
     double m_max_rate = 500;
 };
 
@@ -94,11 +95,12 @@
     double m_ended_s = 0; // when the final state was written
     bool m_in_time = false;
     std::optional<double> m_defect_visible_s;      // when the defect harmed its third call
-    std::optional<double> m_traffic_stopped_s;     // from when the new version gets no calls
+    std::optional<double> m_traffic_stopped_s;     // time from which the new version gets no calls
     std::uint32_t m_max_weight_before_visible = 0; // permille
-    double m_share_before_visible = 0;  // share of all calls that the new version served until then
-    std::uint64_t m_harmed_calls = 0;   // calls that the defect failed or slowed down
-    std::uint64_t m_calls_after_3s = 0; // calls to the new version more than 3 s after visibility
+    double m_share_before_visible = 0; // share of all calls that the new version served until then
+    std::uint64_t m_harmed_calls = 0;  // calls that the defect failed or slowed down
+    // Calls to the new version more than 3 s after the defect became visible.
+    std::uint64_t m_calls_after_3s = 0;
     std::uint32_t m_final_writes = 0;
     bool m_suspended_locally = false; // a node suspended the version on its local evidence
     std::string m_reason;
@@ -176,7 +178,8 @@
         return count;
     }
 
-    // Draws the parameters of the run. The order of the draws is part of what a seed means.
+    // Draws the parameters of the run. The order of the draws must not change, because it
+    // determines the run that a seed produces.
     void draw_parameters() {
         const double time_limit_s = m_options.m_time_limit_s;
         m_result.m_rate = m_options.m_min_rate *
@@ -202,8 +205,8 @@
         }
         if (m_scenario == move_scenario::fails_store_down ||
             m_scenario == move_scenario::fails_store_and_holder_down) {
-            m_disturbance_begin_s =
-                uniform(0, 0.5) * time_limit_s; // starts before the move can be done
+            // The outage starts before the move can be done.
+            m_disturbance_begin_s = uniform(0, 0.5) * time_limit_s;
             m_disturbance_end_s = m_disturbance_begin_s + time_limit_s / 3;
             m_defect_onset_s = m_disturbance_begin_s;
         }
@@ -337,9 +340,9 @@
 
     bool has_ended() const { return m_record.m_state != move_state::running; }
 
-    // Runs the holder and every node's local test on one interval of reports. While the store is
-    // down, the holder continues to test but writes nothing. While the holder is down too, each
-    // node decides on its own calls alone.
+    // Runs the holder's decision and every node's local test on one interval of reports. While the
+    // store is down, the holder continues to test but writes nothing. While the holder is down too,
+    // each node decides on its own calls alone.
     void decide_sequential(double now) {
         const bool is_down = store_down(now);
         const bool no_holder =
@@ -482,6 +485,7 @@
     double m_disturbance_end_s = 0;
     double m_overload_factor = 1;
     double m_overload_failures = 0;
+    // By version (0: old, 1: new) and instance.
     std::array<std::array<double, instances>, 2> m_cold_until_s{};
 };
 
--- a/bench/moves.cpp
+++ b/bench/moves.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Returns the value at the given quantile (0 to 1), or 0 if there are no values.
+// Returns the quantile that is given as a fraction from 0 to 1, or 0 if there are no values.
 double quantile(std::vector<double> values, double fraction) {
     if (values.empty()) {
         return 0;
--- a/bench/replay.cpp
+++ b/bench/replay.cpp
@@ -5,8 +5,8 @@
 //                                         writes the inputs needed for a replay to TARGET; keeps
 //                                         the admission decisions of the named instances only
 // The logs are those of all nodes of one run with log.record_lines above 0, plain or compressed
-// with zstd. Exits with 1 if an action differs or an outcome is missed, with 2 if a file is
-// unusable.
+// with zstd. Exits with 1 if an action differs, an expected outcome isn't met or lines are missing
+// or damaged, with 2 if a file is unusable or the arguments are invalid.
 #include <cstdio>
 #include <fstream>
 #include <iterator>
--- a/bench/spread.cpp
+++ b/bench/spread.cpp
@@ -95,7 +95,8 @@
     for (std::size_t index = 0; index < count; ++index) {
         read_store(warmed_up, index);
     }
-    // Waits until the entries of the start have propagated, which takes longest with 1,000 nodes.
+    // Waits until the membership entries from the start of the nodes have propagated, which takes
+    // longest with 1,000 nodes.
     run_for(warmed_up, seconds(count < 1'000 ? 60 : 300));
 
     print(json, count, loss, "new version in force",
--- a/bench/watch_baseline.cpp
+++ b/bench/watch_baseline.cpp
@@ -48,11 +48,13 @@
     store_totals m_totals;
     std::uint64_t m_change = 0;
     std::chrono::steady_clock::time_point m_written;
-    std::vector<double> m_delays_ms; // of the current change
-    std::vector<double> m_median_delays_ms;
-    std::vector<double> m_max_delays_ms;
+    std::vector<double> m_delays_ms;        // of the current change
+    std::vector<double> m_median_delays_ms; // of each change
+    std::vector<double> m_max_delays_ms;    // of each change
 };
 
+// Watches the prefix. After a change, reads the text before it watches again. Without a change or
+// after a failure, watches again at once.
 void watch(measurement& state, watcher& node);
 
 // Reads the text of a change, retries until that succeeds, records the delay and watches again.
--- a/src/ctl/audit.cpp
+++ b/src/ctl/audit.cpp
@@ -169,8 +169,9 @@
     std::optional<std::int64_t> m_left_at; // Unix milliseconds; unset again by a restart
 };
 
-// State of a data centre in the highest configuration version that a line reported it for. Nodes
-// log a change at different times, so a late line of an older version is ignored.
+// Latest known state of a data centre. m_version is the highest configuration version for which a
+// line reported the state. Nodes log a change at different times, so a late line of an older
+// version is ignored.
 struct data_centre_record {
     std::int64_t m_version = -1;
     std::optional<std::int64_t> m_out_at; // time when it was taken out, Unix milliseconds
@@ -190,8 +191,8 @@
     std::map<std::string, tracked_move, std::less<>> m_moves;
     // Time of the first suspension, Unix milliseconds, by service and version.
     std::map<std::pair<std::string, std::string>, std::int64_t> m_suspension_times;
-    std::unordered_map<std::uint64_t, request_record> m_requests;         // by identity_hash
-    std::unordered_map<std::uint64_t, request_record> m_idempotency_keys; // by identity_hash
+    std::unordered_map<std::uint64_t, request_record> m_requests; // by identity_hash of the number
+    std::unordered_map<std::uint64_t, request_record> m_idempotency_keys; // by identity_hash of key
     std::unordered_map<std::uint64_t, bool> m_route_idempotent; // by identity_hash of the route
 };
 
@@ -419,8 +420,9 @@
     return route == state.m_route_idempotent.end() || !route->second;
 }
 
-// Reports non-idempotent requests or keys that ran more than once, and those that ran although the
-// only outcome was that they had not. what names the kind of record.
+// Reports non-idempotent requests or keys that ran more than once, and requests that ran although
+// every outcome that the entry side logged says that they did not. what names the kind of record in
+// messages.
 void check_start_counts(audit_state& state,
                         const std::unordered_map<std::uint64_t, request_record>& records,
                         std::string_view what) {
--- a/src/ctl/commands.hpp
+++ b/src/ctl/commands.hpp
@@ -19,7 +19,7 @@
 constexpr int exit_refused = 1;
 constexpr int exit_usage = 2;
 constexpr int exit_unreachable = 3;
-constexpr int exit_negative = 4; // a negative verdict or breaches were found
+constexpr int exit_negative = 4; // negative verdict, no verdict in time, or breaches found
 
 // Output of a command. Each call passes one line without its line break.
 struct console {
@@ -62,10 +62,10 @@
 int show_status(const console& out, const store_interface& store);
 
 struct verdict_options {
-    bool m_follow = false; // continue with new verdicts and progress
+    bool m_follow = false; // keep printing new verdicts and the progress of moves
     // If not empty, only this service's moves are printed and following ends with its verdict.
     std::string m_service;
-    milliseconds m_timeout{0}; // upper bound of following; 0: none
+    milliseconds m_timeout{0}; // time limit of following; 0: no limit
 };
 
 // Prints the final verdicts. With m_follow it then prints new verdicts and the progress of moves
--- a/src/ctl/current_text.hpp
+++ b/src/ctl/current_text.hpp
@@ -19,8 +19,8 @@
     std::optional<mesh> m_mesh;
 };
 
-// Reads the accepted record and its text into state. Returns the failed reply if the store can't be
-// read, otherwise nothing.
+// Reads the accepted record and its text into config. Returns the failed reply if the store can't
+// be read, otherwise nothing.
 std::optional<store_reply> read_accepted_config(const store_interface& store,
                                                 accepted_config& config);
 
--- a/src/ctl/replay.hpp
+++ b/src/ctl/replay.hpp
@@ -43,8 +43,8 @@
 //                            end before their deadlines
 //   suspended_within         failed_calls, ms: the new version is suspended at most ms after this
 //                            number of its calls failed
-//   at_least                 of, count: minimum number of takeovers, restarts, store_errors or
-//                            calls
+//   at_least                 of: takeovers, restarts, store_errors or calls; count: their minimum
+//                            number
 // Returns nothing and sets reason if the outcomes can't be parsed.
 std::optional<replay_report> replay_trace(std::string_view trace, std::string_view outcomes,
                                           error& reason);
--- a/src/ctl/replay_outcomes.cpp
+++ b/src/ctl/replay_outcomes.cpp
@@ -99,9 +99,9 @@
     }
 }
 
-// Counts lease holders that overlap. Between two inputs a lease can only end, so comparing the
-// holders after each input is enough. All processes of a trace ran on one machine and share its
-// monotonic clock.
+// Counts changes of the lease holder and other processes that hold the lease at the same time.
+// Between two inputs a lease can only end, so comparing the holders after each input is enough. All
+// processes of a trace ran on one machine and share its monotonic clock.
 void outcome_checker::observe_lease(const process_map& processes, const replayed_process& process,
                                     const replay_input& input) {
     const std::string key = input.text("key");
--- a/src/ctl/replay_outcomes.hpp
+++ b/src/ctl/replay_outcomes.hpp
@@ -17,11 +17,11 @@
 // One expected outcome. replay_trace describes the checks and their bounds.
 struct expected_outcome {
     std::string m_check;        // name of the check
-    std::string m_state;        // move_ends: the field state
-    std::string m_quantity;     // at_least: the field of
-    bool m_by_deadline = false; // move_ends: the field by_deadline
-    milliseconds m_limit{0};    // the field ms or hold_ms
-    std::size_t m_count = 0;    // the field failed_calls or count
+    std::string m_state;        // move_ends: final state that every move must reach
+    std::string m_quantity;     // at_least: what is counted (field "of")
+    bool m_by_deadline = false; // move_ends: whether every move must end by its deadline
+    milliseconds m_limit{0};    // suspended_within: field "ms"; cold_start_share: field "hold_ms"
+    std::size_t m_count = 0;    // suspended_within: field "failed_calls"; at_least: field "count"
 };
 
 // Parses a JSON array of outcomes. Returns nothing and sets reason if a check or a field is
@@ -36,8 +36,8 @@
     explicit outcome_checker(milliseconds cold_hold) : m_cold_hold(cold_hold) {}
 
     using process_map = std::map<std::string, replayed_process>; // by instance
-    // Updates the figures after each input. process is the one that took the input; it and
-    // processes are in the state after it. action is the replayed action.
+    // Updates the figures after each input. process is the one that received the input. process and
+    // processes hold the state after the input. action is the replayed action.
     void observe(const process_map& processes, const replayed_process& process,
                  const replay_input& input, std::string_view action);
 
@@ -94,7 +94,7 @@
     std::map<std::string, move_history> m_moves;       // by move id
     std::map<std::string, std::vector<time_point>> m_failed_call_times; // by version
     std::map<std::string, time_point> m_suspension_times; // of the first suspension, by version
-    // Times that the weight of a suspended move was evaluated, and how often it was not 0.
+    // Number of evaluations of the weight of a suspended move, and how many of them were not 0.
     std::size_t m_weight_checks = 0;
     std::size_t m_nonzero_weights_after_suspension = 0;
 };
--- a/src/ctl/replay_player.cpp
+++ b/src/ctl/replay_player.cpp
@@ -153,8 +153,8 @@
     return std::to_string(move_weight(facts, process.m_service, process.m_move_id));
 }
 
-// Adds one route's counts to the report they belong to. The field first marks the first route of a
-// report.
+// Adds one route's counts to the report they belong to. The field "first" marks the first route of
+// a report.
 void add_report(replayed_process& process, const replay_input& input) {
     if (input.flag("first") || process.m_reports.empty()) {
         evidence_report report;
--- a/src/ctl/replay_player.hpp
+++ b/src/ctl/replay_player.hpp
@@ -20,13 +20,13 @@
 // as empty or zero and marks the input as damaged.
 class replay_input {
 public:
-    // Returns nothing if the line is neither a decision line nor a note of dropped lines. Such a
-    // note has the component dropped_decisions_event.
+    // Returns nothing if the line is neither a decision line nor a line that reports dropped lines.
+    // The latter gets the component dropped_decisions_event.
     static std::optional<replay_input> parse(std::string_view line);
 
     std::string m_instance;
-    std::string m_component;      // component of the decision code, the field part
-    std::string m_input_name;     // kind of input, the field input
+    std::string m_component;      // component of the decision code (field "part")
+    std::string m_input_name;     // kind of input (field "input")
     std::string m_action;         // recorded action
     time_point m_now;             // time that was passed to the decision
     std::int64_t m_logged_ms = 0; // time of the log line, Unix milliseconds
@@ -44,7 +44,8 @@
     mutable bool m_damaged = false;
 };
 
-// Decision state of one node process. The line of its start creates a new one.
+// Decision state of one node process. A line with the component "node", which reports a process
+// start, creates a new one.
 struct replayed_process {
     std::string m_instance;
     std::string m_version; // version of its backend server
@@ -52,8 +53,8 @@
     std::map<std::string, lease_keeper> m_leases; // by lease key
     distribution_state m_distribution;
     admission_state m_admission = make_admission({});
-    move_evidence m_evidence;               // as holder of the move's lease: of all instances
-    move_evidence m_local_evidence;         // as backend side: of the own server only
+    move_evidence m_evidence;               // of all instances, for the holder of the move's lease
+    move_evidence m_local_evidence;         // of the own server only, for the local test
     std::vector<evidence_report> m_reports; // received since the last evaluation
     fact_table m_facts;
     std::string m_move_id;
--- a/src/ctl/report_commands.cpp
+++ b/src/ctl/report_commands.cpp
@@ -186,7 +186,7 @@
     }
 }
 
-// Returns the service in the key of a move, which follows the prefix as in
+// Returns the service from the key of a move. The service follows the prefix, as in
 // caraway/verdict/move/SERVICE/MOVEID.
 std::string_view service_of(std::string_view key, std::string_view prefix) {
     key.remove_prefix(prefix.size());
@@ -223,7 +223,7 @@
     }
 }
 
-// Prints one verdict or one step of a move if the options include it.
+// Prints a stored entry if it is a verdict or a move record that the options select.
 void print_entry(verdict_printer& printer, const store_entry& entry) {
     const std::string& service = printer.m_options->m_service;
     if (entry.m_deleted) {
--- a/src/ctl/text_commands.cpp
+++ b/src/ctl/text_commands.cpp
@@ -220,7 +220,7 @@
     std::optional<int> m_exit_code;       // set once the wait is over
 };
 
-// Prints one step of a submitted text.
+// Prints one step in the processing of a submitted text, such as its acceptance.
 void report_progress(const console& out, std::string_view result, std::uint64_t version,
                      std::string_view text) {
     if (out.m_json) {
@@ -299,8 +299,8 @@
             if (!entry.m_deleted) {
                 handle_record(out, options.m_file, entry.m_key, entry.m_value, state);
             }
-            // Once the version is known, restarts the watch to read verdicts that arrived before
-            // it.
+            // Stops the watch once the version is known. The loop watches again from the text's
+            // revision, because verdicts on the version may have arrived before it was known.
             return !state.m_exit_code && !(version_unknown && state.m_accepted_version != 0);
         };
         if (time_left.count() <= 0 ||
@@ -465,8 +465,8 @@
     if (!parsed) {
         return report_faults(out, options.m_file, faults);
     }
-    // The delta's revision is read before the text is written, so that a slow operator's delta
-    // doesn't replace the delta of a later text.
+    // The delta's revision is read before the text is written, so that this delta doesn't replace
+    // the delta of a later text.
     const store_reply old_delta = store.m_get(text_delta_key);
     const write_result result = write_if_unchanged(store, text_key, submitted, *from_revision);
     switch (result.m_kind) {
--- a/standins/backend_server_main.cpp
+++ b/standins/backend_server_main.cpp
@@ -29,8 +29,9 @@
 constexpr double cold_slowdown = 4.0;
 // An instance that is colder than this counts as cold, and load makes it fail.
 constexpr double max_coldness_under_load = 0.125;
-constexpr double warm_up_calls_per_slot = 25;            // answered calls that warm up one slot
-constexpr std::chrono::seconds overload_failure_time{1}; // duration of a failure under load
+constexpr double warm_up_calls_per_slot = 25; // answered calls that warm up one slot
+// Time for which a cold instance fails all calls after an overload.
+constexpr std::chrono::seconds overload_failure_time{1};
 constexpr double slow_version_factor = 5.0; // multiplies the handler time of a slow version
 constexpr std::size_t max_counted_requests = 1'000'000; // distinct request numbers counted
 constexpr std::size_t max_listed_duplicates = 1'000; // request numbers listed as run more than once
@@ -77,7 +78,7 @@
     std::int64_t m_first_started_ms = 0;
     std::int64_t m_last_started_ms = 0;
     std::int64_t m_first_defect_ms = 0;       // first call affected by the version's defect
-    std::uint64_t m_uncounted_executions = 0; // of request numbers above max_counted_requests
+    std::uint64_t m_uncounted_executions = 0; // of request numbers beyond max_counted_requests
 };
 
 // A call in the queue. m_granted is set when it receives a slot.
@@ -98,6 +99,7 @@
     counters m_counters;
     std::int64_t m_occupied_slots = 0;
     std::list<waiting_call> m_queue;
+    // Start of the process or latest change of the behaviour.
     time_point m_behaviour_since = steady_clock::now();
     time_point m_cold_since = steady_clock::now();
     double m_served_since_cold = 0;
@@ -132,13 +134,14 @@
     return coldness(backend) > max_coldness_under_load;
 }
 
-// Restarts the cold start at the given time. A time in the distant past makes the instance warm.
+// Sets the time from which the instance counts as cold and resets the answered calls that warm it
+// up. A time in the distant past makes it warm.
 void set_cold_since(backend_state& backend, time_point since) {
     backend.m_cold_since = since;
     backend.m_served_since_cold = 0;
 }
 
-// Returns whether the instance currently fails all calls because it was loaded while cold.
+// Returns whether the instance currently fails all calls because it was overloaded while cold.
 bool has_overload_failure(const backend_state& backend) {
     return steady_clock::now() < backend.m_overload_failure_until;
 }
@@ -291,7 +294,8 @@
             request.m_headers.emplace_back(name, value);
         }
     }
-    // The suffix keeps numbers and keys unique for each hop, even if a service occurs twice.
+    // The suffix keeps numbers and keys unique for each hop, even if a service occurs twice in the
+    // chain.
     for (const char* name : {"x-request-number", "idempotency-key"}) {
         if (const std::string_view value = find_header(call.m_headers, name); !value.empty()) {
             request.m_headers.emplace_back(name, std::string(value) + ".1");
@@ -330,8 +334,8 @@
     return answer;
 }
 
-// Runs the handler of a call that holds a slot. A cold instance that is loaded fails all calls for
-// overload_failure_time and is completely cold afterwards.
+// Runs the handler of a call that holds a slot. A cold instance that is overloaded fails all calls
+// for overload_failure_time and is completely cold afterwards.
 http_answer run_handler(backend_state& backend, http_call& call, time_point deadline,
                         asio::yield_context yield) {
     record_execution(backend, std::string(find_header(call.m_headers, "x-request-number")));
--- a/standins/common.cpp
+++ b/standins/common.cpp
@@ -63,8 +63,8 @@
 bool parse_command_line(int argc, const char** argv, std::span<const option_spec> options,
                         error& reason) {
     std::vector<poptOption> table;
-    std::deque<std::string>
-        help_texts; // popt keeps pointers to the texts, which stay valid while a deque grows
+    // popt keeps pointers to the texts, which stay valid while a deque grows.
+    std::deque<std::string> help_texts;
     for (std::size_t i = 0; i < options.size(); ++i) {
         const bool flag = std::holds_alternative<bool*>(options[i].m_value);
         help_texts.push_back(help_text(options[i]));
@@ -113,8 +113,8 @@
     if (colon == std::string_view::npos || !parse_number(text.substr(colon + 1), port)) {
         return fail(reason, error_kind::usage, fmt::format("'{}' is not IP:PORT", text));
     }
-    const auto address = boost::asio::ip::make_address(std::string(text.substr(0, colon)),
-                                                       ec); // resolves no host names
+    // make_address resolves no host names.
+    const auto address = boost::asio::ip::make_address(std::string(text.substr(0, colon)), ec);
     if (ec) {
         return fail(reason, error_kind::usage, fmt::format("'{}' is not IP:PORT", text));
     }
--- a/standins/fault_proxy_main.cpp
+++ b/standins/fault_proxy_main.cpp
@@ -30,10 +30,10 @@
 using boost::system::error_code;
 using std::chrono::steady_clock;
 
-constexpr std::size_t chunk_bytes = 16U << 10U;     // read from a TCP socket at once
+constexpr std::size_t chunk_bytes = 16U << 10U;     // largest single read from a TCP socket
 constexpr std::size_t datagram_bytes = 4U << 10U;   // datagrams of this size or more are dropped
 constexpr std::size_t max_queued_bytes = 1U << 20U; // per direction; reading pauses above it
-// Per link. Datagrams from further senders are dropped.
+// Limit per link. Datagrams from further senders are dropped.
 constexpr std::size_t max_udp_senders = 4096;
 // A sender's socket is closed after this idle time, because one process doesn't have enough file
 // descriptors for all pairs of nodes in a large mesh.
@@ -48,11 +48,13 @@
     milliseconds m_delay{0};
     bool m_cut = false;    // drops datagrams, resets and refuses connections
     bool m_freeze = false; // holds back all data until it is cleared
-    // Only clients with these addresses are cut off.
+    // Clients with these addresses are cut off; other clients are not affected.
     std::set<asio::ip::address> m_cut_sources;
-    std::uint64_t m_loss_permille = 0; // share of datagrams dropped and of TCP reads that reset
-    std::optional<std::size_t> m_truncate_after; // bytes of the next answer only
-    std::uint64_t m_bandwidth_kbps = 0;          // kilobits per second, 0: no limit
+    // Share of datagrams that are dropped and of TCP reads that reset the connection.
+    std::uint64_t m_loss_permille = 0;
+    // Number of bytes after which the next answer is truncated. Applies once.
+    std::optional<std::size_t> m_truncate_after;
+    std::uint64_t m_bandwidth_kbps = 0; // kilobits per second, 0: no limit
 };
 
 // Bytes of a TCP connection with the time at which they are to be sent.
@@ -122,7 +124,7 @@
     udp::socket m_socket;
     std::map<udp::endpoint, std::shared_ptr<udp_sender>> m_senders;
     std::deque<std::function<void()>> m_held_datagrams;
-    // When the last byte so far has been sent at the limited bandwidth, by direction.
+    // Time at which all bytes so far have been sent at the limited bandwidth, by direction.
     std::array<time_point, 2> m_line_free_at{};
     std::array<std::uint64_t, 2> m_bytes{};
     std::array<std::uint64_t, 2> m_datagrams{};
--- a/standins/http_client.cpp
+++ b/standins/http_client.cpp
@@ -12,8 +12,8 @@
 namespace http = beast::http;
 using boost::system::error_code;
 
-constexpr std::size_t max_idle_connections =
-    256; // connections above it are closed after their exchange
+// Connections above it are closed after their exchange.
+constexpr std::size_t max_idle_connections = 256;
 constexpr std::size_t max_answer_bytes = 16 << 20;
 
 // Connection to the server, with its read buffer.
--- a/standins/http_server.cpp
+++ b/standins/http_server.cpp
@@ -34,9 +34,9 @@
     socket.close(ec);
 }
 
-// Waits in the background until the caller sends data or closes its connection. If it has closed
-// it, marks the call, ends its wait and runs its m_on_close. Peeks only, so a pipelined request
-// stays in the socket.
+// Waits in the background until the caller sends data or closes its connection. After a close,
+// marks the call, ends its wait and runs its m_on_close. Only peeks at the data, so a pipelined
+// request stays in the socket.
 void watch_for_close(const std::shared_ptr<session>& active_session,
                      const std::shared_ptr<http_call>& call) {
     active_session->m_socket.async_wait(
--- a/standins/http_server.hpp
+++ b/standins/http_server.hpp
@@ -31,7 +31,8 @@
 // Parses a text that consists of a decimal integer. Returns nothing for any other text.
 std::optional<std::int64_t> to_number(std::string_view text);
 
-// A received request. Its handler can wait in it and is woken if the caller closes its connection.
+// A received request. Its handler can wait with wait_until() and is woken if the caller closes its
+// connection.
 struct http_call {
     explicit http_call(boost::asio::io_context& context) : m_timer(context) {}
 
@@ -76,8 +77,8 @@
     bool m_watch_for_close = false;          // detects that a caller has closed its connection
 };
 
-// Accepts connections and answers their requests one after the other. Must exist until the run of
-// its io_context has ended. Not safe to use from other threads.
+// Accepts connections and answers the requests of each connection in order. Must outlive the run of
+// its io_context. Not safe to use from other threads.
 class http_server {
 public:
     // Binds the address and starts to accept connections. Returns null and an error of kind
--- a/standins/kv_store_main.cpp
+++ b/standins/kv_store_main.cpp
@@ -259,8 +259,8 @@
     bool m_keys_only = false;
 };
 
-// Returns the keys that the query selects, without the revisions in dropped. A list excludes
-// deleted keys.
+// Returns the keys that the query selects, without those whose revision is in dropped. Includes
+// deleted keys only if the query asks for them, as a watch does.
 json::array select_keys(const store_state& store, const key_query& query,
                         const std::set<std::uint64_t>& dropped) {
     const std::string& prefix = query.m_prefix;
@@ -294,7 +294,7 @@
 }
 
 // Decides at random which changes are withheld from a watch and adds their revisions to dropped.
-// Each revision is decided once, which considered records.
+// considered holds the revisions that were already decided, so that each is decided only once.
 void choose_dropped_events(store_state& store, const std::string& prefix,
                            std::uint64_t after_revision, std::set<std::uint64_t>& considered,
                            std::set<std::uint64_t>& dropped) {
--- a/standins/load_generator_main.cpp
+++ b/standins/load_generator_main.cpp
@@ -25,13 +25,13 @@
 namespace json = boost::json;
 using std::chrono::steady_clock;
 
-// In open loop. Arrivals above it are counted as not sent.
+// Limit in open loop. Arrivals above it are counted as not sent.
 constexpr std::int64_t max_in_flight = 20'000;
 constexpr milliseconds default_answer_timeout{30'000}; // for requests without a deadline
 // Extra time for the answer that reports a passed deadline.
 constexpr milliseconds deadline_grace{1'000};
 constexpr int max_resends = 3;
-// Per kind of name, such as versions, reasons and statuses.
+// Limit for each kind of name, such as versions, reasons and statuses.
 constexpr std::size_t max_counted_names = 256;
 
 // Histogram of latencies in microseconds. It has 64 buckets per power of two, so a percentile is at
@@ -72,8 +72,8 @@
         return ((bucket - shift * exact_buckets + 1) << shift) - 1;
     }
 
-    // Returns an upper bound of the given quantile, with the fraction from 0 to 1, or 0 without
-    // values.
+    // Returns an upper bound of the quantile that is given as a fraction from 0 to 1, or 0 if there
+    // are no values.
     std::uint64_t quantile(double fraction) const {
         const auto target_count =
             static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(m_total)));
@@ -290,7 +290,9 @@
     }
 }
 
-// Sets the status, outcome and reason of the record from the result of one attempt.
+// Sets the status, outcome and reason of the record from the result of one attempt. Besides the
+// outcomes of nodes there are "lost" (no answer, or not a complete one in time), "cut" (incomplete
+// answer) and "crossed" (answer that doesn't match the request).
 void classify_attempt(const generator_state& generator, request_record& record,
                       exchange_result result, const client_answer& answer) {
     record.m_status = result == exchange_result::answered ? answer.m_status : 0;
--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -464,7 +464,8 @@
 
 namespace {
 
-// Returns one log line of an instance. The first four characters of its name name its data centre.
+// Returns one log line of an instance. The first four characters of the instance's name are its
+// data centre.
 std::string make_log_line(std::int64_t time, std::string_view instance, std::string_view event,
                           std::string_view fields) {
     return fmt::format(R"({{"time":{},"level":"info","event":"{}","instance":"{}",)"
--- a/tests/fuzz/driver.cpp
+++ b/tests/fuzz/driver.cpp
@@ -16,7 +16,7 @@
 // on many inputs rather than on large ones.
 constexpr std::size_t max_mutated_bytes = 16U << 10U;
 constexpr std::uint64_t max_mutations_per_input = 8;
-constexpr std::uint64_t max_block_bytes = 80;
+constexpr std::uint64_t max_block_bytes = 80; // erased, copied or replaced by one mutation
 
 // Boundary values of encoded numbers: varints, signs and text.
 constexpr std::array<unsigned char, 10> edge_bytes{0x00, 0x01, 0x0a, 0x22, 0x2d,
@@ -104,7 +104,7 @@
         std::string input = corpus[random.below(corpus.size())];
         const std::string& splice_source = corpus[random.below(corpus.size())];
         const std::size_t limit = std::max(input.size(), max_mutated_bytes);
-        // Favours few mutations, because decoders reject binary messages early after many.
+        // Favours few mutations, because decoders reject heavily mutated binary messages early.
         for (std::uint64_t remaining = 1 + random.below(1 + random.below(max_mutations_per_input));
              remaining > 0; --remaining) {
             mutate(input, splice_source, target.m_dictionary, random);
--- a/tests/fuzz/fuzz_main.cpp
+++ b/tests/fuzz/fuzz_main.cpp
@@ -1,7 +1,8 @@
 // Fuzzes the decoders with seeded mutations of their seed corpora.
 // usage: fuzz CORPUS_FOLDER MUTATIONS SEED [TARGET...]
-// Writes an input that causes a fault to found-TARGET in the working folder. With FUZZ_KEEP set, it
-// writes every input there before its check, so that an input that crashes the process is kept too.
+// If a target reports a fault, writes the input to the file found-TARGET in the working folder. If
+// FUZZ_KEEP is set, writes every input there before its check, so that an input that crashes the
+// process is kept too.
 // Exits with 1 if any target found a fault.
 #include <algorithm>
 #include <chrono>
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -308,14 +308,14 @@
         }
     }
     // carawayctl parses and prints any value of the store.
-    if (const auto view = parse_accepted(value)) {
-        describe(*view);
+    if (const auto stored = parse_accepted(value)) {
+        describe(*stored);
     }
-    if (const auto view = parse_move(value)) {
-        describe(*view);
+    if (const auto stored = parse_move(value)) {
+        describe(*stored);
     }
-    if (const auto view = parse_config_verdict(value)) {
-        describe(*view);
+    if (const auto stored = parse_config_verdict(value)) {
+        describe(*stored);
     }
     parse_refused(value);
     return {};
