--- a/bench/moves.cpp
+++ b/bench/moves.cpp
@@ -1,5 +1,5 @@
-// Compares the decision code for version moves with fixed steps and an error threshold, in
-// simulated moves. Prints a table; --json also writes the results to a file.
+// Compares the decision code for version moves with a policy of fixed steps and an error threshold
+// in simulated moves. Prints a table; --json also writes the results to a file.
 #include <cstdio>
 #include <fstream>
 #include <string>
--- a/src/ctl/audit.cpp
+++ b/src/ctl/audit.cpp
@@ -191,9 +191,10 @@
     std::map<std::string, tracked_move, std::less<>> m_moves;
     // Time of the first suspension, Unix milliseconds, by service and version.
     std::map<std::pair<std::string, std::string>, std::int64_t> m_suspension_times;
-    std::unordered_map<std::uint64_t, request_record> m_requests; // by identity_hash of the number
-    std::unordered_map<std::uint64_t, request_record> m_idempotency_keys; // by identity_hash of key
-    std::unordered_map<std::uint64_t, bool> m_route_idempotent; // by identity_hash of the route
+    // By identity_hash of the request number, of the idempotency key and of the route.
+    std::unordered_map<std::uint64_t, request_record> m_requests;
+    std::unordered_map<std::uint64_t, request_record> m_idempotency_keys;
+    std::unordered_map<std::uint64_t, bool> m_route_idempotent;
 };
 
 void add_breach(audit_state& state, line_position position, std::string_view kind,
--- a/src/ctl/replay.hpp
+++ b/src/ctl/replay.hpp
@@ -24,7 +24,7 @@
     std::uint64_t m_differing_actions = 0; // actions that differ from the recorded ones
     std::uint64_t m_breaches = 0;          // unmet outcomes, damaged lines and gaps
     std::uint64_t m_signature = 0;         // hash of all replayed actions
-    std::vector<std::string> m_faults;     // the first differences and breaches
+    std::vector<std::string> m_faults;     // messages about the first differences and breaches
     std::vector<std::string> m_outcomes;   // one line per expected outcome, with its figures
 };
 
--- a/standins/backend_server_main.cpp
+++ b/standins/backend_server_main.cpp
@@ -408,8 +408,8 @@
     return json_answer(body, body["healthy"].as_bool() ? 200 : 503);
 }
 
-// Answers one call: acquires a slot, runs the handler and applies the faults of the answer. A
-// health probe occupies a slot as well.
+// Answers one call: acquires a slot, runs the handler and injects the answer's faults. A health
+// probe occupies a slot as well.
 http_answer handle_call(backend_state& backend, http_call& call, asio::yield_context yield) {
     if (backend.m_draining && call.m_path != "/healthz") {
         return shed_answer(backend, 503);
--- a/standins/http_client.hpp
+++ b/standins/http_client.hpp
@@ -50,8 +50,8 @@
     ~http_client();
 
     // Sends the request over an idle or a new connection and reads the whole answer, at the latest
-    // until the deadline. If cancel is given, it holds a function that closes the connection while
-    // the exchange is running and is emptied when it ends.
+    // until the deadline. If cancel is given, it is set to a function that closes the connection,
+    // and emptied when the exchange ends.
     exchange_result exchange(const client_request& request, client_answer& answer,
                              time_point deadline, boost::asio::yield_context yield,
                              std::function<void()>* cancel = nullptr);
--- a/standins/http_server.hpp
+++ b/standins/http_server.hpp
@@ -59,7 +59,7 @@
     std::string m_body;
     http_headers m_headers;
     bool m_reset_connection = false; // sends a TCP reset instead of the answer
-    std::optional<std::size_t> m_truncate_body_after = {}; // closes after so many body bytes
+    std::optional<std::size_t> m_truncate_body_after = {}; // closes after this many body bytes
     bool m_close_connection = false;                       // closes the connection after the answer
 };
 
