--- a/bench/move_simulation.hpp
+++ b/bench/move_simulation.hpp
@@ -20,7 +20,7 @@
 namespace caraway::bench {
 
 // Scenarios of a move: how the new version behaves, and what else goes wrong during the move.
-enum class move_kind : std::uint8_t {
+enum class move_scenario : std::uint8_t {
     good,
     fails_at_once,
     fails_later,
@@ -36,24 +36,24 @@
     fails_store_and_holder_down,
 };
 
-inline constexpr std::array move_kinds{
-    move_kind::good,
-    move_kind::fails_at_once,
-    move_kind::fails_later,
-    move_kind::slow,
-    move_kind::bad_under_load,
-    move_kind::bad_on_one_route,
-    move_kind::good_under_overload,
-    move_kind::good_store_down,
-    move_kind::good_cold_starts,
-    move_kind::good_holder_dies,
-    move_kind::good_server_crashes,
-    move_kind::fails_store_down,
-    move_kind::fails_store_and_holder_down,
+inline constexpr std::array move_scenarios{
+    move_scenario::good,
+    move_scenario::fails_at_once,
+    move_scenario::fails_later,
+    move_scenario::slow,
+    move_scenario::bad_under_load,
+    move_scenario::bad_on_one_route,
+    move_scenario::good_under_overload,
+    move_scenario::good_store_down,
+    move_scenario::good_cold_starts,
+    move_scenario::good_holder_dies,
+    move_scenario::good_server_crashes,
+    move_scenario::fails_store_down,
+    move_scenario::fails_store_and_holder_down,
 };
 
 // Returns the name of the scenario in tables and JSON.
-inline std::string_view move_kind_name(move_kind kind) {
+inline std::string_view scenario_name(move_scenario scenario) {
     constexpr std::array names{"good",
                                "fails at once",
                                "fails later",
@@ -67,14 +67,16 @@
                                "good, server crashes",
                                "fails, store down",
                                "fails, store+holder down"};
-    return names[static_cast<std::size_t>(kind)];
+    return names[static_cast<std::size_t>(scenario)];
 }
 
 // Returns whether the new version of this scenario has no defect, so that its move must succeed.
-inline bool is_good_kind(move_kind kind) {
-    return kind == move_kind::good || kind == move_kind::good_under_overload ||
-           kind == move_kind::good_store_down || kind == move_kind::good_cold_starts ||
-           kind == move_kind::good_holder_dies || kind == move_kind::good_server_crashes;
+inline bool is_good_scenario(move_scenario scenario) {
+    return scenario == move_scenario::good || scenario == move_scenario::good_under_overload ||
+           scenario == move_scenario::good_store_down ||
+           scenario == move_scenario::good_cold_starts ||
+           scenario == move_scenario::good_holder_dies ||
+           scenario == move_scenario::good_server_crashes;
 }
 
 // Policy under test: the decision code, or a baseline of fixed steps with an error threshold of 5%.
@@ -82,7 +84,8 @@
 
 struct simulation_options {
     double m_time_limit_s = 300; // from the start of the move to its deadline
-    double m_min_rate = 50; // calls per second of the service; each run draws a rate between both
+    // Bounds of the service's calls per second. Each run draws a rate between them.
+    double m_min_rate = 50;
     double m_max_rate = 500;
 };
 
@@ -92,11 +95,12 @@
     double m_ended_s = 0; // when the final state was written
     bool m_in_time = false;
     std::optional<double> m_defect_visible_s;      // when the defect harmed its third call
-    std::optional<double> m_traffic_stopped_s;     // from when the new version gets no calls
+    std::optional<double> m_traffic_stopped_s;     // time from which the new version gets no calls
     std::uint32_t m_max_weight_before_visible = 0; // permille
-    double m_share_before_visible = 0;  // share of all calls that the new version served until then
-    std::uint64_t m_harmed_calls = 0;   // calls that the defect failed or slowed down
-    std::uint64_t m_calls_after_3s = 0; // calls to the new version more than 3 s after visibility
+    double m_share_before_visible = 0; // share of all calls that the new version served until then
+    std::uint64_t m_harmed_calls = 0;  // calls that the defect failed or slowed down
+    // Calls to the new version more than 3 s after the defect became visible.
+    std::uint64_t m_calls_after_3s = 0;
     std::uint32_t m_final_writes = 0;
     bool m_suspended_locally = false; // a node suspended the version on its local evidence
     std::string m_reason;
@@ -106,9 +110,9 @@
 // shares of the traffic.
 class move_simulation {
 public:
-    move_simulation(move_kind kind, move_policy policy, std::uint64_t seed,
+    move_simulation(move_scenario scenario, move_policy policy, std::uint64_t seed,
                     const simulation_options& options)
-        : m_kind(kind), m_policy(policy), m_random(seed), m_options(options) {
+        : m_scenario(scenario), m_policy(policy), m_random(seed), m_options(options) {
         draw_parameters();
     }
 
@@ -174,7 +178,8 @@
         return count;
     }
 
-    // Draws the parameters of the run. The order of the draws is part of what a seed means.
+    // Draws the parameters of the run. The order of the draws must not change, because it
+    // determines the run that a seed produces.
     void draw_parameters() {
         const double time_limit_s = m_options.m_time_limit_s;
         m_result.m_rate = m_options.m_min_rate *
@@ -195,13 +200,13 @@
         for (auto& arm : m_cold_until_s) {
             arm.fill(0);
         }
-        if (m_kind == move_kind::good_cold_starts) {
+        if (m_scenario == move_scenario::good_cold_starts) {
             m_cold_until_s[1].fill(cold_start_s);
         }
-        if (m_kind == move_kind::fails_store_down ||
-            m_kind == move_kind::fails_store_and_holder_down) {
-            m_disturbance_begin_s =
-                uniform(0, 0.5) * time_limit_s; // starts before the move can be done
+        if (m_scenario == move_scenario::fails_store_down ||
+            m_scenario == move_scenario::fails_store_and_holder_down) {
+            // The outage starts before the move can be done.
+            m_disturbance_begin_s = uniform(0, 0.5) * time_limit_s;
             m_disturbance_end_s = m_disturbance_begin_s + time_limit_s / 3;
             m_defect_onset_s = m_disturbance_begin_s;
         }
@@ -209,24 +214,25 @@
 
     // Returns whether the store is unreachable at this time.
     bool store_down(double now) const {
-        return (m_kind == move_kind::good_store_down || m_kind == move_kind::fails_store_down ||
-                m_kind == move_kind::fails_store_and_holder_down) &&
+        return (m_scenario == move_scenario::good_store_down ||
+                m_scenario == move_scenario::fails_store_down ||
+                m_scenario == move_scenario::fails_store_and_holder_down) &&
                now >= m_disturbance_begin_s && now < m_disturbance_end_s;
     }
 
     // Returns whether the defect affects calls to the new version on this route at this time.
     bool is_defect_active(std::size_t route, double now) const {
-        switch (m_kind) {
-        case move_kind::fails_at_once:
-        case move_kind::slow:
+        switch (m_scenario) {
+        case move_scenario::fails_at_once:
+        case move_scenario::slow:
             return true;
-        case move_kind::fails_later:
-        case move_kind::fails_store_down:
-        case move_kind::fails_store_and_holder_down:
+        case move_scenario::fails_later:
+        case move_scenario::fails_store_down:
+        case move_scenario::fails_store_and_holder_down:
             return now >= m_defect_onset_s;
-        case move_kind::bad_under_load:
+        case move_scenario::bad_under_load:
             return m_record.m_weight_permille > m_defect_min_weight;
-        case move_kind::bad_on_one_route:
+        case move_scenario::bad_on_one_route:
             return route == m_defect_route;
         default:
             return false;
@@ -245,7 +251,7 @@
                 m_reports.push_back(report);
             }
         }
-        if (m_kind == move_kind::good_cold_starts && m_random.unit() < 0.02 * interval_s) {
+        if (m_scenario == move_scenario::good_cold_starts && m_random.unit() < 0.02 * interval_s) {
             // A server of either version becomes cold without warning.
             m_cold_until_s[m_random.below(2)][m_random.below(instances)] = begin + cold_start_s;
         }
@@ -259,7 +265,8 @@
                 serve_call(route, begin + interval_s * m_random.unit(), counts);
             }
         }
-        if (m_kind == move_kind::good_server_crashes && m_random.unit() < 0.01 * interval_s) {
+        if (m_scenario == move_scenario::good_server_crashes &&
+            m_random.unit() < 0.01 * interval_s) {
             // A server of either version crashes, which fails the calls in its slots (up to 12).
             evidence_report& report = m_reports[m_random.below(2 * instances)];
             for (auto& [route, counts] : report.m_routes) {
@@ -277,7 +284,7 @@
         const std::size_t instance = m_random.below(instances);
         double latency = m_latency_ms[route] * std::exp(0.5 * normal());
         double failure = m_failure_share[route];
-        if (m_kind == move_kind::good_under_overload && at >= m_disturbance_begin_s &&
+        if (m_scenario == move_scenario::good_under_overload && at >= m_disturbance_begin_s &&
             at < m_disturbance_end_s) {
             latency *= m_overload_factor;
             failure += m_overload_failures;
@@ -294,7 +301,7 @@
             }
             if (is_defect_active(route, at)) {
                 bool harmed = false;
-                if (m_kind == move_kind::slow) {
+                if (m_scenario == move_scenario::slow) {
                     latency *= m_slow_factor;
                     harmed = true;
                 } else if (m_random.unit() < m_defect_share) {
@@ -333,13 +340,14 @@
 
     bool has_ended() const { return m_record.m_state != move_state::running; }
 
-    // Runs the holder and every node's local test on one interval of reports. While the store is
-    // down, the holder continues to test but writes nothing. While the holder is down too, each
-    // node decides on its own calls alone.
+    // Runs the holder's decision and every node's local test on one interval of reports. While the
+    // store is down, the holder continues to test but writes nothing. While the holder is down too,
+    // each node decides on its own calls alone.
     void decide_sequential(double now) {
         const bool is_down = store_down(now);
         const bool no_holder =
-            (is_down && m_kind == move_kind::fails_store_and_holder_down) || now < m_next_holder_s;
+            (is_down && m_scenario == move_scenario::fails_store_and_holder_down) ||
+            now < m_next_holder_s;
         evidence_report old_sum;
         old_sum.m_version = "v1";
         for (std::size_t i = 0; i < instances && !no_holder; ++i) {
@@ -362,7 +370,7 @@
                 set_weight(0, now);
             }
         }
-        if (m_kind == move_kind::good_holder_dies && m_random.unit() < 0.01 * interval_s) {
+        if (m_scenario == move_scenario::good_holder_dies && m_random.unit() < 0.01 * interval_s) {
             // The next holder takes over after a lease period of 5 s and starts without evidence.
             m_next_holder_s = now + 5;
             m_evidence = {};
@@ -445,7 +453,7 @@
         }
     }
 
-    move_kind m_kind;
+    move_scenario m_scenario;
     move_policy m_policy;
     random_source m_random;
     simulation_options m_options;
@@ -477,13 +485,14 @@
     double m_disturbance_end_s = 0;
     double m_overload_factor = 1;
     double m_overload_failures = 0;
+    // By version (0: old, 1: new) and instance.
     std::array<std::array<double, instances>, 2> m_cold_until_s{};
 };
 
 // Runs one simulated move and returns its result.
-inline move_result simulate_move(move_kind kind, move_policy policy, std::uint64_t seed,
+inline move_result simulate_move(move_scenario scenario, move_policy policy, std::uint64_t seed,
                                  const simulation_options& options) {
-    return move_simulation(kind, policy, seed, options).run();
+    return move_simulation(scenario, policy, seed, options).run();
 }
 
 } // namespace caraway::bench
--- a/src/ctl/audit.cpp
+++ b/src/ctl/audit.cpp
@@ -169,8 +169,9 @@
     std::optional<std::int64_t> m_left_at; // Unix milliseconds; unset again by a restart
 };
 
-// State of a data centre in the highest configuration version that a line reported it for. Nodes
-// log a change at different times, so a late line of an older version is ignored.
+// Latest known state of a data centre. m_version is the highest configuration version for which a
+// line reported the state. Nodes log a change at different times, so a late line of an older
+// version is ignored.
 struct data_centre_record {
     std::int64_t m_version = -1;
     std::optional<std::int64_t> m_out_at; // time when it was taken out, Unix milliseconds
@@ -190,9 +191,10 @@
     std::map<std::string, tracked_move, std::less<>> m_moves;
     // Time of the first suspension, Unix milliseconds, by service and version.
     std::map<std::pair<std::string, std::string>, std::int64_t> m_suspension_times;
-    std::unordered_map<std::uint64_t, request_record> m_requests; // by identity_hash
-    std::unordered_map<std::uint64_t, request_record> m_keys;     // by identity_hash
-    std::unordered_map<std::uint64_t, bool> m_route_idempotent;   // by identity_hash of the route
+    // By identity_hash of the request number, of the idempotency key and of the route.
+    std::unordered_map<std::uint64_t, request_record> m_requests;
+    std::unordered_map<std::uint64_t, request_record> m_idempotency_keys;
+    std::unordered_map<std::uint64_t, bool> m_route_idempotent;
 };
 
 void add_breach(audit_state& state, line_position position, std::string_view kind,
@@ -239,7 +241,7 @@
     }
     const std::string key = identity_at(line.m_fields, "key");
     if (!key.empty()) {
-        request_record& record = state.m_keys[identity_hash(key, service)];
+        request_record& record = state.m_idempotency_keys[identity_hash(key, service)];
         count_start(record, line.m_position, route);
         record.m_idempotent = idempotent ? idempotent : record.m_idempotent;
     }
@@ -294,7 +296,7 @@
     const bool shed = !entry && text_at(line.m_fields, "reason") == "backend-shed";
     const std::string key = identity_at(line.m_fields, "key");
     if (shed && !key.empty()) {
-        ++state.m_keys[identity_hash(key, service)].m_shed_count;
+        ++state.m_idempotency_keys[identity_hash(key, service)].m_shed_count;
     }
     const std::string request = identity_at(line.m_fields, "request");
     if (request.empty()) {
@@ -419,8 +421,9 @@
     return route == state.m_route_idempotent.end() || !route->second;
 }
 
-// Reports non-idempotent requests or keys that ran more than once, and those that ran although the
-// only outcome was that they had not. what names the kind of record.
+// Reports non-idempotent requests or keys that ran more than once, and requests that ran although
+// every outcome that the entry side logged says that they did not. what names the kind of record in
+// messages.
 void check_start_counts(audit_state& state,
                         const std::unordered_map<std::uint64_t, request_record>& records,
                         std::string_view what) {
@@ -485,7 +488,7 @@
         advance(file);
     }
     check_start_counts(state, state.m_requests, "request");
-    check_start_counts(state, state.m_keys, "key");
+    check_start_counts(state, state.m_idempotency_keys, "key");
     for (const log_file& file : readers) {
         if (file.failed()) {
             state.m_report.m_unreadable_files.push_back(file.path());
