--- a/bench/move_simulation.hpp
+++ b/bench/move_simulation.hpp
@@ -373,7 +373,7 @@
         }
         add_evidence(m_evidence, m_reports, "v1", "v2");
         if (is_down) {
-            if (judge_evidence(m_evidence).m_verdict == evidence_verdict::bad) {
+            if (evaluate_evidence(m_evidence).m_verdict == evidence_verdict::bad) {
                 m_suspended = true;
                 set_weight(0, now);
             }
--- a/src/ctl/replay_player.cpp
+++ b/src/ctl/replay_player.cpp
@@ -196,7 +196,7 @@
     } else if (name == "evidence") {
         add_evidence(process.m_evidence, process.m_reports, input.text("from"), input.text("to"));
         process.m_reports.clear();
-        return action_text(judge_evidence(process.m_evidence));
+        return action_text(evaluate_evidence(process.m_evidence));
     } else if (name == "local_evidence") {
         process.m_local_evidence.m_instances = static_cast<std::uint32_t>(input.count("instances"));
         add_evidence(process.m_local_evidence, process.m_reports, input.text("from"),
--- a/src/decide/acceptance.cpp
+++ b/src/decide/acceptance.cpp
@@ -175,15 +175,16 @@
            version + versions_kept_before_full < full_text_of(committed).m_version;
 }
 
-text_source choose_text_source(const submitted_revisions& revisions, std::uint64_t last_evaluated,
-                               std::uint64_t highest_decided, std::uint64_t unusable_delta,
-                               duration wait_elapsed) {
-    if (revisions.m_text_revision == 0 || revisions.m_text_revision == last_evaluated ||
-        revisions.m_text_revision <= highest_decided) {
+text_source choose_text_source(const submitted_revisions& revisions,
+                               std::uint64_t last_evaluated_revision,
+                               std::uint64_t highest_decided_revision,
+                               std::uint64_t unusable_delta_revision, duration wait_elapsed) {
+    if (revisions.m_text_revision == 0 || revisions.m_text_revision == last_evaluated_revision ||
+        revisions.m_text_revision <= highest_decided_revision) {
         return text_source::nothing;
     }
     if (revisions.m_delta_revision > revisions.m_text_revision &&
-        revisions.m_delta_revision != unusable_delta) {
+        revisions.m_delta_revision != unusable_delta_revision) {
         return text_source::delta;
     }
     return wait_elapsed < submitted_delta_wait ? text_source::wait : text_source::full;
--- a/src/decide/acceptance.hpp
+++ b/src/decide/acceptance.hpp
@@ -82,12 +82,14 @@
 // much later.
 constexpr milliseconds submitted_delta_wait{250};
 
-// Chooses the source of a submitted text. last_evaluated is the revision evaluated last, and
-// highest_decided the highest revision that was accepted or refused. unusable_delta is the revision
-// of a delta that belongs to an older text. wait_elapsed is the time since the text was first seen.
-text_source choose_text_source(const submitted_revisions& revisions, std::uint64_t last_evaluated,
-                               std::uint64_t highest_decided, std::uint64_t unusable_delta,
-                               duration wait_elapsed);
+// Chooses the source of a submitted text. last_evaluated_revision is the revision evaluated last,
+// and highest_decided_revision the highest revision that was accepted or refused.
+// unusable_delta_revision is the revision of a delta that belongs to an older text. wait_elapsed is
+// the time since the text was first seen.
+text_source choose_text_source(const submitted_revisions& revisions,
+                               std::uint64_t last_evaluated_revision,
+                               std::uint64_t highest_decided_revision,
+                               std::uint64_t unusable_delta_revision, duration wait_elapsed);
 
 // What the accepter does with a submitted text.
 struct acceptance_decision {
--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -100,14 +100,14 @@
 }
 
 // Returns the mean latency of the route, or of all calls if the route is unknown.
-duration run_time(const admission_state& state, std::string_view route) {
+duration expected_latency(const admission_state& state, std::string_view route) {
     const route_latency* known = find_route_latency(state.m_route_latencies, route);
     return known == nullptr ? state.m_smoothed_latency : known->m_mean;
 }
 
 // Returns the time reserved for variation in the latency of the route, or of all calls if the route
 // is unknown.
-duration run_time_reserve(const admission_state& state, std::string_view route) {
+duration latency_reserve(const admission_state& state, std::string_view route) {
     const route_latency* known = find_route_latency(state.m_route_latencies, route);
     return known == nullptr ? state.m_smoothed_latency * latency_reserve_percent / 100
                             : known->m_deviation;
@@ -119,7 +119,7 @@
     const std::uint32_t limit = concurrency_limit(state);
     duration queued_work = state.m_smoothed_latency; // time until the first slot becomes free
     for (std::size_t i = 0; i < ahead; ++i) {
-        queued_work += run_time(state, state.m_queue[i].m_route);
+        queued_work += expected_latency(state, state.m_queue[i].m_route);
     }
     const double correction = state.m_wait_correction[static_cast<std::size_t>(call.m_urgency)];
     const auto wait = std::chrono::duration_cast<duration>(correction * queued_work / limit);
@@ -147,7 +147,7 @@
     wait_correction += (corrected - wait_correction) / smoothing_samples;
 }
 
-bool is_limit_fully_open(const admission_state& state) {
+bool allows_all_slots(const admission_state& state) {
     return concurrency_limit(state) >= state.m_limits.m_slots;
 }
 
@@ -225,12 +225,12 @@
 // concurrent calls, counting only calls that started after the last drop. Answers count only while
 // the limit is fully used: with less concurrency they don't show that the server can handle more.
 void raise_limit(admission_state& state, bool in_use, time_point now) {
-    if (is_limit_fully_open(state)) {
+    if (allows_all_slots(state)) {
         return;
     }
-    const bool held = now - state.m_first_answer < state.m_limits.m_cold_hold ||
-                      now < state.m_warming_until || state.m_best_latency == duration{};
-    state.m_warm = state.m_warm || (!held && is_fast(state, warm_factor));
+    const bool may_be_cold = now - state.m_first_answer < state.m_limits.m_cold_hold ||
+                             now < state.m_warming_until || state.m_best_latency == duration{};
+    state.m_warm = state.m_warm || (!may_be_cold && is_fast(state, warm_factor));
     if (!is_fast(state, fast_factor)) {
         state.m_fast_answers = 0;
         return;
@@ -241,7 +241,7 @@
     }
     const double step = std::max(1.0, state.m_limits.m_slots / static_cast<double>(rise_steps));
     double next = state.m_cold_limit + step;
-    if (held || !is_fast(state, warm_factor)) {
+    if (may_be_cold || !is_fast(state, warm_factor)) {
         next = std::min(next, std::max<double>(state.m_cold_limit, cold_start_ceiling(state)));
     }
     state.m_fast_answers = 0;
@@ -250,7 +250,7 @@
 
 // Returns the minimum remaining time for which a queued call of the route is still worth running.
 duration min_useful_time(const admission_state& state, std::string_view route) {
-    return run_time(state, route) * min_useful_time_percent / 100;
+    return expected_latency(state, route) * min_useful_time_percent / 100;
 }
 
 // Moves calls that can no longer be answered in time behind those that can.
@@ -329,7 +329,7 @@
         result.m_verdict = admission_verdict::run;
         return result;
     }
-    const bool cold = !is_limit_fully_open(state) || reports_cold(state, now);
+    const bool cold = !allows_all_slots(state) || reports_cold(state, now);
     const error_kind refusal_reason = cold ? error_kind::cold_start_limit : error_kind::queue_full;
     const bool late = useful_until != time_point{} && useful_until <= now;
     queued_call waiting{
@@ -342,8 +342,8 @@
         !state.m_queue.empty() && state.m_queue.back().m_urgency > waiting.m_urgency;
     if (!less_urgent_queued) {
         const time_point latest = useful_until > now ? std::min(useful_until, deadline) : deadline;
-        const time_point answered =
-            now + waiting.m_expected_wait + run_time(state, route) + run_time_reserve(state, route);
+        const time_point answered = now + waiting.m_expected_wait + expected_latency(state, route) +
+                                    latency_reserve(state, route);
         if (answered > latest) {
             result.m_reason = refusal_reason;
             result.m_retry_after = answered - latest;
@@ -378,7 +378,7 @@
         return release_waiting(state, now);
     }
     const bool failed = sample.m_failed || sample.m_shed;
-    const bool warm = is_limit_fully_open(state);
+    const bool warm = allows_all_slots(state);
     state.m_failure_share += ((failed ? 1.0 : 0.0) - state.m_failure_share) / smoothing_samples;
     state.m_recent_failures =
         ((state.m_recent_failures << 1U) | (failed ? 1U : 0U)) & failure_window;
@@ -429,7 +429,7 @@
     if (!state.m_limits.m_detect_cold_start) {
         return now < state.m_limits.m_cold_until;
     }
-    if (is_limit_fully_open(state) || state.m_warm) {
+    if (allows_all_slots(state) || state.m_warm) {
         return false;
     }
     return state.m_best_latency != duration{} || state.m_first_answer == time_point{} ||
--- a/src/decide/claim.cpp
+++ b/src/decide/claim.cpp
@@ -36,7 +36,7 @@
 
 // Returns the cutoff before which an instance must have first started to be known to every ready
 // node when the caller first sent the key.
-std::int64_t settled_name_cutoff(std::int64_t first_sent_ms) {
+std::int64_t convergence_cutoff(std::int64_t first_sent_ms) {
     constexpr auto allowance =
         (clock_skew_allowance + membership_convergence_allowance + suspicion_allowance).count();
     return std::max(first_sent_ms, allowance) - allowance;
@@ -75,8 +75,8 @@
 }
 
 // As above; returns nothing without a first-sent time.
-std::optional<std::int64_t> settled_cutoff(std::optional<std::int64_t> first_sent_ms) {
-    return first_sent_ms ? std::optional(settled_name_cutoff(*first_sent_ms)) : std::nullopt;
+std::optional<std::int64_t> optional_convergence_cutoff(std::optional<std::int64_t> first_sent_ms) {
+    return first_sent_ms ? std::optional(convergence_cutoff(*first_sent_ms)) : std::nullopt;
 }
 
 bool contains(const std::vector<std::string>& names, std::string_view name) {
@@ -125,21 +125,23 @@
                                                  std::span<const known_instance> instances,
                                                  std::optional<std::int64_t> first_sent_ms,
                                                  std::optional<std::int64_t> loss_ms) {
-    const auto settled_ms = settled_cutoff(first_sent_ms);
+    const auto convergence_ms = optional_convergence_cutoff(first_sent_ms);
     std::vector<registrar_snapshot> snapshots;
-    if (settled_ms) {
+    if (convergence_ms) {
         const std::int64_t joined_since_ms =
             std::max(*first_sent_ms, recent_join_window.count()) - recent_join_window.count();
-        snapshots = registrars_between(service, key, instances, joined_since_ms,
-                                       std::min(*settled_ms, loss_ms.value_or(*settled_ms)));
+        snapshots =
+            registrars_between(service, key, instances, joined_since_ms,
+                               std::min(*convergence_ms, loss_ms.value_or(*convergence_ms)));
         std::erase_if(snapshots,
                       [](const registrar_snapshot& snapshot) { return snapshot.m_names.empty(); });
     }
-    if (loss_ms && (!settled_ms || *loss_ms < *settled_ms)) {
-        const auto later = registrars_between(service, key, instances, *loss_ms, settled_ms);
+    if (loss_ms && (!convergence_ms || *loss_ms < *convergence_ms)) {
+        const auto later = registrars_between(service, key, instances, *loss_ms, convergence_ms);
         snapshots.insert(snapshots.end(), later.begin(), later.end());
-    } else if (!settled_ms) {
-        snapshots.push_back({settled_ms, registrars_before(service, key, instances, settled_ms)});
+    } else if (!convergence_ms) {
+        snapshots.push_back(
+            {convergence_ms, registrars_before(service, key, instances, convergence_ms)});
     }
     return snapshots;
 }
@@ -186,7 +188,7 @@
 std::vector<std::string> select_registrars(std::string_view service, std::string_view key,
                                            std::span<const known_instance> instances,
                                            std::optional<std::int64_t> first_sent_ms) {
-    return registrars_before(service, key, instances, settled_cutoff(first_sent_ms));
+    return registrars_before(service, key, instances, optional_convergence_cutoff(first_sent_ms));
 }
 
 std::optional<std::int64_t> loss_cutoff_ms(std::optional<std::int64_t> first_sent_ms,
@@ -227,8 +229,8 @@
                                         std::string_view self,
                                         std::span<const known_instance> instances,
                                         std::span<const departure> departures) {
-    return promotion_time_at_cutoff(service, key, settled_cutoff(first_sent_ms), self, instances,
-                                    departures);
+    return promotion_time_at_cutoff(service, key, optional_convergence_cutoff(first_sent_ms), self,
+                                    instances, departures);
 }
 
 std::optional<wall_time> promotion_time(const claim_request& request, std::string_view self,
--- a/src/decide/membership.hpp
+++ b/src/decide/membership.hpp
@@ -213,7 +213,7 @@
     std::map<std::string, member_group, std::less<>> m_groups; // by data centre
     // Derived state of membership_groups, recomputed after a change of a member of this node's data
     // centre.
-    bool m_group_outdated = true;
+    bool m_grouping_outdated = true;
     bool m_grouped_by_data_centre = false;
     bool m_is_gateway = false;
     std::vector<probe> m_probes;
--- a/src/decide/membership_groups.cpp
+++ b/src/decide/membership_groups.cpp
@@ -21,11 +21,11 @@
 
 // Recomputes whether this data centre is a group and this node one of its gateways. Suspect members
 // do not count as gateways, so that a dead gateway is replaced before its death is confirmed.
-void refresh_group(membership_table& table) {
-    if (!table.m_group_outdated) {
+void refresh_grouping(membership_table& table) {
+    if (!table.m_grouping_outdated) {
         return;
     }
-    table.m_group_outdated = false;
+    table.m_grouping_outdated = false;
     const std::uint64_t own_weight = rendezvous_weight(gateway_role, table.m_self.m_instance);
     std::size_t alive = 1;
     std::size_t higher_ranked = 0;
@@ -131,12 +131,12 @@
 }
 
 bool is_grouped_by_data_centre(membership_table& table) {
-    refresh_group(table);
+    refresh_grouping(table);
     return table.m_grouped_by_data_centre;
 }
 
 bool is_gateway(membership_table& table) {
-    refresh_group(table);
+    refresh_grouping(table);
     return table.m_is_gateway;
 }
 
--- a/src/decide/membership_probes.cpp
+++ b/src/decide/membership_probes.cpp
@@ -25,17 +25,17 @@
 // Members that have been dead or left for less than this are pinged in every interval, a limited
 // number at a time. A member that restarts at its address then finds the others even if the store
 // cannot provide their addresses.
-constexpr milliseconds restart_time{60'000};
+constexpr milliseconds restart_window{60'000};
 constexpr std::size_t restart_pings_per_interval = 4;
 constexpr std::size_t max_restart_scan = 512;
 // Entries inspected per search for a dead member.
 constexpr std::size_t max_dead_scan = 64;
 // If at least one in this many members is dead, and at least min_mass_loss members are, the table
 // may be one side of a partition.
-constexpr std::size_t mass_loss_share = 10;
+constexpr std::size_t mass_loss_divisor = 10;
 constexpr std::size_t min_mass_loss = 2;
 // Interval between retention checks of a dead member that is kept longer because many are dead.
-constexpr milliseconds retention_check{60'000};
+constexpr milliseconds retention_check_interval{60'000};
 // Probes per interval of a data centre in which a member did not answer, and the time for which
 // this rate applies after the last failed probe.
 constexpr int unresponsive_probes_per_interval = 4;
@@ -141,7 +141,7 @@
 // Returns how long a dead or left member is kept. Dead ones are kept longer while many are dead.
 duration retention_time(const membership_table& table, const tracked_member& tracked) {
     const bool mass_loss = table.m_dead >= min_mass_loss &&
-                           table.m_dead * mass_loss_share >= table.m_live + 1 + table.m_dead;
+                           table.m_dead * mass_loss_divisor >= table.m_live + 1 + table.m_dead;
     return mass_loss && tracked.m_counted_dead ? table.m_options.m_mass_loss_retention
                                                : table.m_options.m_dead_retention;
 }
@@ -213,7 +213,7 @@
         if (gone_for >= erased_after) {
             table.m_members.erase(name);
         } else if (gone_for < tombstone_after) {
-            table.m_timers.emplace(now + retention_check, name);
+            table.m_timers.emplace(now + retention_check_interval, name);
         } else if (!tracked->m_is_tombstone) {
             tracked->m_is_tombstone = true;
             table.m_dead -= std::exchange(tracked->m_counted_dead, false) ? 1U : 0U;
@@ -293,7 +293,7 @@
         position = position == members.end() ? members.begin() : position;
         const tracked_member& candidate = position->second;
         const bool recently_gone =
-            candidate.m_gone_since && now - *candidate.m_gone_since < restart_time;
+            candidate.m_gone_since && now - *candidate.m_gone_since < restart_window;
         if (recently_gone && (gateway || !is_remote(table, candidate.m_member)) &&
             has_addresses(candidate.m_member) && !candidate.m_is_tombstone) {
             table.m_restart_cursor = position->first;
--- a/src/decide/membership_table.cpp
+++ b/src/decide/membership_table.cpp
@@ -170,7 +170,7 @@
     table.m_dead += (tracked.m_counted_dead ? 1U : 0U) - (was_dead ? 1U : 0U);
     toggle_bucket_hash(table, tracked);
     if (tracked.m_member.m_data_centre == table.m_self.m_data_centre) {
-        table.m_group_outdated = true;
+        table.m_grouping_outdated = true;
     }
     const bool live = is_live(state);
     if (live && !was_live) {
--- a/src/decide/move_evidence.cpp
+++ b/src/decide/move_evidence.cpp
@@ -51,11 +51,11 @@
 // the listed amounts.
 constexpr double assumed_good_failure_share = 0.05;
 constexpr double assumed_good_failure_share_alone = 0.25;
-constexpr std::array<double, failure_alternatives> assumed_bad_excesses{0.1, 0.25, 0.7};
-constexpr double largest_bad_share = 0.99;
+constexpr std::array<double, failure_alternatives> failure_share_excesses{0.1, 0.25, 0.7};
+constexpr double largest_bad_failure_share = 0.99;
 // A new version cannot be shown to be worse on a route where the old one failed more often than
 // this.
-constexpr double largest_comparable_share = 0.85;
+constexpr double largest_comparable_failure_share = 0.85;
 
 // Latency alternatives: calls above the bucket that m_slow_share of the old version's recent calls
 // exceed, with an odds ratio. A share of a quarter detects a shift of the whole distribution, a
@@ -71,9 +71,9 @@
 // old version.
 constexpr std::size_t server_speed_buckets = 1;
 // Calls of the old version required in the window before a threshold is derived from it.
-constexpr double window_min_calls = 20;
+constexpr double threshold_min_calls = 20;
 // Decay per interval. Windows span about 40 intervals, so that thresholds follow the time of day.
-constexpr double window_decay = 0.975;
+constexpr double count_decay = 0.975;
 
 // Ratios decay by 1% per interval, so that one crashed server early in a long move doesn't add up
 // with another much later. A defect that fails one call per minute still accumulates.
@@ -251,25 +251,25 @@
 
 // Returns the lowest bucket that at most slow_share of the window's calls exceed, or nothing while
 // the window has too few calls.
-std::optional<std::size_t> slow_threshold(const std::array<double, latency_buckets>& window,
+std::optional<std::size_t> slow_threshold(const std::array<double, latency_buckets>& histogram,
                                           double slow_share) {
     double total = 0;
-    for (const double count : window) {
+    for (const double count : histogram) {
         total += count;
     }
-    if (total < window_min_calls) {
+    if (total < threshold_min_calls) {
         return std::nullopt;
     }
     double above = 0;
     std::size_t threshold = latency_buckets - 1;
-    while (threshold > 0 && above + window[threshold] <= slow_share * total) {
-        above += window[threshold];
+    while (threshold > 0 && above + histogram[threshold] <= slow_share * total) {
+        above += histogram[threshold];
         --threshold;
     }
     return threshold;
 }
 
-void add_arm(arm_counts& sum, const arm_counts& value) {
+void add_counts(arm_counts& sum, const arm_counts& value) {
     sum.m_calls += value.m_calls;
     sum.m_failures += value.m_failures;
     sum.m_cold_calls += value.m_cold_calls;
@@ -320,12 +320,12 @@
         good = std::max(good, static_cast<double>(test.m_total_old_failures) /
                                   static_cast<double>(test.m_total_old_calls));
     }
-    if (good > largest_comparable_share) {
+    if (good > largest_comparable_failure_share) {
         return result;
     }
     result.m_informative = true;
     for (std::size_t i = 0; i < failure_alternatives; ++i) {
-        const double bad = std::min(good + assumed_bad_excesses[i], largest_bad_share);
+        const double bad = std::min(good + failure_share_excesses[i], largest_bad_failure_share);
         result.m_log[i] =
             failures * std::log(bad / good) + successes * std::log((1 - bad) / (1 - good));
     }
@@ -342,7 +342,8 @@
         return result;
     }
     for (std::size_t i = 0; i < latency_alternatives; ++i) {
-        const auto threshold = slow_threshold(test.m_window_old, latency_tests[i].m_slow_share);
+        const auto threshold =
+            slow_threshold(test.m_decayed_old_latency, latency_tests[i].m_slow_share);
         if (!threshold) {
             return result;
         }
@@ -364,8 +365,9 @@
     // -pass_score).
     constexpr double lowest_rate = 0.01;
     double good = assumed_good_failure_share;
-    if (test.m_window_old_calls >= 1) {
-        good = std::clamp(test.m_window_old_failures / test.m_window_old_calls, lowest_rate, 0.85);
+    if (test.m_decayed_old_calls >= 1) {
+        good =
+            std::clamp(test.m_decayed_old_failures / test.m_decayed_old_calls, lowest_rate, 0.85);
     }
     const double bad = good + bad_failure_excess;
     const double failures = test.m_pending_new.m_failures;
@@ -380,7 +382,7 @@
                   interval_ratios<failure_alternatives>& all_failures,
                   interval_ratios<latency_alternatives>& all_latency) {
     const arm_counts& new_counts = test.m_pending_new;
-    const bool old_absent = test.m_pending_old.m_calls == 0 && test.m_window_old_calls < 1;
+    const bool old_absent = test.m_pending_old.m_calls == 0 && test.m_decayed_old_calls < 1;
     const bool enough = test.m_pending_old.m_calls >= pending_min_old_calls || old_absent;
     if ((new_counts.m_calls == 0 || !enough) && test.m_pending_intervals < max_pending_intervals) {
         return;
@@ -396,11 +398,11 @@
         score_failures(test, cap);
     }
     for (std::size_t i = 0; i < latency_buckets; ++i) {
-        test.m_window_old[i] += test.m_pending_old.m_latency[i];
-        test.m_window_new[i] += new_counts.m_latency[i];
+        test.m_decayed_old_latency[i] += test.m_pending_old.m_latency[i];
+        test.m_decayed_new_latency[i] += new_counts.m_latency[i];
     }
-    test.m_window_old_calls += test.m_pending_old.m_calls;
-    test.m_window_old_failures += test.m_pending_old.m_failures;
+    test.m_decayed_old_calls += test.m_pending_old.m_calls;
+    test.m_decayed_old_failures += test.m_pending_old.m_failures;
     test.m_pending_old = {};
     test.m_pending_new = {};
     test.m_pending_intervals = 0;
@@ -411,23 +413,23 @@
     decay_ratios(test.m_failures);
     decay_ratios(test.m_latency);
     for (std::size_t i = 0; i < latency_buckets; ++i) {
-        test.m_window_old[i] *= window_decay;
-        test.m_window_new[i] *= window_decay;
+        test.m_decayed_old_latency[i] *= count_decay;
+        test.m_decayed_new_latency[i] *= count_decay;
     }
-    test.m_window_old_calls *= window_decay;
-    test.m_window_old_failures *= window_decay;
+    test.m_decayed_old_calls *= count_decay;
+    test.m_decayed_old_failures *= count_decay;
 }
 
 // Returns the upper bound in milliseconds of the bucket that contains the median of a window.
-double median_ms(const std::array<double, latency_buckets>& window) {
+double median_ms(const std::array<double, latency_buckets>& histogram) {
     double total = 0;
-    for (const double count : window) {
+    for (const double count : histogram) {
         total += count;
     }
     double cumulative = 0;
     double edge = 0.1;
     for (std::size_t i = 0; i < latency_buckets; ++i) {
-        cumulative += window[i];
+        cumulative += histogram[i];
         if (2 * cumulative >= total) {
             break;
         }
@@ -463,7 +465,8 @@
             return result(route,
                           fmt::format("slower, recent median at most {:.1f} ms in the new "
                                       "version, {:.1f} ms in the old one",
-                                      median_ms(test.m_window_new), median_ms(test.m_window_old)),
+                                      median_ms(test.m_decayed_new_latency),
+                                      median_ms(test.m_decayed_old_latency)),
                           latency);
         }
     }
@@ -536,7 +539,7 @@
             }
             evidence.m_old_version_seen = evidence.m_old_version_seen || !is_new;
             route_test& test = evidence.m_routes[route];
-            add_arm(is_new ? test.m_pending_new : test.m_pending_old, counts);
+            add_counts(is_new ? test.m_pending_new : test.m_pending_old, counts);
             (is_new ? test.m_new_calls : test.m_old_calls) += counts.m_calls;
             (is_new ? test.m_new_failures : test.m_old_failures) += counts.m_failures;
             test.m_total_old_calls += is_new ? 0 : counts.m_calls;
@@ -567,7 +570,7 @@
     update_ratios(evidence.m_latency, all_latency, cap);
 }
 
-evidence_result judge_evidence(const move_evidence& evidence) {
+evidence_result evaluate_evidence(const move_evidence& evidence) {
     if (auto bad = find_bad(evidence, 0)) {
         return *bad;
     }
@@ -654,8 +657,8 @@
         test.m_old_calls = 0;
         test.m_new_failures = 0;
         test.m_old_failures = 0;
-        test.m_window_old_calls = 0;
-        test.m_window_old_failures = 0;
+        test.m_decayed_old_calls = 0;
+        test.m_decayed_old_failures = 0;
     }
 }
 
--- a/src/decide/move_evidence.hpp
+++ b/src/decide/move_evidence.hpp
@@ -78,10 +78,10 @@
     arm_counts m_pending_new;
     std::uint32_t m_pending_intervals = 0;
     // Exponentially decayed counts, for thresholds and reasons.
-    std::array<double, latency_buckets> m_window_old{};
-    std::array<double, latency_buckets> m_window_new{};
-    double m_window_old_calls = 0;
-    double m_window_old_failures = 0;
+    std::array<double, latency_buckets> m_decayed_old_latency{};
+    std::array<double, latency_buckets> m_decayed_new_latency{};
+    double m_decayed_old_calls = 0;
+    double m_decayed_old_failures = 0;
     // Counts of the old version since the move began. Failures that always occurred on a route are
     // no defect of the new version when, at full weight, there is no traffic of the old version to
     // compare with.
@@ -114,7 +114,7 @@
 
 // Returns the verdict on the evidence of all routes so far: bad if a test reaches its threshold,
 // good if every route with traffic has passed, otherwise undecided.
-evidence_result judge_evidence(const move_evidence& evidence);
+evidence_result evaluate_evidence(const move_evidence& evidence);
 
 // Returns whether a stage, counted from 0, may end. late means that the schedule leaves no time to
 // wait until every route has passed the test.
--- a/src/decide/pushback.cpp
+++ b/src/decide/pushback.cpp
@@ -66,14 +66,14 @@
 }
 
 void record_refused_caller(caller_history& history, duration left, time_point now) {
-    history.m_returning_until = std::max(history.m_returning_until, now + left);
+    history.m_retrying_until = std::max(history.m_retrying_until, now + left);
 }
 
 duration elapsed_before_attempt(const caller_history& history, milliseconds stated,
                                 time_point now) {
     const milliseconds shortfall = history.m_max_deadline - stated;
-    return now < history.m_returning_until && shortfall > deadline_tolerance ? shortfall
-                                                                             : duration{};
+    return now < history.m_retrying_until && shortfall > deadline_tolerance ? shortfall
+                                                                            : duration{};
 }
 
 duration suggest_retry_delay(error_kind reason, duration useful_left, duration left,
--- a/src/decide/pushback.hpp
+++ b/src/decide/pushback.hpp
@@ -35,7 +35,7 @@
 // Deadlines and refusals of the callers of one route, as seen by this node.
 struct caller_history {
     milliseconds m_max_deadline{0}; // longest deadline stated by a call of the route
-    time_point m_returning_until;   // callers refused earlier may retry until then
+    time_point m_retrying_until;    // callers refused earlier may retry until then
 };
 
 // Records the deadline stated by a call.
--- a/src/decide/version_move.cpp
+++ b/src/decide/version_move.cpp
@@ -114,7 +114,7 @@
     if (suspended) {
         return make_final_step(record, move_state::taken_back, "the version is suspended");
     }
-    const evidence_result result = judge_evidence(evidence);
+    const evidence_result result = evaluate_evidence(evidence);
     if (result.m_verdict == evidence_verdict::bad) {
         return make_final_step(record, move_state::taken_back, result.m_reason);
     }
--- a/src/node/recorded.cpp
+++ b/src/node/recorded.cpp
@@ -281,7 +281,7 @@
                                 const service_spec& service) {
     move_evidence& evidence = state.m_move.m_evidence;
     add_evidence(evidence, reports, service.m_version, service.m_move->m_to);
-    evidence_result result = judge_evidence(evidence);
+    evidence_result result = evaluate_evidence(evidence);
     if (is_recording()) {
         const time_point now = state.now();
         record_reports(now, reports);
--- a/src/node/recorded.hpp
+++ b/src/node/recorded.hpp
@@ -66,7 +66,7 @@
 void prune_and_record_facts(control& state, const std::vector<std::string>& keep_move_ids);
 
 // Adds the evidence of all instances for one interval and evaluates it (add_evidence, then
-// judge_evidence).
+// evaluate_evidence).
 evidence_result decide_evidence(control& state, std::span<const evidence_report> reports,
                                 const service_spec& service);
 // Adds the evidence of this node's own backend server and returns whether the new version is bad
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -571,13 +571,13 @@
     std::uint64_t refusals = 0;
     std::uint64_t held = 0;
     for (std::uint64_t seed = first; seed < first + 1'000; ++seed) {
-        claim_simulation world(seed);
-        world.run();
-        BOOST_TEST(world.m_ran_twice == 0U, "seed " << seed);
-        BOOST_TEST(world.m_false_refusals == 0U, "seed " << seed);
-        runs += world.m_runs;
-        refusals += world.m_refusals;
-        held += world.m_repeats_held;
+        claim_simulation simulation(seed);
+        simulation.run();
+        BOOST_TEST(simulation.m_ran_twice == 0U, "seed " << seed);
+        BOOST_TEST(simulation.m_false_refusals == 0U, "seed " << seed);
+        runs += simulation.m_runs;
+        refusals += simulation.m_refusals;
+        held += simulation.m_repeats_held;
     }
     // The schedules must reach every branch for the checks above to mean something.
     BOOST_TEST(runs > 7'000U);
@@ -596,17 +596,17 @@
             std::array<std::uint64_t, 5> sums{};
             const std::uint64_t first = seed_or_default();
             for (std::uint64_t seed = first; seed < first + 250; ++seed) {
-                claim_simulation world(seed, rule, profile);
-                world.run();
+                claim_simulation simulation(seed, rule, profile);
+                simulation.run();
                 if (rule == registrar_selection::losses) {
-                    BOOST_TEST(world.m_ran_twice == 0U, "seed " << seed);
-                    BOOST_TEST(world.m_false_refusals == 0U, "seed " << seed);
+                    BOOST_TEST(simulation.m_ran_twice == 0U, "seed " << seed);
+                    BOOST_TEST(simulation.m_false_refusals == 0U, "seed " << seed);
                 }
-                sums[0] += world.m_ran_twice;
-                sums[1] += world.m_false_refusals;
-                sums[2] += world.m_runs;
-                sums[3] += world.m_unknown;
-                sums[4] += world.m_decisions;
+                sums[0] += simulation.m_ran_twice;
+                sums[1] += simulation.m_false_refusals;
+                sums[2] += simulation.m_runs;
+                sums[3] += simulation.m_unknown;
+                sums[4] += simulation.m_decisions;
             }
             BOOST_TEST_MESSAGE((rule == registrar_selection::losses ? "losses: " : "without: ")
                                << sums[0] << " ran twice, " << sums[1] << " false refusals, "
@@ -623,9 +623,9 @@
     std::uint64_t ran_twice = 0;
     const std::uint64_t first = seed_or_default();
     for (std::uint64_t seed = first; seed < first + 50; ++seed) {
-        claim_simulation world(seed, registrar_selection::own_first_seen);
-        world.run();
-        ran_twice += world.m_ran_twice;
+        claim_simulation simulation(seed, registrar_selection::own_first_seen);
+        simulation.run();
+        ran_twice += simulation.m_ran_twice;
     }
     BOOST_TEST_MESSAGE("own first-seen times: " << ran_twice << " keys ran twice");
     BOOST_TEST(ran_twice > 0U);
@@ -639,11 +639,11 @@
         std::uint64_t ran_twice = 0;
         const std::uint64_t first = seed_or_default();
         for (std::uint64_t seed = first; seed < first + 60; ++seed) {
-            claim_simulation world(seed, rule, fault_profile::joins_only);
-            world.run();
-            unknown += world.m_unknown;
-            decisions += world.m_decisions;
-            ran_twice += world.m_ran_twice;
+            claim_simulation simulation(seed, rule, fault_profile::joins_only);
+            simulation.run();
+            unknown += simulation.m_unknown;
+            decisions += simulation.m_decisions;
+            ran_twice += simulation.m_ran_twice;
         }
         BOOST_TEST_MESSAGE(unknown << " of " << decisions << " unknown, " << ran_twice
                                    << " ran twice");
@@ -664,11 +664,11 @@
         for (const bool losses : {false, true}) {
             const registrar_selection rule =
                 losses ? registrar_selection::losses : registrar_selection::shared_first_start;
-            claim_simulation world(seed, rule, fault_profile::replacements);
-            world.run();
-            BOOST_TEST((!losses || world.m_ran_twice == 0U), "seed " << seed);
-            unknown[losses ? 1 : 0] += world.m_unknown;
-            decisions += losses ? world.m_decisions : 0;
+            claim_simulation simulation(seed, rule, fault_profile::replacements);
+            simulation.run();
+            BOOST_TEST((!losses || simulation.m_ran_twice == 0U), "seed " << seed);
+            unknown[losses ? 1 : 0] += simulation.m_unknown;
+            decisions += losses ? simulation.m_decisions : 0;
         }
     }
     BOOST_TEST_MESSAGE("replacements: " << unknown[0] << " unknown without, " << unknown[1]
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -130,11 +130,11 @@
     const std::uint64_t request = sender.m_request;
     const sent_request sent{kind, sender.m_keeper.m_lease, lease_claim_value(sender.m_keeper)};
     random_source& random = simulation.m_random;
-    lease_reply timeout;
-    timeout.m_kind = error_kind::store_outcome_unknown;
+    lease_reply timeout_reply;
+    timeout_reply.m_kind = error_kind::store_outcome_unknown;
     simulation.m_events.emplace(simulation.m_now + client_timeout,
-                                [index, request, timeout](lease_simulation& later) {
-                                    deliver_reply(later, index, request, timeout);
+                                [index, request, timeout_reply](lease_simulation& later) {
+                                    deliver_reply(later, index, request, timeout_reply);
                                 });
     // A late request takes effect after the client's timeout.
     milliseconds request_delay(random.below(20));
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -193,14 +193,14 @@
 BOOST_AUTO_TEST_CASE(paused_process_suspects_nobody) {
     for (const std::uint64_t seed : schedule_seeds(40)) {
         node_schedule schedule = make_schedule(10, seed, milliseconds(2), 0.0);
-        std::size_t changes = 0;
+        std::size_t false_suspicions = 0;
         run_for(schedule, seconds(10));
         schedule.m_on_change = [&](std::size_t observer, const std::string& instance) {
             const tracked_member* found =
                 find_member(schedule.m_nodes[observer].m_members, instance);
             const bool suspected = found->m_member.m_state == member_state::suspect ||
                                    found->m_member.m_state == member_state::dead;
-            changes += suspected && instance != node_name(0) ? 1 : 0;
+            false_suspicions += suspected && instance != node_name(0) ? 1 : 0;
         };
         run_for(schedule, milliseconds(schedule.m_random.below(2'000)));
         // The pause begins while a probe is in progress, so that its ack arrives during the pause.
@@ -210,7 +210,7 @@
         schedule.m_nodes[0].m_paused_until =
             schedule.m_now + milliseconds(1'500 + schedule.m_random.below(40'000));
         run_for(schedule, seconds(60));
-        BOOST_TEST(changes == 0U, "CARAWAY_SEED=" << seed);
+        BOOST_TEST(false_suspicions == 0U, "CARAWAY_SEED=" << seed);
         const auto took =
             run_until(schedule, seconds(30), [&schedule] { return all_agree(schedule); });
         BOOST_TEST(took.has_value(), "CARAWAY_SEED=" << seed);
--- a/tests/retry_balance_test.cpp
+++ b/tests/retry_balance_test.cpp
@@ -125,19 +125,19 @@
     random_source random(seed_or_default());
     for (const std::uint32_t weight : {10U, 40U, 250U, 500U, 900U}) {
         version_share share;
-        std::array<int, 25> by_place{};
+        std::array<int, 25> by_position{};
         int chosen = 0;
         for (int call = 1; call <= 10'000; ++call) {
             if (choose_new_version(share, weight, random)) {
                 ++chosen;
-                ++by_place[static_cast<std::size_t>(call) % by_place.size()];
+                ++by_position[static_cast<std::size_t>(call) % by_position.size()];
             }
             BOOST_REQUIRE_LE(std::abs(chosen * 1000 - call * static_cast<int>(weight)), 2'000);
         }
         // At 10 permille each position receives on average 4 of 10,000 calls.
-        const int fewest = *std::min_element(by_place.begin(), by_place.end());
+        const int fewest = *std::min_element(by_position.begin(), by_position.end());
         BOOST_TEST((fewest > 0 || weight < 40));
-        BOOST_TEST(*std::max_element(by_place.begin(), by_place.end()) <= chosen / 5);
+        BOOST_TEST(*std::max_element(by_position.begin(), by_position.end()) <= chosen / 5);
         for (int call = 0; call < 100; ++call) {
             BOOST_REQUIRE(choose_new_version(share, 1'000, random));
         }
--- a/tests/version_move_test.cpp
+++ b/tests/version_move_test.cpp
@@ -43,7 +43,7 @@
         const std::array reports{make_report("v1", "/a", old_arm, random),
                                  make_report("v2", "/a", new_arm, random)};
         add_evidence(evidence, reports, "v1", "v2");
-        if (judge_evidence(evidence).m_verdict == evidence_verdict::bad) {
+        if (evaluate_evidence(evidence).m_verdict == evidence_verdict::bad) {
             return i;
         }
     }
@@ -119,7 +119,7 @@
     move_evidence evidence;
     BOOST_TEST(add_intervals(evidence, 700, old_arm, {10, 0.002, 20, false}, random) == 700);
     BOOST_TEST(add_intervals(evidence, 100, old_arm, {10, 0.3, 20, false}, random) <= 6);
-    BOOST_TEST(judge_evidence(evidence).m_route == "/a");
+    BOOST_TEST(evaluate_evidence(evidence).m_route == "/a");
     move_evidence slower;
     BOOST_TEST(add_intervals(slower, 700, old_arm, {10, 0.002, 20, false}, random) == 700);
     BOOST_TEST(add_intervals(slower, 100, old_arm, {10, 0.002, 60, false}, random) <= 6);
@@ -168,7 +168,7 @@
     add_intervals(offset, 50, {100, 0, 20, false}, {100, 0, 20, false}, random);
     add_intervals(offset, 1, {100, 0, 20, false}, {100, 0.9, 400, false}, random);
     add_intervals(offset, 50, {100, 0.9, 400, false}, {100, 0.9, 400, false}, random);
-    BOOST_TEST((judge_evidence(offset).m_verdict != evidence_verdict::bad));
+    BOOST_TEST((evaluate_evidence(offset).m_verdict != evidence_verdict::bad));
     move_evidence crash;
     add_intervals(crash, 50, {100, 0, 20, false}, {20, 0, 20, false}, random);
     for (int i = 0; i < 2; ++i) {
@@ -180,7 +180,7 @@
         }
         add_evidence(crash, reports, "v1", "v2");
         add_intervals(crash, 60, {100, 0, 20, false}, {20, 0, 20, false}, random);
-        BOOST_TEST((judge_evidence(crash).m_verdict != evidence_verdict::bad), "crash " << i);
+        BOOST_TEST((evaluate_evidence(crash).m_verdict != evidence_verdict::bad), "crash " << i);
     }
 }
 
@@ -197,7 +197,7 @@
                 make_report("v2", "/a", {20, 0, 20, false}, random),
                 make_report("v2", "/new", {20, failure_share, 20, false}, random)};
             add_evidence(evidence, reports, "v1", "v2");
-            bad = judge_evidence(evidence).m_verdict == evidence_verdict::bad;
+            bad = evaluate_evidence(evidence).m_verdict == evidence_verdict::bad;
         }
         BOOST_TEST(bad == (failure_share > 0.05));
         BOOST_TEST((!bad || intervals <= 5));
