--- a/src/decide/acceptance.hpp
+++ b/src/decide/acceptance.hpp
@@ -82,10 +82,10 @@
 // much later.
 constexpr milliseconds submitted_delta_wait{250};
 
-// Chooses the source of a submitted text. last_evaluated_revision is the revision evaluated last,
-// and highest_decided_revision the highest revision that was accepted or refused.
-// unusable_delta_revision is the revision of a delta that belongs to an older text. wait_elapsed is
-// the time since the text was first seen.
+// Chooses the source of a submitted text. last_evaluated_revision is that of the text evaluated
+// last, highest_decided_revision the highest one that was accepted or refused, and
+// unusable_delta_revision that of a delta that belongs to an older text. wait_elapsed is the time
+// since the text was first seen.
 text_source choose_text_source(const submitted_revisions& revisions,
                                std::uint64_t last_evaluated_revision,
                                std::uint64_t highest_decided_revision,
--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -18,7 +18,7 @@
 // of the best latency.
 constexpr double fast_factor = 2;
 // The server counts as warm, and the limit rises above a quarter of the slots, at or below this
-// multiple of the best latency. A server that is still one tenth cold is within it.
+// multiple of the best latency. It includes a server with a tenth of its cold-start slowdown left.
 constexpr double warm_factor = 1.6;
 // The server is still warming up if its latency falls by a tenth within this interval.
 constexpr milliseconds trend_interval{1'000};
@@ -43,9 +43,9 @@
 // that the limit can rise again for a server that has become slower permanently. It is longer than
 // a cold start (some seconds), which would otherwise look warm.
 constexpr std::chrono::duration<double> best_latency_drift{60.0};
-// Share of the smoothed latency that a call must have to spare within its useful time. Service
-// times vary: with a queue as long as the estimate alone allows, half of the calls would be late in
-// a sustained overload.
+// Time that must remain of a call's useful time after the estimated wait and latency, in percent of
+// the smoothed latency. Service times vary: with a queue as long as the estimate alone allows, half
+// of the calls would be late in a sustained overload.
 constexpr int latency_reserve_percent = 100;
 // A queued call is abandoned when its remaining time falls to this share of the smoothed latency.
 // It could hardly be answered in time, and its caller still has time to retry.
@@ -92,6 +92,7 @@
            state.m_limits.m_cold_calls_per_second;
 }
 
+// Counts a call as started.
 void start_call(admission_state& state, time_point now) {
     ++state.m_running;
     if (reports_cold(state, now)) {
@@ -147,6 +148,7 @@
     wait_correction += (corrected - wait_correction) / smoothing_samples;
 }
 
+// Returns true if as many calls as there are slots may run concurrently.
 bool allows_all_slots(const admission_state& state) {
     return concurrency_limit(state) >= state.m_limits.m_slots;
 }
--- a/src/decide/claim.cpp
+++ b/src/decide/claim.cpp
@@ -74,7 +74,7 @@
     return registrars;
 }
 
-// As above; returns nothing without a first-sent time.
+// Returns the convergence_cutoff of the first-sent time, or nothing without one.
 std::optional<std::int64_t> optional_convergence_cutoff(std::optional<std::int64_t> first_sent_ms) {
     return first_sent_ms ? std::optional(convergence_cutoff(*first_sent_ms)) : std::nullopt;
 }
@@ -118,9 +118,9 @@
 }
 
 // Returns all registrar sets that a claim needs. Instances that joined after the key was first sent
-// don't change the result, nor does a loss after which no instance counts. An empty set from before
-// recent joins means that the service is new, and is left out. An empty set from before a loss
-// means that the registrars are uncertain, and is kept.
+// don't change the result, nor does a loss whose cutoff is not before the convergence_cutoff. An
+// empty set from before recent joins means that the service is new, and is left out. An empty set
+// from before a loss means that the registrars are uncertain, and is kept.
 std::vector<registrar_snapshot> registrars_since(std::string_view service, std::string_view key,
                                                  std::span<const known_instance> instances,
                                                  std::optional<std::int64_t> first_sent_ms,
@@ -253,10 +253,10 @@
                                          self, instances, departures);
 }
 
-// A registrar that would not select itself isn't asked by the nodes that share its view: on a side
-// that lost no member, claims bypass the registrars from before the other side's loss. An instance
-// first started before the loss is known on both sides. A newer one may count only if the claimant
-// also asks the registrars from before the loss.
+// A registrar that would not select itself isn't asked by the nodes that share its view. On a side
+// that lost no member, for example, nodes don't ask the registrars from before the other side's
+// loss. An instance first started before the loss is known on both sides. A newer one may count
+// only if the claimant also asks the registrars from before the loss.
 bool is_partition_safe(const claim_request& request, std::string_view self,
                        std::span<const known_instance> instances,
                        std::span<const member_loss> losses) {
--- a/src/decide/claim.hpp
+++ b/src/decide/claim.hpp
@@ -77,10 +77,10 @@
                                            std::span<const known_instance> instances,
                                            std::optional<std::int64_t> first_sent_ms);
 
-// The nodes to ask for a key. Without a loss there is usually one set, the current registrars;
-// instances that started within recent_join_window add the earlier sets. After a loss the sets
-// cover every time from before the loss up to now, and a majority of each set must grant the claim.
-// The two sides of a partition share the set as of its start, whenever each of them detected it,
+// The nodes to ask for a key; a majority of each set must grant the claim. Without a loss there is
+// usually one set, the current registrars; instances that started within recent_join_window add the
+// sets without them. After a loss the sets cover every time from before the loss up to now: the two
+// sides of a partition share the set as of its start, although they detect it at different times,
 // and attempts before and after a loss share the current set.
 struct registrar_sets {
     std::vector<std::string> m_names;
@@ -157,10 +157,11 @@
                                         std::span<const known_instance> instances,
                                         std::span<const departure> departures);
 
-// Returns whether a grant by this registrar is safe under partitions. Returns false if nodes with
-// this registrar's view would not ask it, or if its own name may be unknown on the other side of a
-// partition that the claimant did not take into account: the claim could then be granted on both
-// sides.
+// Returns whether a grant by this registrar is safe under partitions. In two cases the claim could
+// be granted on both sides and the function returns false: by its own table and losses this node is
+// not a registrar of the key, so nodes with the same view would not ask it; or this node did not
+// first start before the cutoff of these losses, so that the other side may not know it, and the
+// claimant did not take the same loss into account.
 bool is_partition_safe(const claim_request& request, std::string_view self,
                        std::span<const known_instance> instances,
                        std::span<const member_loss> losses);
--- a/src/decide/distribution.cpp
+++ b/src/decide/distribution.cpp
@@ -64,7 +64,7 @@
     return holders >= needed;
 }
 
-// Returns whether the node knows the version below which it must not go. Without the store, it must
+// Returns whether the node knows the minimum version that it may apply. Without the store, it must
 // have replies from at least join_replies_before_apply members, or from all it knows if these are
 // fewer.
 bool is_min_version_known(const distribution_state& state, std::size_t live_members) {
--- a/src/decide/distribution.hpp
+++ b/src/decide/distribution.hpp
@@ -45,8 +45,10 @@
 // A node's knowledge of configuration versions.
 struct distribution_state {
     std::string m_instance;
-    std::uint64_t m_applied = 0;     // version in force here; never decreases
-    std::uint64_t m_min_version = 0; // no version below this is applied (the predecessor's version)
+    std::uint64_t m_applied = 0; // version in force here; never decreases
+    // No version below this is applied. It is the highest version read from the store or named in a
+    // join reply, so that a restarted node doesn't fall below its predecessor's version.
+    std::uint64_t m_min_version = 0;
     std::uint64_t m_highest_known = 0; // highest version known to exist
     bool m_ready = false;
     std::map<std::uint64_t, config_text> m_texts; // the latest max_kept_texts texts held here
@@ -77,8 +79,8 @@
     std::set<std::string> m_join_replies; // members that replied to the join request
 };
 
-// Actions must be carried out in the given order. Parsing comes last, so that its result can be
-// reported at once without an older version being applied after it.
+// Actions must be carried out in the given order. Parsing comes last: if its result is reported at
+// once, the version may be applied, and no older one may be applied after it.
 struct distribution_action {
     enum class kind : std::uint8_t {
         fetch,    // ask m_instance for a version above m_version (held here)
--- a/src/decide/entry_points.cpp
+++ b/src/decide/entry_points.cpp
@@ -11,10 +11,10 @@
 
 // Slots of a data centre; enough that some of their instances are up whatever fails.
 constexpr std::uint64_t slots_per_data_centre = 8;
-// Entry points of a node's own data centre that suffice to join through them alone.
+// Minimum number of entry points in a node's own data centre to join through them alone.
 constexpr std::size_t min_local_entry_points = 5;
-// Minimum number of watchers in all data centres together: the store may reject a third of the
-// members.
+// Minimum number of members that watch the store, in all data centres together. The store may
+// reject a third of the members; with six watchers, it hardly ever rejects all of them.
 constexpr std::size_t min_watchers = 6;
 
 } // namespace
--- a/src/decide/lease.cpp
+++ b/src/decide/lease.cpp
@@ -30,7 +30,7 @@
     keeper.m_next_attempt = now + tenth + jitter;
 }
 
-// Drops the store lease and everything known about it. The key's other holder is kept.
+// Drops the store lease and everything known about it. m_other_holder_value is kept.
 void reset_to_idle(lease_keeper& keeper) {
     keeper.m_phase = lease_phase::idle;
     keeper.m_held = false;
--- a/src/decide/lease.hpp
+++ b/src/decide/lease.hpp
@@ -23,8 +23,8 @@
 // the store lease ends.
 struct lease_keeper {
     std::string m_key;
-    std::string m_value; // written under the key: the holder's name or address
-    milliseconds m_period{5'000};
+    std::string m_value;          // written under the key: the holder's name or address
+    milliseconds m_period{5'000}; // the lease expires if it isn't renewed within this time
     lease_phase m_phase = lease_phase::idle;
     std::string m_lease;              // store lease id; empty without a store lease
     std::string m_other_holder_value; // as last read; empty if none was read
--- a/src/decide/membership.cpp
+++ b/src/decide/membership.cpp
@@ -18,8 +18,8 @@
 // Minimum interval between reports of differing facts; one fetch repairs several differences.
 constexpr milliseconds facts_differ_interval{1'000};
 
-// Requests the sender's entry by a ping. The ping includes the entry held here of the sender if the
-// packet's incarnation is not above it, so that the sender can refute it.
+// Requests the sender's entry by a ping. The ping includes the sender's entry as known here, unless
+// the packet has a higher incarnation, so that the sender can refute it.
 void request_sender_entry(membership_table& table, const packet& received, const ip_endpoint& from,
                           const tracked_member* sender, time_point now, actions& out) {
     if (!take_token(table, table.m_reply_tokens, now)) {
--- a/src/decide/membership.hpp
+++ b/src/decide/membership.hpp
@@ -53,7 +53,7 @@
     ip_endpoint m_traffic;              // calls
     ip_endpoint m_udp;                  // packets of this protocol
     ip_endpoint m_bulk;                 // table exchanges and other bulk requests
-    std::uint64_t m_config_version = 0; // in force at the instance, highest one reported
+    std::uint64_t m_config_version = 0; // highest version reported as in force at the instance
     bool m_ready = false;               // has applied a configuration and accepts calls
     bool m_store_lost = false;          // cannot reach the store
     friend bool operator==(const member&, const member&) = default;
@@ -153,7 +153,7 @@
     // registrars of keys.
     std::vector<loss_episode> m_losses;
     bool m_is_tombstone = false;            // past the retention, hidden from queries
-    bool m_counted_dead = false;            // in membership_table::m_dead
+    bool m_counted_dead = false;            // counted in membership_table::m_dead
     std::uint32_t m_transmissions_left = 0; // piggyback transmissions still due
     bool m_queued = false;                  // in membership_table::m_update_queue
     // Transmissions of the entry to the other data centres that are still due.
@@ -172,7 +172,7 @@
     std::uint64_t m_sequence = 0;
     time_point m_sent;
     milliseconds m_timeout{0}; // for the direct ack, scaled by the local health at the start
-    milliseconds m_limit{0};   // the target is suspected without any ack in this time
+    milliseconds m_limit{0};   // the target is suspected if no ack arrives in this time
     bool m_indirect = false;   // indirect probes were requested
     std::uint32_t m_relays = 0;
     std::uint32_t m_relays_confirmed = 0; // relays that acknowledged the request
@@ -211,8 +211,8 @@
     time_point m_started;           // m_started_ms is the same moment
     std::uint64_t m_started_ms = 0; // wall-clock milliseconds
     std::map<std::string, member_group, std::less<>> m_groups; // by data centre
-    // Derived state of membership_groups, recomputed after a change of a member of this node's data
-    // centre.
+    // Grouping by data centre, see membership_groups.hpp. It is outdated after a state change of a
+    // member of this node's data centre.
     bool m_grouping_outdated = true;
     bool m_grouped_by_data_centre = false;
     bool m_is_gateway = false;
@@ -221,7 +221,7 @@
     time_point m_next_probe;
     time_point m_last_tick;
     time_point m_self_changed;        // start, or last change of this node's incarnation
-    time_point m_no_death_before;     // set after a pause of this process
+    time_point m_no_death_before;     // no member is declared dead before; set after a pause
     std::uint32_t m_local_health = 0; // 0 is healthy; each step lengthens this node's timeouts
     std::uint64_t m_facts_digest = 0; // set by the node when facts change
     std::uint64_t m_held_version = 0; // set by the node: highest version whose text is held
@@ -241,10 +241,11 @@
     // Packets still due that are sent only for their header, after a change of this node's held
     // version or facts.
     std::uint32_t m_header_packets_left = 0;
-    std::uint64_t m_gossiped_version = 0;            // held version that these packets announce
-    std::uint64_t m_gossiped_digest = 0;             // facts digest that these packets announce
-    std::multimap<time_point, std::string> m_timers; // suspicions and retentions to check
-    std::deque<death_claim> m_death_claims;          // to be verified
+    std::uint64_t m_gossiped_version = 0; // held version that these packets announce
+    std::uint64_t m_gossiped_digest = 0;  // facts digest that these packets announce
+    // Members whose suspicion or retention is to be checked, by the time of the check.
+    std::multimap<time_point, std::string> m_timers;
+    std::deque<death_claim> m_death_claims; // to be verified
     time_point m_next_claim_check;
     time_point m_next_dead_ping; // detects a healed partition
     std::string m_dead_cursor;   // name at which the next search continues
@@ -274,9 +275,9 @@
 std::vector<membership_action> membership_receive(membership_table& table, const packet& received,
                                                   const ip_endpoint& from, time_point now);
 
-// Merges members received in a join reply or a table exchange and returns the changes. A claim that
-// a member that is live here is dead is not accepted but verified by a ping: after a partition each
-// side's table lists the whole other side as dead.
+// Merges members received in a join reply or a table exchange and returns the changes. If an entry
+// lists as dead a member that is live here, it is not accepted but verified by a ping: after a
+// partition each side's table lists the whole other side as dead.
 std::vector<membership_action> membership_merge(membership_table& table,
                                                 std::span<const member> members, time_point now);
 
--- a/src/decide/membership_groups.cpp
+++ b/src/decide/membership_groups.cpp
@@ -8,8 +8,8 @@
 namespace caraway::swim {
 namespace {
 
-// Alive members of a data centre, this node included, from which it is a group of its own. In a
-// smaller one a few simultaneous deaths could leave no gateway.
+// Minimum number of alive members, this node included, for a data centre to be a group of its own.
+// In a smaller group a few simultaneous deaths could leave no gateway.
 constexpr std::size_t min_group_size = 12;
 // Gateways of a group; more than one, since changes must still get through while one of them fails.
 constexpr std::size_t gateways_per_group = 3;
@@ -19,8 +19,9 @@
 // Key of the rendezvous hash that selects the gateways; all nodes must use the same one.
 constexpr std::string_view gateway_role = "carrier";
 
-// Recomputes whether this data centre is a group and this node one of its gateways. Suspect members
-// do not count as gateways, so that a dead gateway is replaced before its death is confirmed.
+// If outdated, recomputes whether this data centre has enough alive members to be a group of its
+// own and whether this node is one of its gateways. Suspect members do not count, so that a dead
+// gateway is replaced before its death is confirmed.
 void refresh_grouping(membership_table& table) {
     if (!table.m_grouping_outdated) {
         return;
--- a/src/decide/membership_merge.cpp
+++ b/src/decide/membership_merge.cpp
@@ -27,8 +27,8 @@
 }
 
 // Merges an earlier first start, whatever the incarnation of the entry. Returns whether it changed.
-// The name of a tombstone counts as new when it comes back, as it does on nodes that joined in
-// between.
+// Tombstones are excluded: if the name comes back, it counts as new, as it does on nodes that
+// joined in between.
 bool lower_first_start(membership_table& table, tracked_member& tracked, const member& entry) {
     member& known = tracked.m_member;
     const std::uint64_t first = earlier_start(known.m_first_incarnation, entry.m_first_incarnation);
--- a/src/decide/membership_packets.cpp
+++ b/src/decide/membership_packets.cpp
@@ -14,10 +14,10 @@
 // Piggyback transmissions of one update per power of ten of the table size. With half as many, some
 // member missed about one update in twenty at 50 members and 5% packet loss.
 constexpr double transmissions_per_decade = 6.0;
-// Each multiple of this queue length makes a transmission count once more, until an update is sent
-// only min_transmissions times. When a data centre fails or returns, every node forwards thousands
-// of updates; the first transmissions of each reach nearly all members, and the comparison of
-// tables repairs the rest.
+// A transmission counts as several if the queue is several times this long, so that each update is
+// sent fewer times, but at least min_transmissions times. When a data centre fails or returns,
+// every node forwards thousands of updates; the first transmissions of each reach nearly all
+// members, and the comparison of tables repairs the rest.
 constexpr std::size_t long_queue_length = 64;
 constexpr std::uint32_t min_transmissions = 4;
 // This node's entry goes into every packet for this time after the start or a new incarnation,
--- a/src/decide/membership_probes.cpp
+++ b/src/decide/membership_probes.cpp
@@ -27,6 +27,7 @@
 // cannot provide their addresses.
 constexpr milliseconds restart_window{60'000};
 constexpr std::size_t restart_pings_per_interval = 4;
+// Maximum number of entries inspected per search for such members.
 constexpr std::size_t max_restart_scan = 512;
 // Entries inspected per search for a dead member.
 constexpr std::size_t max_dead_scan = 64;
@@ -36,8 +37,8 @@
 constexpr std::size_t min_mass_loss = 2;
 // Interval between retention checks of a dead member that is kept longer because many are dead.
 constexpr milliseconds retention_check_interval{60'000};
-// Probes per interval of a data centre in which a member did not answer, and the time for which
-// this rate applies after the last failed probe.
+// Number of probes per interval that a gateway sends to a data centre in which a member did not
+// answer, and the time for which this rate applies after the last failed probe.
 constexpr int unresponsive_probes_per_interval = 4;
 constexpr milliseconds unresponsive_time{5'000};
 // A longer gap between ticks means that the process was paused.
--- a/src/decide/membership_table.cpp
+++ b/src/decide/membership_table.cpp
@@ -16,7 +16,7 @@
 // receive the suspicion and its refutation must spread within that time; both take a number of
 // rounds that grows with the logarithm of the table size.
 constexpr double suspicion_intervals_per_decade = 3.0;
-// A suspicion received from another node lasts this many times longer than one of this node's own:
+// A suspicion received from another node lasts this many times as long as one of this node's own:
 // by then the other node's verdict or the refutation has arrived.
 constexpr double received_suspicion_factor = 2.0;
 // Upper bound of the local health, so that a slow observer still detects dead members: its timeouts
@@ -30,7 +30,7 @@
     return milliseconds(static_cast<std::int64_t>(static_cast<double>(value.count()) * factor));
 }
 
-// Returns the part of an entry in its bucket hash, see member_bucket_hashes.
+// Returns the contribution of an entry to its bucket hash, see member_bucket_hashes.
 std::uint64_t entry_hash(const member& value) {
     const std::array<std::uint64_t, 2> starts{value.m_incarnation, value.m_first_incarnation};
     std::array<char, sizeof(starts)> bytes{};
--- a/src/decide/move_evidence.cpp
+++ b/src/decide/move_evidence.cpp
@@ -70,9 +70,10 @@
 // version count as slow only this many buckets (a factor of 1.5 each) above the threshold of the
 // old version.
 constexpr std::size_t server_speed_buckets = 1;
-// Calls of the old version required in the window before a threshold is derived from it.
+// Decayed number of calls required before a threshold is derived from their latencies.
 constexpr double threshold_min_calls = 20;
-// Decay per interval. Windows span about 40 intervals, so that thresholds follow the time of day.
+// Decay of counts per interval. It averages over about 40 intervals, so that thresholds follow the
+// time of day.
 constexpr double count_decay = 0.975;
 
 // Ratios decay by 1% per interval, so that one crashed server early in a long move doesn't add up
@@ -249,8 +250,8 @@
     return sum;
 }
 
-// Returns the lowest bucket that at most slow_share of the window's calls exceed, or nothing while
-// the window has too few calls.
+// Returns the lowest bucket that at most slow_share of the calls exceed, or nothing while there are
+// too few calls.
 std::optional<std::size_t> slow_threshold(const std::array<double, latency_buckets>& histogram,
                                           double slow_share) {
     double total = 0;
@@ -332,8 +333,8 @@
     return result;
 }
 
-// Log-likelihood ratios for the latencies of a batch. The thresholds come from the window before
-// the batch; those for the new version's calls are `tolerance` buckets higher.
+// Log-likelihood ratios for the latencies of a batch. The thresholds come from the old version's
+// calls before the batch; those for the new version's calls are `tolerance` buckets higher.
 interval_ratios<latency_alternatives> test_latency(const route_test& test, std::size_t tolerance) {
     interval_ratios<latency_alternatives> result;
     const std::uint64_t n_new = latency_calls(test.m_pending_new);
@@ -408,7 +409,7 @@
     test.m_pending_intervals = 0;
 }
 
-// Applies the decay of one interval to the ratios and windows of a route.
+// Applies the decay of one interval to the ratios and counts of a route.
 void decay_evidence(route_test& test) {
     decay_ratios(test.m_failures);
     decay_ratios(test.m_latency);
@@ -420,7 +421,7 @@
     test.m_decayed_old_failures *= count_decay;
 }
 
-// Returns the upper bound in milliseconds of the bucket that contains the median of a window.
+// Returns the upper bound in milliseconds of the bucket that contains the median.
 double median_ms(const std::array<double, latency_buckets>& histogram) {
     double total = 0;
     for (const double count : histogram) {
@@ -642,8 +643,8 @@
 }
 
 // The ratios for "worse" continue, so that evidence that accumulates across a raise is not lost.
-// The old version's window of calls restarts: at full weight it must not be mistaken for current
-// traffic.
+// The decayed numbers of the old version's calls and failures restart: at full weight they must not
+// be mistaken for current traffic.
 void begin_stage(move_evidence& evidence) {
     evidence.m_weight_changed = true;
     evidence.m_failures.m_stage_started = false;
--- a/src/decide/move_evidence.hpp
+++ b/src/decide/move_evidence.hpp
@@ -20,7 +20,7 @@
 // last bucket has none.
 constexpr std::size_t latency_buckets = 32;
 
-// Call counts of one version on one route in one reporting interval.
+// Call counts of one version (one arm of the comparison) on one route in one reporting interval.
 struct arm_counts {
     std::uint32_t m_calls = 0;
     std::uint32_t m_failures = 0; // 5xx answers, cut connections, timeouts of the backend server
@@ -77,7 +77,7 @@
     arm_counts m_pending_old;
     arm_counts m_pending_new;
     std::uint32_t m_pending_intervals = 0;
-    // Exponentially decayed counts, for thresholds and reasons.
+    // Exponentially decayed counts, for thresholds and reasons; latencies are counted by bucket.
     std::array<double, latency_buckets> m_decayed_old_latency{};
     std::array<double, latency_buckets> m_decayed_new_latency{};
     double m_decayed_old_calls = 0;
--- a/src/decide/version_move.cpp
+++ b/src/decide/version_move.cpp
@@ -18,7 +18,7 @@
 // the time is spent at 40 permille, where a defect that appears late harms few calls.
 constexpr double last_end_share = 0.62;
 // After an outage the lease must be acquired again and the record read, which takes the same time
-// however short the time given is; with 40 s, the share above alone left too little. The lease is
+// however short the time given is; with 40 s, last_end_share alone left too little. The lease is
 // retried every 0.5 s to 1 s, and each of the four raises after it may be delayed by one evidence
 // interval.
 constexpr double outage_share = 1.0 / 3;
--- a/src/decide/version_move.hpp
+++ b/src/decide/version_move.hpp
@@ -38,10 +38,12 @@
 // fences the old holder.
 move_record take_over_move(const move_record& record, std::string_view holder);
 
-// Decides the next step from the record, the evidence and whether the version is suspended. Raises
-// the weight when the stage has passed, on a schedule that reaches 1000 within two thirds of the
-// time between start and deadline. Writes taken_back on bad evidence, on suspension, or if the
-// weight was below 1000 when the deadline passed; writes done when the last stage has passed.
+// Returns the next step, decided from the record, the evidence and whether the version is
+// suspended. The weight rises when the evidence suffices for the stage and the schedule allows its
+// end; the schedule reaches 1000 within two thirds of the time between start and deadline. The
+// state becomes taken_back on bad evidence, on suspension, or at the deadline unless the weight was
+// raised to 1000 before it. It becomes done when the evidence suffices for the last stage, or at
+// the deadline if the weight was raised to 1000 before it.
 move_step step_move(const move_record& record, const move_evidence& evidence, bool suspended,
                     wall_time now);
 
--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -21,15 +21,15 @@
 
 // Which instances count as registrars.
 enum class registrar_selection : std::uint8_t {
-    losses,             // the rule of the implementation: shared first start, and before a loss
+    losses,             // as implemented: shared_first_start, and the registrars from before a loss
     shared_first_start, // by the first start that all nodes agree on
     own_first_seen,     // by the time at which the executing node itself first saw the name
     all_names,          // regardless of the first start
 };
-// partitions: as all, and instances join during a partition or right before it. long_partitions: as
-// partitions, but up to two hours long and with callers that use a first-sent time. replacements:
-// one death, restart, departure or join every 20 minutes, which is 120 times the 0.6 a day of a
-// service.
+// partitions: like all, but instances also join during a partition or right before it.
+// long_partitions: like partitions, but up to two hours long and with callers that use a first-sent
+// time. replacements: one death, restart, departure or join every 20 minutes, which is 120 times a
+// service's rate of 0.6 a day.
 enum class fault_profile : std::uint8_t {
     all,
     joins_only,
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -181,8 +181,8 @@
     BOOST_TEST((seeds.size() == 1 || applied > seeds.size() / 2));
 }
 
-// Guards against a fetch that is never retried: the holder that announced the version is dead, or
-// another holder sends a corrupt text or none.
+// Guards against a fetch that isn't retried with another holder when the first one can't be
+// reached, sends a corrupt text or doesn't answer. One of four holders sends the text.
 BOOST_AUTO_TEST_CASE(failed_fetch_is_tried_with_another_holder) {
     for (const std::uint64_t seed : schedule_seeds(200)) {
         random_source random(seed);
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -295,8 +295,8 @@
     }
 }
 
-// Guards against a holder that waits after a store outage in which its lease ended: a move with a
-// 40 s deadline missed it.
+// Guards against a holder that waits before it claims its lease again after a store outage in which
+// the lease ended. Such a wait made a move miss its deadline of 40 s.
 BOOST_AUTO_TEST_CASE(holder_claims_again_at_once_after_an_outage) {
     lease_store store;
     time_point now{std::chrono::hours(1)};
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -590,7 +590,8 @@
     }
 }
 
-// Guards against a member whose address no other member obtains: an unknown node pings them.
+// Guards against a new node that stays unknown to the other members. Tables are not exchanged here,
+// so the node's own packets must make it known.
 BOOST_AUTO_TEST_CASE(unknown_sender_becomes_known) {
     for (const std::uint64_t seed : schedule_seeds(20)) {
         node_schedule schedule = make_schedule(12, seed, milliseconds(2), 0.1);
--- a/tests/own_server_test.cpp
+++ b/tests/own_server_test.cpp
@@ -28,8 +28,8 @@
 
 BOOST_AUTO_TEST_SUITE(own_server_state)
 
-// Guards against a late report that revives an earlier incarnation, also if the identity is the
-// same and its sequence numbers have restarted.
+// Guards against a late report that revives an earlier incarnation, even if both incarnations have
+// the same identity and the sequence numbers of the later one have restarted.
 BOOST_AUTO_TEST_CASE(late_reports_change_nothing) {
     own_server server;
     BOOST_TEST((receive(server, make_report("a", 5, 100)) == report_verdict::taken));
--- a/tests/version_move_test.cpp
+++ b/tests/version_move_test.cpp
@@ -126,8 +126,8 @@
 }
 
 // Guards against rolling back a good version because one of its servers is slower than the others.
-// A server at 1.6 times the usual service time, beside servers of the old version at 0.7 times,
-// judged its version alone.
+// The local test of a server at 1.6 times the usual service time compared it with servers of the
+// old version at 0.7 times.
 BOOST_AUTO_TEST_CASE(a_slow_server_is_not_evidence_of_its_version) {
     random_source random(seed_or_default());
     std::string reason;
