--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -44,8 +44,8 @@
 // a cold start (some seconds), which would otherwise look warm.
 constexpr std::chrono::duration<double> best_latency_drift{60.0};
 // Time that must remain of a call's useful time after the estimated wait and latency, in percent of
-// the smoothed latency. Service times vary: with a queue as long as the estimate alone allows, half
-// of the calls would be late in a sustained overload.
+// the smoothed latency, if the latency of its route is unknown. Service times vary: with a queue as
+// long as the estimate alone allows, half of the calls would be late in a sustained overload.
 constexpr int latency_reserve_percent = 100;
 // A queued call is abandoned when its remaining time falls to this share of the smoothed latency.
 // It could hardly be answered in time, and its caller still has time to retry.
--- a/src/decide/claim.cpp
+++ b/src/decide/claim.cpp
@@ -89,8 +89,8 @@
     std::vector<std::string> m_names;
 };
 
-// Returns the registrars as of from_ms and after every later instance that changes them, up to
-// until_ms.
+// Returns the registrars as of from_ms and after the first start of every later instance that
+// changes them, up to until_ms.
 std::vector<registrar_snapshot> registrars_between(std::string_view service, std::string_view key,
                                                    std::span<const known_instance> instances,
                                                    std::int64_t from_ms,
--- a/src/decide/membership_probes.hpp
+++ b/src/decide/membership_probes.hpp
@@ -22,8 +22,8 @@
 // another data centre.
 void probe_next(membership_table& table, time_point now, actions& out);
 
-// Verifies death claims: pings a member that either the claim or this table lists as dead,
-// including the claim.
+// Verifies death claims: pings each member that the claim or this table lists as dead. The ping
+// contains the claim, so that the member can refute it.
 void check_death_claims(membership_table& table, time_point now, actions& out);
 
 // Pings one dead member occasionally, and some recently lost members in each interval. Without this
--- a/src/decide/move_evidence.cpp
+++ b/src/decide/move_evidence.cpp
@@ -70,7 +70,7 @@
 // version count as slow only this many buckets (a factor of 1.5 each) above the threshold of the
 // old version.
 constexpr std::size_t server_speed_buckets = 1;
-// Decayed number of calls required before a threshold is derived from their latencies.
+// Decayed number of the old version's calls required before a threshold is derived from them.
 constexpr double threshold_min_calls = 20;
 // Decay of counts per interval. It averages over about 40 intervals, so that thresholds follow the
 // time of day.
--- a/src/decide/own_server.hpp
+++ b/src/decide/own_server.hpp
@@ -39,8 +39,8 @@
 // State of the backend server beside this node.
 struct own_server {
     std::optional<server_report> m_report; // last accepted report of the current incarnation
-    // Last leave notice of a server unknown at that time, as happens to a node that has just
-    // restarted.
+    // Last leave notice of a server that this node didn't know at that time, for example because
+    // the node had just restarted.
     std::optional<server_leave_notice> m_unmatched_leave;
     time_point m_unmatched_leave_at;
     time_point m_reported_at;
