--- a/src/decide/membership_groups.cpp
+++ b/src/decide/membership_groups.cpp
@@ -8,8 +8,8 @@
 namespace caraway::swim {
 namespace {
 
-// Alive members of a data centre, this node included, from which it is a group of its own. In a
-// smaller one a few simultaneous deaths could leave no gateway.
+// Minimum number of alive members, this node included, for a data centre to be a group of its own.
+// In a smaller group a few simultaneous deaths could leave no gateway.
 constexpr std::size_t min_group_size = 12;
 // Gateways of a group; more than one, since changes must still get through while one of them fails.
 constexpr std::size_t gateways_per_group = 3;
@@ -19,13 +19,14 @@
 // Key of the rendezvous hash that selects the gateways; all nodes must use the same one.
 constexpr std::string_view gateway_role = "carrier";
 
-// Recomputes whether this data centre is a group and this node one of its gateways. Suspect members
-// do not count as gateways, so that a dead gateway is replaced before its death is confirmed.
-void refresh_group(membership_table& table) {
-    if (!table.m_group_outdated) {
+// If outdated, recomputes whether this data centre has enough alive members to be a group of its
+// own and whether this node is one of its gateways. Suspect members do not count, so that a dead
+// gateway is replaced before its death is confirmed.
+void refresh_grouping(membership_table& table) {
+    if (!table.m_grouping_outdated) {
         return;
     }
-    table.m_group_outdated = false;
+    table.m_grouping_outdated = false;
     const std::uint64_t own_weight = rendezvous_weight(gateway_role, table.m_self.m_instance);
     std::size_t alive = 1;
     std::size_t higher_ranked = 0;
@@ -131,12 +132,12 @@
 }
 
 bool is_grouped_by_data_centre(membership_table& table) {
-    refresh_group(table);
+    refresh_grouping(table);
     return table.m_grouped_by_data_centre;
 }
 
 bool is_gateway(membership_table& table) {
-    refresh_group(table);
+    refresh_grouping(table);
     return table.m_is_gateway;
 }
 
--- a/src/decide/move_evidence.hpp
+++ b/src/decide/move_evidence.hpp
@@ -20,7 +20,7 @@
 // last bucket has none.
 constexpr std::size_t latency_buckets = 32;
 
-// Call counts of one version on one route in one reporting interval.
+// Call counts of one version (one arm of the comparison) on one route in one reporting interval.
 struct arm_counts {
     std::uint32_t m_calls = 0;
     std::uint32_t m_failures = 0; // 5xx answers, cut connections, timeouts of the backend server
@@ -77,11 +77,11 @@
     arm_counts m_pending_old;
     arm_counts m_pending_new;
     std::uint32_t m_pending_intervals = 0;
-    // Exponentially decayed counts, for thresholds and reasons.
-    std::array<double, latency_buckets> m_window_old{};
-    std::array<double, latency_buckets> m_window_new{};
-    double m_window_old_calls = 0;
-    double m_window_old_failures = 0;
+    // Exponentially decayed counts, for thresholds and reasons; latencies are counted by bucket.
+    std::array<double, latency_buckets> m_decayed_old_latency{};
+    std::array<double, latency_buckets> m_decayed_new_latency{};
+    double m_decayed_old_calls = 0;
+    double m_decayed_old_failures = 0;
     // Counts of the old version since the move began. Failures that always occurred on a route are
     // no defect of the new version when, at full weight, there is no traffic of the old version to
     // compare with.
@@ -114,7 +114,7 @@
 
 // Returns the verdict on the evidence of all routes so far: bad if a test reaches its threshold,
 // good if every route with traffic has passed, otherwise undecided.
-evidence_result judge_evidence(const move_evidence& evidence);
+evidence_result evaluate_evidence(const move_evidence& evidence);
 
 // Returns whether a stage, counted from 0, may end. late means that the schedule leaves no time to
 // wait until every route has passed the test.
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -130,11 +130,11 @@
     const std::uint64_t request = sender.m_request;
     const sent_request sent{kind, sender.m_keeper.m_lease, lease_claim_value(sender.m_keeper)};
     random_source& random = simulation.m_random;
-    lease_reply timeout;
-    timeout.m_kind = error_kind::store_outcome_unknown;
+    lease_reply timeout_reply;
+    timeout_reply.m_kind = error_kind::store_outcome_unknown;
     simulation.m_events.emplace(simulation.m_now + client_timeout,
-                                [index, request, timeout](lease_simulation& later) {
-                                    deliver_reply(later, index, request, timeout);
+                                [index, request, timeout_reply](lease_simulation& later) {
+                                    deliver_reply(later, index, request, timeout_reply);
                                 });
     // A late request takes effect after the client's timeout.
     milliseconds request_delay(random.below(20));
@@ -295,8 +295,8 @@
     }
 }
 
-// Guards against a holder that waits after a store outage in which its lease ended: a move with a
-// 40 s deadline missed it.
+// Guards against a holder that waits before it claims its lease again after a store outage in which
+// the lease ended. Such a wait made a move miss its deadline of 40 s.
 BOOST_AUTO_TEST_CASE(holder_claims_again_at_once_after_an_outage) {
     lease_store store;
     time_point now{std::chrono::hours(1)};
