--- a/src/carawayctl/main.cpp
+++ b/src/carawayctl/main.cpp
@@ -61,7 +61,7 @@
     std::vector<ip_endpoint> m_store;
     std::optional<std::uint64_t> m_from;
     std::string m_by;
-    std::string m_previous;
+    std::string m_previous_file;
     std::string m_service;
     std::optional<milliseconds> m_timeout;
 };
@@ -150,7 +150,7 @@
         line.m_by = argument;
         break;
     case option_previous:
-        line.m_previous = argument;
+        line.m_previous_file = argument;
         break;
     case option_service:
         line.m_service = argument;
@@ -175,7 +175,7 @@
                                              line.m_positionals.end());
     const wall_time now = std::chrono::system_clock::now();
     if (command == "check") {
-        return check_text(out, arguments[0], line.m_previous, now);
+        return check_text(out, arguments[0], line.m_previous_file, now);
     }
     if (command == "diff" && arguments.size() == 2) {
         return diff_files(out, arguments[0], arguments[1], now);
--- a/src/traffic/backend_side.cpp
+++ b/src/traffic/backend_side.cpp
@@ -302,7 +302,7 @@
         reply.m_peer = context.m_settings.m_instance;
         reply.m_sent = !result.m_replayed;
     } else {
-        reply = refuse(context, result.m_reason, result.m_sent);
+        reply = make_error_reply(context, result.m_reason, result.m_sent);
         if (is_overload_refusal(result.m_reason.m_kind)) {
             set_numeric_header(reply.m_message, header::capacity_after_us,
                                static_cast<std::uint64_t>(to_us(result.m_retry_after)));
--- a/src/traffic/claims_over_http.cpp
+++ b/src/traffic/claims_over_http.cpp
@@ -308,7 +308,7 @@
                              ? decode_request(request.body())
                              : std::nullopt;
     if (request.method() != http::verb::post || !decoded) {
-        return make_refusal(error_kind::bad_request, "not a request of a node");
+        return make_error_response(error_kind::bad_request, "not a request of a node");
     }
     if (path == claim_path) {
         const claim_reply reply = context.m_keys.grant(*decoded, *context.m_snapshot.load());
@@ -338,7 +338,7 @@
             control, claim_key(decoded->m_service, decoded->m_key), decoded->m_claim_id, until,
             yield));
     }
-    return make_refusal(error_kind::bad_request, "unknown request of a node");
+    return make_error_response(error_kind::bad_request, "unknown request of a node");
 }
 
 // Collects the replies to one request that is sent to all registrars. Each registrar is asked on
@@ -477,7 +477,7 @@
     }
     if (decision.m_kind == claim_decision::kind::ask_claimant) {
         m_claimant = decision.m_claimant;
-        m_claimant_id = decision.m_claim_id;
+        m_held_claim_id = decision.m_claim_id;
     }
     fail(reason, decision.m_reason, "the key is not free at its registrars");
     return false;
@@ -497,7 +497,7 @@
     std::string state;
     if (claimant == m_context.m_settings.m_instance) {
         const auto found = m_context.m_keys.wait_while_running(
-            m_control, m_combined_key, m_claimant_id, m_control.deadline(), yield);
+            m_control, m_combined_key, m_held_claim_id, m_control.deadline(), yield);
         state = found ? state_name(found->m_state) : "absent";
         if (found && found->m_state == result_state::stored) {
             m_replay = make_replay(found->m_status, found->m_content_type, found->m_body);
@@ -510,7 +510,7 @@
     }
     claim_request request = m_request;
     request.m_claimant = claimant;
-    request.m_claim_id = m_claimant_id;
+    request.m_claim_id = m_held_claim_id;
     error failed;
     auto answer = send_node_request(m_context, m_control, address->second, result_path,
                                     encode_request(request), yield, failed);
--- a/src/traffic/claims_over_http.hpp
+++ b/src/traffic/claims_over_http.hpp
@@ -119,7 +119,7 @@
     registrar_sets m_registrars;
     bool m_reserved = false;
     std::string m_claimant; // instance that holds the key; empty if none is known
-    std::uint64_t m_claimant_id = 0;
+    std::uint64_t m_held_claim_id = 0;
     std::optional<http_response> m_replay;
 };
 
--- a/src/traffic/entry_side.cpp
+++ b/src/traffic/entry_side.cpp
@@ -238,7 +238,7 @@
     const call_info& info = call.m_info;
     error reason;
     const auto failed = [&context, &reason, &backend](bool sent) {
-        call_reply reply = refuse(context, reason, sent);
+        call_reply reply = make_error_reply(context, reason, sent);
         reply.m_peer = backend.m_instance;
         reply.m_version = backend.m_version;
         return reply;
@@ -396,9 +396,10 @@
         const backend_choice chosen = choose_backend(call, new_version, control.random(), now);
         if (!chosen.m_backend) {
             return last ? std::move(*last)
-                        : refuse(context,
-                                 {chosen.m_reason, "no instance of the service can take the call"},
-                                 false);
+                        : make_error_reply(
+                              context,
+                              {chosen.m_reason, "no instance of the service can take the call"},
+                              false);
         }
         const backend_view& backend = call.m_service->m_backends[*chosen.m_backend];
         circuit_breaker breaker = load_breaker(*backend.m_counters);
@@ -447,7 +448,7 @@
         weights.push_back(part.m_weight);
     }
     const std::lock_guard lock(context.m_entry_mutex);
-    weighted_round_robin& split = context.m_partitions[route_name(route)];
+    weighted_round_robin& split = context.m_route_splits[route_name(route)];
     return route.m_split[choose_weighted(split, weights)].m_service;
 }
 
@@ -460,10 +461,10 @@
         return {};
     }
     const std::lock_guard lock(context.m_entry_mutex);
-    if (context.m_callers.size() >= max_tracked_routes) {
-        context.m_callers.clear(); // recorded again within a few calls
+    if (context.m_caller_histories.size() >= max_tracked_routes) {
+        context.m_caller_histories.clear(); // recorded again within a few calls
     }
-    caller_history& history = context.m_callers[route_name(route)];
+    caller_history& history = context.m_caller_histories[route_name(route)];
     record_deadline(history, *stated);
     return elapsed_before_attempt(history, *stated, now);
 }
@@ -483,7 +484,7 @@
     set_retry_after(reply.m_message, wait);
     if (call.m_route != nullptr) {
         const std::lock_guard lock(context.m_entry_mutex);
-        record_refused_caller(context.m_callers[route_name(*call.m_route)], left, now);
+        record_refused_caller(context.m_caller_histories[route_name(*call.m_route)], left, now);
     }
 }
 
@@ -491,7 +492,7 @@
 call_reply run_entry(traffic_context& context, call_control& control, entry_call& call,
                      http_request& request, asio::yield_context yield) {
     const auto refused = [&context](error_kind kind, std::string_view text) {
-        return refuse(context, {kind, std::string(text)}, false);
+        return make_error_reply(context, {kind, std::string(text)}, false);
     };
     const bool onward = call.m_info.m_hop > 1;
     if (!call.m_snapshot->m_ready || !call.m_snapshot->m_mesh) {
--- a/src/traffic/http_message.cpp
+++ b/src/traffic/http_message.cpp
@@ -143,7 +143,7 @@
     return field_bytes(message) + message.body().size();
 }
 
-http_response make_refusal(error_kind kind, std::string_view text) {
+http_response make_error_response(error_kind kind, std::string_view text) {
     const error_info& row = error_info_for(kind);
     http_response answer =
         make_json_response(row.m_status, boost::json::serialize(boost::json::object{
--- a/src/traffic/http_message.hpp
+++ b/src/traffic/http_message.hpp
@@ -99,7 +99,7 @@
 
 // Makes the answer to a call that failed: status, outcome and reason for the error kind, and a
 // short JSON body with the text.
-http_response make_refusal(error_kind kind, std::string_view text);
+http_response make_error_response(error_kind kind, std::string_view text);
 
 // Makes an answer with a JSON body.
 http_response make_json_response(unsigned status, std::string body);
--- a/src/traffic/served_connection.cpp
+++ b/src/traffic/served_connection.cpp
@@ -126,16 +126,16 @@
 // there is no one to answer.
 std::optional<http_response> refusal_for_read_error(const error_code& failed) {
     if (failed == http::error::body_limit) {
-        return make_refusal(error_kind::body_too_large, "the body is above the limit");
+        return make_error_response(error_kind::body_too_large, "the body is above the limit");
     }
     if (failed == http::error::header_limit || failed == http::error::buffer_overflow) {
-        return make_refusal(error_kind::bad_request, "the headers are above the limit");
+        return make_error_response(error_kind::bad_request, "the headers are above the limit");
     }
     if (failed == http::error::end_of_stream || failed == http::error::partial_message ||
         failed.category() != http::make_error_code(http::error::end_of_stream).category()) {
         return std::nullopt;
     }
-    return make_refusal(error_kind::bad_request, "not a valid HTTP request");
+    return make_error_response(error_kind::bad_request, "not a valid HTTP request");
 }
 
 bool write_answer(traffic_context& context, call_control& control, http_response& answer,
@@ -490,7 +490,7 @@
 
 void refuse_surplus_connection(traffic_context& context, call_control& control,
                                asio::yield_context yield) {
-    call_reply reply = refuse(
+    call_reply reply = make_error_reply(
         context, {error_kind::too_many_connections, "the connection limit is reached"}, false);
     frame_answer(reply.m_message, http::verb::get, false);
     if (write_answer(context, control, reply.m_message, yield)) {
--- a/src/traffic/traffic_context.cpp
+++ b/src/traffic/traffic_context.cpp
@@ -46,12 +46,12 @@
         std::chrono::duration_cast<milliseconds>(deadline - now).count());
 }
 
-call_reply refuse(const traffic_context& context, const error& reason, bool sent) {
+call_reply make_error_reply(const traffic_context& context, const error& reason, bool sent) {
     call_reply reply;
     reply.m_reason = reason.m_kind;
     reply.m_sent = sent;
     reply.m_peer = context.m_settings.m_instance;
-    reply.m_message = make_refusal(reason.m_kind, reason.m_text);
+    reply.m_message = make_error_response(reason.m_kind, reason.m_text);
     set_header(reply.m_message, header::instance, context.m_settings.m_instance);
     set_numeric_header(reply.m_message, header::config_version,
                        context.m_snapshot.load()->m_config_version);
--- a/src/traffic/traffic_context.hpp
+++ b/src/traffic/traffic_context.hpp
@@ -63,9 +63,9 @@
 
     std::mutex m_entry_mutex;
     std::unordered_map<std::string, entry_state> m_entry_states; // by service
-    std::unordered_map<std::string, weighted_round_robin>
-        m_partitions;                                          // by host and path of the route
-    std::unordered_map<std::string, caller_history> m_callers; // by host and path of the route
+    // By host and path of the route.
+    std::unordered_map<std::string, weighted_round_robin> m_route_splits;
+    std::unordered_map<std::string, caller_history> m_caller_histories;
 
     exchange_limits limits() const {
         return {m_settings.m_max_header_bytes, m_settings.m_max_answer_bytes};
@@ -130,7 +130,7 @@
 
 // Creates the reply to a call that failed at this node. sent tells whether the request may have
 // reached a backend server.
-call_reply refuse(const traffic_context& context, const error& reason, bool sent);
+call_reply make_error_reply(const traffic_context& context, const error& reason, bool sent);
 
 // Writes the log line and the metrics of a call that ended at one side, and its span if spans are
 // enabled.
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -44,9 +44,9 @@
 BOOST_AUTO_TEST_CASE(a_request_sent_later_runs_beside_the_first_one) {
     caller connection(entry());
     connection.send("/again/slow", "first");
-    BOOST_TEST(wait_for_value([this] { return m_backend_server.running_slow(); }, 1) == 1U);
+    BOOST_TEST(wait_for_value([this] { return m_backend_server.slow_started(); }, 1) == 1U);
     connection.send("/again/slow", "second");
-    BOOST_TEST(wait_for_value([this] { return m_backend_server.running_slow(); }, 2) == 2U);
+    BOOST_TEST(wait_for_value([this] { return m_backend_server.slow_started(); }, 2) == 2U);
     BOOST_TEST(connection.receive().body() == "first");
     BOOST_TEST(connection.receive().body() == "second");
     BOOST_TEST(connection.call("/once/echo", "third").body() == "third");
@@ -76,7 +76,7 @@
         connection.send("/again/slow");
         connection.send("/again/slow");
         connection.send("/again/slow");
-        BOOST_TEST(wait_for_value([this] { return m_backend_server.running_slow(); }, 3) == 3U);
+        BOOST_TEST(wait_for_value([this] { return m_backend_server.slow_started(); }, 3) == 3U);
     }
     BOOST_TEST(wait_for_value([this] { return m_backend_server.closed_while_slow(); }, 3) == 3U);
     BOOST_TEST(wait_for_value([this] { return entry().m_server->calls_in_progress(); }, 0) == 0U);
@@ -101,7 +101,7 @@
     caller connection(entry());
     connection.send("/again/slow", "first");
     connection.send("/again/slow", "second");
-    BOOST_TEST(wait_for_value([this] { return m_backend_server.running_slow(); }, 2) == 2U);
+    BOOST_TEST(wait_for_value([this] { return m_backend_server.slow_started(); }, 2) == 2U);
     entry().m_server->drain();
     const http_answer first = connection.receive();
     BOOST_TEST(first.body() == "first");
--- a/tests/traffic_fixture.hpp
+++ b/tests/traffic_fixture.hpp
@@ -63,7 +63,7 @@
     // Slow requests whose connection the node closed before their answer.
     std::size_t closed_while_slow() const { return m_closed_while_slow; }
     // Slow requests started.
-    std::size_t running_slow() const { return m_running_slow; }
+    std::size_t slow_started() const { return m_slow_started; }
     // Bytes sent by the endless behaviours.
     std::size_t endless_bytes() const { return m_endless_bytes; }
     // Sets the behaviour for GET /healthz; without it the request is echoed. Call it before the
@@ -228,7 +228,7 @@
             std::this_thread::sleep_for(milliseconds(12));
         }
         if (action == "slow") {
-            ++m_running_slow;
+            ++m_slow_started;
             // A cancellation is detected as a closed connection.
             ::timeval wait{0, 400'000};
             ::setsockopt(socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
@@ -255,7 +255,7 @@
     std::atomic<bool> m_stopped{false};
     std::atomic<int> m_runs{0};
     std::atomic<std::size_t> m_closed_while_slow{0};
-    std::atomic<std::size_t> m_running_slow{0}; // slow requests that were started
+    std::atomic<std::size_t> m_slow_started{0}; // slow requests that were started
     std::atomic<std::size_t> m_endless_bytes{0};
     std::string m_health; // set before the node starts
     std::mutex m_mutex;
@@ -270,7 +270,7 @@
     node_settings m_settings;
     std::unique_ptr<node_metrics> m_metrics;
     snapshot_cell m_snapshot;
-    std::atomic<std::uint64_t> m_observed_version{0};
+    std::atomic<std::uint64_t> m_newer_config_version{0};
     std::unique_ptr<traffic_server> m_server;
 };
 
@@ -379,7 +379,7 @@
         for (const auto& node : m_nodes) {
             publish(*node, version);
             traffic_hooks hooks;
-            hooks.m_newer_version_seen = [&observed = node->m_observed_version](
+            hooks.m_newer_version_seen = [&observed = node->m_newer_config_version](
                                              const std::string&, std::uint64_t observed_version) {
                 observed = observed_version;
             };
--- a/tests/traffic_test.cpp
+++ b/tests/traffic_test.cpp
@@ -234,7 +234,7 @@
     // The cold-start limit is one call: the second call is queued, and its deadline expires there.
     caller running(entry());
     running.send("/once/slow", "a");
-    BOOST_TEST(wait_for_value([&server] { return server.running_slow(); }, 2U) == 2U);
+    BOOST_TEST(wait_for_value([&server] { return server.slow_started(); }, 2U) == 2U);
     BOOST_TEST(outcome_and_reason(
                    caller(entry()).call("/once/echo", "", {{"x-caraway-deadline-ms", "60"}})) ==
                "deadline/deadline-before-send");
@@ -260,7 +260,7 @@
     caller second(backend_node);
     first.send("/once/slow");
     second.send("/once/slow");
-    BOOST_TEST(wait_for_value([&server] { return server.running_slow(); }, 2U) == 2U);
+    BOOST_TEST(wait_for_value([&server] { return server.slow_started(); }, 2U) == 2U);
     first.receive();
     second.receive();
 }
@@ -274,7 +274,7 @@
         {
             caller leaving(expected == 1 ? entry() : backend_node);
             leaving.send("/once/slow");
-            BOOST_TEST(wait_for_value([&server] { return server.running_slow(); }, expected) ==
+            BOOST_TEST(wait_for_value([&server] { return server.slow_started(); }, expected) ==
                        expected);
         }
         BOOST_TEST(wait_for_value([&server] { return server.closed_while_slow(); }, expected) ==
@@ -294,7 +294,7 @@
     caller waiting(entry());
     const auto in_progress = [&backend_node] { return backend_node.m_server->calls_in_progress(); };
     running.send("/once/slow", "a");
-    BOOST_TEST(wait_for_value([&server] { return server.running_slow(); }, 1U) == 1U);
+    BOOST_TEST(wait_for_value([&server] { return server.slow_started(); }, 1U) == 1U);
     waiting.send("/once/echo", "b"); // the cold-start limit is one call
     BOOST_TEST(wait_for_value(in_progress, 2U) == 2U);
     backend_node.m_server->drain();
@@ -333,7 +333,7 @@
     const auto begin = std::chrono::steady_clock::now();
     BOOST_TEST(outcome_and_reason(caller(entry()).call("/once/echo")) == "not-run/config-behind");
     BOOST_TEST((std::chrono::steady_clock::now() - begin >= milliseconds(250)));
-    BOOST_TEST(backend_node.m_observed_version == 6U);
+    BOOST_TEST(backend_node.m_newer_config_version == 6U);
     caller patient(entry());
     patient.send("/once/echo", "late");
     std::this_thread::sleep_for(milliseconds(50));
@@ -343,7 +343,7 @@
     // A node with a newer configuration reports its version to the sender in the answer.
     publish(backend_node, 7);
     caller(entry()).call("/once/echo");
-    BOOST_TEST(entry().m_observed_version == 7U);
+    BOOST_TEST(entry().m_newer_config_version == 7U);
 }
 
 // Guards against requests that exceed a limit, and against refused requests that reach the server.
@@ -371,10 +371,10 @@
                                              {"x-caraway-backend-version", "v9"}})) ==
                "not-run/version-not-served");
     std::this_thread::sleep_for(milliseconds(20));
-    std::vector<std::unique_ptr<caller>> holding;
-    holding.reserve(3);
+    std::vector<std::unique_ptr<caller>> connected_callers;
+    connected_callers.reserve(3);
     for (int i = 0; i < 3; ++i) {
-        holding.push_back(std::make_unique<caller>(backend_node));
+        connected_callers.push_back(std::make_unique<caller>(backend_node));
     }
     std::this_thread::sleep_for(milliseconds(20));
     BOOST_TEST(outcome_and_reason(caller(backend_node).call("/once/echo")) ==
