--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -24,8 +24,9 @@
 
     // Returns monotonic time, used for all intervals and timeouts.
     virtual time_point now() const = 0;
-    // Returns wall-clock time. Used only for move deadlines, log lines and the x-caraway-first-sent
-    // header.
+    // Returns wall-clock time. Used only for times that are compared with times of other processes
+    // or read by people: move deadlines, incarnations, stored records, log lines, spans and the
+    // x-caraway-first-sent header.
     virtual wall_time wall_now() const = 0;
 };
 
--- a/src/base/error.hpp
+++ b/src/base/error.hpp
@@ -29,7 +29,8 @@
     peer_unreachable,
     peer_bad_message,
     peer_busy,
-    // Calls refused before a byte reached a backend server.
+    // Calls that did not run: no byte reached a backend server, or the server states that it did
+    // not run the request.
     no_route,
     no_backend_server,
     node_not_ready,
@@ -62,7 +63,7 @@
 // What a caller can conclude about its request.
 enum class outcome : std::uint8_t {
     answered, // the backend server's complete answer was received
-    not_run,  // no byte of the request reached a backend server
+    not_run,  // no byte reached a backend server, or the server states that it didn't run the call
     unknown,  // the request may have run
     deadline, // the deadline passed before the request was sent; it did not run
 };
--- a/src/base/random.hpp
+++ b/src/base/random.hpp
@@ -26,7 +26,7 @@
     }
 
     // Returns a uniform integer below bound, or 0 if bound is 0. The modulo bias is below 2^-40 for
-    // the table sizes used here.
+    // bounds up to 2^24.
     std::uint64_t below(std::uint64_t bound) { return bound == 0 ? 0 : (*this)() % bound; }
 
     // Returns a uniform real number in [0, 1).
--- a/src/carawayctl/main.cpp
+++ b/src/carawayctl/main.cpp
@@ -57,7 +57,7 @@
 // The parsed command line.
 struct command_line {
     std::vector<std::string> m_positionals; // command and arguments
-    std::set<int> m_given_options;          // options that were given
+    std::set<int> m_given_options;          // values of enum option
     std::vector<ip_endpoint> m_store;
     std::optional<std::uint64_t> m_from;
     std::string m_by;
@@ -71,7 +71,7 @@
     std::string_view m_name;
     std::size_t m_min_arguments = 0;
     std::size_t m_max_arguments = 0;
-    std::set<int> m_options;
+    std::set<int> m_options; // values of enum option
 };
 
 const std::array<command_rule, 7>& command_rules() {
@@ -232,7 +232,7 @@
         for (const int option_id : line.m_given_options) {
             if (option_id != option_store && !rule.m_options.contains(option_id)) {
                 return report_usage_error(
-                    fmt::format("an option that {} does not accept", rule.m_name));
+                    fmt::format("{} does not accept one of the given options", rule.m_name));
             }
         }
         if (line.m_by.empty()) {
--- a/src/observe/action_text.hpp
+++ b/src/observe/action_text.hpp
@@ -17,10 +17,11 @@
 // Returns the chosen lease request and the keeper's state after it.
 std::string action_text(const lease_keeper& keeper, lease_request request);
 
-// Returns the verdict on an offered call, and the running calls, waiting calls and limit after it.
+// Returns the verdict on an offered call, then the numbers of running and waiting calls and the
+// limit after it.
 std::string action_text(const admission_state& state, const admission_result& result);
-// Returns the waiting calls that may now run or have expired, and the running calls, waiting calls
-// and limit after that.
+// Returns the identifiers of the waiting calls that may now run and of those that have expired,
+// then the numbers of running and waiting calls and the limit after that.
 std::string action_text(const admission_state& state, const released_calls& release);
 
 // Returns the actions in order, such as "fetch east-1 3;announce 4;parse 4". Empty if there are
@@ -32,7 +33,7 @@
 // Returns "wait", or "write" followed by the record as it is written to the store.
 std::string action_text(const move_step& step);
 
-// Formats counts as "CALLS FAILURES COLD CLASS:COUNT ...". Latency classes without calls are
+// Formats counts as "CALLS FAILURES COLD_CALLS BUCKET:COUNT ...". Latency buckets without calls are
 // omitted.
 std::string format_counts(const arm_counts& counts);
 // Parses the output of format_counts. Returns nothing if the text is malformed.
--- a/src/observe/byte_account.hpp
+++ b/src/observe/byte_account.hpp
@@ -1,6 +1,7 @@
 // Counts the bytes that a node exchanges with other nodes, by purpose and by whether they leave its
-// data centre. The node that starts an exchange counts it in a data centre scope, so a sum over all
-// nodes counts nothing twice. The node that serves the exchange counts it in a separate scope.
+// data centre. The sender of a packet and the node that starts an exchange count the bytes under
+// own_data_centre or other_data_centre, so a sum of these two scopes over all nodes counts no byte
+// twice. The node that serves a bulk request counts it under served.
 #pragma once
 
 #include <array>
@@ -17,7 +18,7 @@
     join,   // member tables sent to joining nodes
     table,  // comparisons of member tables
     text,   // configuration texts and deltas
-    facts,  // suspensions and move records
+    facts,  // suspensions of versions and records of version moves
     other,  // evidence and version counts
     call,   // calls to backend servers beside other nodes
 };
@@ -29,7 +30,7 @@
 enum class byte_scope : std::uint8_t {
     own_data_centre,
     other_data_centre,
-    served, // exchange that another node started
+    served, // bulk request that another node started
 };
 constexpr std::size_t byte_scope_count = 3;
 
--- a/src/observe/log.cpp
+++ b/src/observe/log.cpp
@@ -148,8 +148,8 @@
     return ::poll(&state, 1, 0) == 1 && (state.revents & POLLOUT) != 0;
 }
 
-// Writes buffered lines until standard output would block. The caller holds the mutex. Write errors
-// are ignored, because the log has no other place to report them; the lines stay buffered.
+// Writes buffered lines until standard output would block. The mutex must be held. Write errors are
+// ignored, because the log has no other place to report them; the lines stay buffered.
 void write_pending(log_buffer& buffer) {
     while (!buffer.m_pending.empty() && is_writable(STDOUT_FILENO)) {
         const std::string_view chunk = next_log_chunk(buffer);
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -82,8 +82,8 @@
         return *m_call_cache.emplace(cache_key, &new_counter).first->second;
     }
 
-    // Updates the exported counters from the byte account. Callers add to the account, because
-    // adding to it is cheaper than to the counters.
+    // Updates the exported counters from the byte account. Exchanges are counted in the account
+    // first, because that is cheaper than looking up and incrementing the counters.
     void export_moved_bytes() {
         for (std::size_t i = 0; i < byte_purpose_count * byte_scope_count; ++i) {
             const auto purpose = static_cast<byte_purpose>(i / byte_scope_count);
--- a/src/observe/metrics.hpp
+++ b/src/observe/metrics.hpp
@@ -26,7 +26,7 @@
     // Counts a finished call and records its latency. side is "entry" or "backend".
     void count_call(std::string_view side, std::string_view service, outcome result,
                     error_kind reason, duration latency);
-    // Counts a second attempt of the entry side.
+    // Counts an attempt of the entry side after the first one.
     void count_retry(std::string_view service);
     // Adds bytes of control traffic. channel is "udp", "bulk" or "store".
     void count_control_bytes(std::string_view channel, std::uint64_t sent, std::uint64_t received);
@@ -37,8 +37,8 @@
     void set_members(std::string_view state, std::uint64_t count);
     // Sets the running and waiting calls of the own backend server and its concurrency limit.
     void set_load(std::uint32_t running, std::uint32_t waiting, std::uint32_t limit);
-    // Returns the counters of bytes exchanged with other nodes, for the caller to add to. Owned by
-    // this object.
+    // Returns the counters of bytes exchanged with other nodes, to which the calling code adds.
+    // Owned by this object.
     byte_account& moved_bytes();
     // Returns all metrics in the Prometheus text exposition format.
     std::string render() const;
--- a/src/observe/recorder.cpp
+++ b/src/observe/recorder.cpp
@@ -42,7 +42,8 @@
     all_fields.emplace_back("action", action);
     std::string line = format_event(log_level::info, decision_event, all_fields);
     const std::lock_guard lock(state.m_mutex);
-    // After a dropped line, a replay can't use later ones until the next flush has logged the gap.
+    // Once a line has been dropped, drops all further ones until flush_recording has logged the
+    // gap. A replay ends at the gap, so it can't use them.
     if (state.m_dropped > 0 || state.m_lines.size() >= state.m_max_queued_lines) {
         ++state.m_dropped;
         return;
--- a/src/observe/recorder.hpp
+++ b/src/observe/recorder.hpp
@@ -16,13 +16,12 @@
 // Written in place of inputs that were dropped because the queue was full. A replay ends there.
 constexpr std::string_view dropped_decisions_event = "decisions_dropped";
 
-// Starts recording for the rest of the process, or stops it if max_lines is 0. At most max_lines
-// are queued, and further ones are dropped and counted. Call after set_log_identity, before other
-// threads start.
+// Starts recording, or stops it if max_lines is 0. At most max_lines lines are queued, and further
+// ones are dropped and counted. Call after set_log_identity, before other threads start.
 void start_recording(std::size_t max_lines);
 
-// Returns whether inputs are recorded. Costs one relaxed load, so callers check it before they
-// build the fields.
+// Returns whether inputs are recorded. Costs one relaxed load; call it before building the fields
+// of an input.
 bool is_recording();
 
 // Queues one input: the component of the decision code, the input's name, the time passed to the
--- a/src/traffic/admission_gate.cpp
+++ b/src/traffic/admission_gate.cpp
@@ -11,13 +11,14 @@
 // Interval at which waiting calls are checked, so that an expired call is answered before its
 // caller gives up, and a server that can take calls again is used at once.
 constexpr milliseconds tick_interval{10};
-// Admission treats a server as cold if its responses take this many times the best latency.
+// A wait is abnormal above this many times the best latency. Admission treats a server as cold if
+// its responses take that long.
 constexpr int abnormal_wait_factor = 3;
 
 constexpr std::string_view recorded_component = "admission";
 
-// Records the effect of an ended, waiting or cancelled call or of the passing of time. A tick that
-// released no call changed nothing and is not recorded.
+// Records a drain or a tick and the calls that it released. A tick that released no call changed
+// nothing and is not recorded.
 void record_release(const admission_state& state, std::string_view input, time_point now,
                     const released_calls& release) {
     const bool did_nothing = release.m_run.empty() && release.m_expired.empty();
--- a/src/traffic/backend_side.cpp
+++ b/src/traffic/backend_side.cpp
@@ -106,8 +106,9 @@
 }
 
 // Rewrites the request's headers for the own backend server. The time of the first attempt is kept,
-// so that the server can pass it on with the keys of its onward calls: without it, no registrar
-// that started within the retention time grants a claim for them.
+// so that the server can pass it on with the keys of its onward calls. Without it, registrars that
+// started within the retention time can't tell whether such a key is new, and the onward call is
+// not run.
 void rewrite_for_server(const traffic_context& context, const call_info& info,
                         const trace_context& trace, http_request& request) {
     const edge_headers& edge = context.m_settings.m_edge_headers;
@@ -222,9 +223,9 @@
     }
 }
 
-// Returns the reason to refuse a call because the own server changed while the call waited for a
-// slot, or nothing. A call must not be sent to a server that is leaving, nor to another server than
-// the one it was meant for.
+// Returns the reason to refuse a call if the state of the own server changed while the call waited
+// for a slot, or nothing. A call must not be sent to a server that is leaving, nor to another
+// server than the one it was meant for.
 std::optional<error> refusal_before_send(const traffic_context& context,
                                          const routing_snapshot& at_arrival) {
     const auto current = context.m_snapshot.load();
--- a/src/traffic/call_control.hpp
+++ b/src/traffic/call_control.hpp
@@ -1,5 +1,5 @@
-// Time limits, cancellation and waiting for the calls of a connection, which carries one call at a
-// time.
+// Time limits, cancellation and waiting for the calls of a connection. Each call_control handles
+// one call at a time.
 #pragma once
 
 #include <cstdint>
@@ -28,7 +28,7 @@
 // only where it suspends.
 class call_control : public std::enable_shared_from_this<call_control> {
 public:
-    // incoming may be a closed socket, for work that no caller's connection carries.
+    // incoming may be a closed socket, for work that doesn't belong to an incoming connection.
     static std::shared_ptr<call_control> create(boost::asio::io_context& io, tcp::socket incoming,
                                                 const clock_source& clock, std::uint64_t seed);
 
--- a/src/traffic/claims_over_http.cpp
+++ b/src/traffic/claims_over_http.cpp
@@ -23,8 +23,8 @@
 
 // A registrar that takes longer to reply counts as unreachable. Round trips take less than 20 ms.
 constexpr milliseconds claim_timeout{250};
-// A refused call waits this long for its registrars to confirm the withdrawal, so that the next
-// attempt through another node finds the key free.
+// A call that did not run waits at most this long for its registrars to confirm the withdrawal, so
+// that the next attempt through another node finds the key free.
 constexpr milliseconds withdraw_wait{100};
 // Maximum number of calls of one node that wait for the result of another attempt.
 constexpr std::size_t max_result_waiting = 256;
@@ -169,7 +169,7 @@
     return answer;
 }
 
-// Sends a request that is not a call to another node and reads the response. Returns nothing, with
+// Sends another node a request below node_path_prefix and reads the response. Returns nothing, with
 // the reason, if there is no response or it belongs to another request.
 std::optional<http_response> send_node_request(traffic_context& context, call_control& control,
                                                const ip_endpoint& peer, std::string_view path,
@@ -260,6 +260,7 @@
         const std::lock_guard lock(m_mutex);
         const auto found = m_results.m_results.find(std::string(combined_key));
         if (found != m_results.m_results.end() && found->second.m_state == result_state::running) {
+            // This state means that there is no response to replay, whatever the reason.
             found->second.m_state = result_state::too_large;
             found->second.m_expires = m_clock.now() + m_results.m_retention;
         }
@@ -342,8 +343,8 @@
 }
 
 // Collects the replies to one request that is sent to all registrars. Each registrar is asked on
-// its own coroutine, which continues after the call has ended, so that a withdrawal never overtakes
-// its claim.
+// its own coroutine, which continues after the call has ended. The withdrawal of a claim is sent
+// after the claim's request was answered or timed out, so that it doesn't overtake the claim.
 struct key_claim::registrar_round {
     std::mutex m_mutex;
     std::size_t m_pending = 0;
@@ -469,7 +470,8 @@
 }
 
 bool key_claim::claim(asio::yield_context yield, error& reason) {
-    // Each request has its own time limit, so this waits for all of them.
+    // Each request ends after claim_timeout at the latest, so a wait of twice that time gets a
+    // result for every registrar.
     const auto replies = send_to_registrars(false, 2 * claim_timeout, yield);
     const claim_decision decision = decide_claim(m_registrars, replies);
     if (decision.m_kind == claim_decision::kind::run) {
@@ -483,8 +485,8 @@
     return false;
 }
 
-// The registrars are asked before the entry here is released, so that the next attempt finds the
-// key free at its registrars.
+// The registrars are told first and the entry of this node is released afterwards, so that the next
+// attempt at this node finds the key free at its registrars.
 void key_claim::withdraw(asio::yield_context yield) {
     send_to_registrars(true, m_control.is_ended() ? duration{} : withdraw_wait, yield);
     m_context.m_keys.release_entry(m_combined_key);
--- a/src/traffic/claims_over_http.hpp
+++ b/src/traffic/claims_over_http.hpp
@@ -118,8 +118,8 @@
     claim_request m_request;
     registrar_sets m_registrars;
     bool m_reserved = false;
-    std::string m_claimant; // instance that holds the key; empty if none is known
-    std::uint64_t m_held_claim_id = 0;
+    std::string m_claimant;            // instance that holds the key; empty if none is known
+    std::uint64_t m_held_claim_id = 0; // claim id under which m_claimant holds the key
     std::optional<http_response> m_replay;
 };
 
--- a/src/traffic/connection_pool.cpp
+++ b/src/traffic/connection_pool.cpp
@@ -23,8 +23,8 @@
 constexpr double idle_timeout_fraction = 0.6;
 // Number of answers to earlier requests that are dropped before the exchange fails.
 constexpr int max_mismatched_answers = 2;
-// Limit of interim (1xx) answers before the final one; an exchange fails with a server that sends
-// them endlessly.
+// Maximum number of interim (1xx) answers before the final one, so that an exchange with a server
+// that sends them endlessly fails.
 constexpr int max_interim_answers = 16;
 // Buffer capacity in bytes beyond the header limit.
 constexpr std::size_t read_ahead_bytes = 64U << 10U;
--- a/src/traffic/entry_side.cpp
+++ b/src/traffic/entry_side.cpp
@@ -62,9 +62,10 @@
                                            std::memory_order_relaxed);
 }
 
-// Records the result of an attempt in the circuit breaker. A refusal shows that the node is
-// reachable. connect_failed of another node means that the node or its backend server refuses
-// connections, and counts as unreachable; for the own backend server it counts as one failure.
+// Records the result of an attempt in the circuit breaker. A refusal counts as a success, since it
+// shows that the node is reachable. connect_failed opens the breaker at once if the call went to
+// another node, since that node or its backend server can't be connected to; for the own backend
+// server it counts as one failure.
 void update_breaker(backend_counters& counters, error_kind reason, bool own_server,
                     time_point now) {
     if (reason == error_kind::cancelled_before_send || reason == error_kind::cancelled_after_send) {
@@ -347,8 +348,9 @@
            reason == error_kind::backend_shed;
 }
 
-// Returns the error kind by which a retry is decided. An idempotent call that the backend server
-// answered with a status of 500 or above is retried like one whose answer was lost.
+// Returns the error kind that decides on a retry; none means that there is no reason for one. An
+// idempotent call that the backend server answered with a status of 500 or above is retried like
+// one whose answer was lost.
 error_kind retry_reason(const entry_call& call, const call_reply& reply) {
     const bool failed = reply.m_reason == error_kind::none && call.m_info.m_idempotent &&
                         reply.m_message.result_int() >= 500;
@@ -453,8 +455,8 @@
 }
 
 // Records the deadline that a caller stated and returns how long the call has already been in
-// progress at the caller. The route's own timeout is not recorded, since a shorter one would make
-// all callers look like retrying ones.
+// progress at the caller. The deadline is used as stated, without the route's timeout as a limit:
+// with a timeout shorter than an earlier deadline, all callers would look like retrying ones.
 duration record_caller_deadline(traffic_context& context, const route_spec& route,
                                 std::optional<milliseconds> stated, time_point now) {
     if (!stated) {
--- a/src/traffic/entry_side.hpp
+++ b/src/traffic/entry_side.hpp
@@ -7,8 +7,8 @@
 namespace caraway {
 
 // Handles a request of a caller or an onward call of the own backend server. Returns the answer to
-// send; failures are returned as a refusal that states outcome and reason. Suspends the coroutine
-// while the call is in progress.
+// send; for a failed call it states outcome and reason. Suspends the coroutine while the call is in
+// progress.
 call_reply handle_entry(traffic_context& context, call_control& control, http_request& request,
                         boost::asio::yield_context yield);
 
--- a/src/traffic/http_message.cpp
+++ b/src/traffic/http_message.cpp
@@ -14,7 +14,7 @@
 namespace beast = boost::beast;
 
 constexpr std::uint64_t max_time_left_ms = 3'600'000;
-// Delay after which a refused caller should retry unless the refusal states another one. Queues
+// Delay after which a caller should retry unless the error response states another one. Queues
 // turn over several times per second, and nodes detect a lost server within a second.
 constexpr milliseconds default_retry_after{300};
 
--- a/src/traffic/http_message.hpp
+++ b/src/traffic/http_message.hpp
@@ -1,4 +1,4 @@
-// HTTP messages of the traffic side: header names, removal of internal headers, refusals. Includes
+// HTTP messages of the traffic side: header names, removal of headers, error responses. Includes
 // Boost.Beast, so only the .cpp files of this folder include it.
 #pragma once
 
@@ -50,7 +50,7 @@
 constexpr std::string_view traceparent = "traceparent";
 } // namespace header
 
-// Prefix of the paths of requests between nodes that are not calls.
+// Path prefix of the requests that nodes send each other besides calls.
 constexpr std::string_view node_path_prefix = "/.caraway/";
 // Depth above which a chain of calls is assumed to be a loop.
 constexpr std::uint32_t max_hops = 7;
--- a/src/traffic/served_connection.cpp
+++ b/src/traffic/served_connection.cpp
@@ -14,8 +14,8 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// Time after which an idle connection is closed. Nodes close their idle connections earlier, after
-// 30 s; see connection_pool.
+// Time after which an idle connection is closed. Nodes close their own idle connections earlier,
+// after 30 s; see max_idle_time_peers.
 constexpr milliseconds idle_timeout{75'000};
 // Time within which a request must arrive completely once its first byte was received. Slower
 // callers would occupy connections that others need.
@@ -79,8 +79,8 @@
 
 using connection_ptr = std::shared_ptr<served_connection>;
 
-// Sets a flag and wakes the connection's coroutine when another coroutine ends, even by an
-// exception.
+// Sets a flag and wakes the connection's coroutine when the coroutine that owns this object ends,
+// even by an exception.
 class completion_notifier {
 public:
     completion_notifier(bool& ended, call_control& waiter) : m_ended(ended), m_waiter(waiter) {}
@@ -159,7 +159,7 @@
     }
 }
 
-// Same for a served connection. If it has a reader, the reader discards the input.
+// As above, for a served connection. If it has a reader, the reader discards the input.
 void linger(served_connection& connection, asio::yield_context yield) {
     if (!connection.m_reader) {
         linger(connection.m_context, *connection.m_control, yield);
--- a/src/traffic/snapshot.hpp
+++ b/src/traffic/snapshot.hpp
@@ -57,7 +57,8 @@
     std::vector<known_instance> m_members;
     // Instances that left voluntarily and are not forgotten yet.
     std::vector<departure> m_departures;
-    // Periods during which an instance of the service was lost, as far as this node knows.
+    // Periods during which an instance of the service was suspected or dead, as far as this node
+    // knows.
     std::vector<member_loss> m_losses;
 };
 
@@ -97,8 +98,7 @@
         const std::lock_guard lock(m_mutex);
         return m_current;
     }
-    // The previous snapshot is destroyed together with the caller's argument, after the lock is
-    // released.
+    // The previous snapshot is destroyed together with the parameter, after the lock is released.
     void store(std::shared_ptr<const routing_snapshot> next) {
         const std::lock_guard lock(m_mutex);
         m_current.swap(next);
--- a/src/traffic/sockets.hpp
+++ b/src/traffic/sockets.hpp
@@ -14,8 +14,8 @@
 // Delay before the next accept after one failed, mostly for lack of file descriptors.
 constexpr milliseconds accept_retry_delay{10};
 
-// Converts an address from the settings. A malformed address gives the unspecified address, to
-// which every connection attempt fails.
+// Converts an endpoint of the settings or of a member. A malformed address is converted to the
+// unspecified address.
 tcp::endpoint to_tcp_endpoint(const ip_endpoint& endpoint);
 
 // Binds the acceptor to the address and listens. Returns false with invalid_settings if that fails.
--- a/src/traffic/traffic.hpp
+++ b/src/traffic/traffic.hpp
@@ -47,11 +47,13 @@
     // Wakes the calls that wait for a newer configuration, after the snapshot has changed.
     void snapshot_changed();
 
-    // Sets the time until which the snapshot is trusted. After it, new work is refused as not run
-    // until a later time is set. If this is never called, the snapshot is always trusted.
+    // Sets the time until which the snapshot is trusted. After it, new calls are answered with an
+    // error that states that they did not run, until a later time is set. If this is never called,
+    // the snapshot is always trusted.
     void trust_snapshot_until(time_point until);
 
-    // Refuses new work as not run from now on; running calls continue.
+    // From now on, answers new calls and calls that wait for a slot with an error that states that
+    // they did not run. Running calls and their onward calls continue.
     void drain();
 
     // Returns the number of calls that are running or whose response is still being sent.
--- a/src/traffic/traffic_context.hpp
+++ b/src/traffic/traffic_context.hpp
@@ -50,7 +50,7 @@
     admission_gate m_gate;
     key_tables m_keys;
     control_set m_connections; // of callers and other nodes
-    control_set m_background;  // work that no incoming connection carries
+    control_set m_background;  // of work that doesn't belong to an incoming connection
     waiting_calls m_config_waiting{max_config_waiting};
 
     std::atomic<bool> m_draining{false};
@@ -128,7 +128,7 @@
 // Returns the time left until a deadline in milliseconds, rounded down; 0 if it has passed.
 std::uint64_t ms_left(time_point deadline, time_point now);
 
-// Creates the reply to a call that failed at this node. sent tells whether the request may have
+// Creates the reply to a call that was refused or failed. sent tells whether the request may have
 // reached a backend server.
 call_reply make_error_reply(const traffic_context& context, const error& reason, bool sent);
 
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -126,8 +126,8 @@
     BOOST_TEST(!platform::decode_move_status("nothing", 7));
 }
 
-// Guards against accepting an incomplete or malformed report, such as one of another writer, which
-// would add a server that can't be used.
+// Guards against accepting an incomplete or malformed report, such as one that another program
+// wrote. It would add a server that can't be used.
 BOOST_AUTO_TEST_CASE(reports_are_read_completely_or_rejected) {
     error reason;
     const auto read = platform::decode_report("i-1", report_text, reason);
--- a/tests/traffic_fixture.hpp
+++ b/tests/traffic_fixture.hpp
@@ -62,7 +62,7 @@
     int runs() const { return m_runs; }
     // Slow requests whose connection the node closed before their answer.
     std::size_t closed_while_slow() const { return m_closed_while_slow; }
-    // Slow requests started.
+    // Slow requests started, including those that have ended.
     std::size_t slow_started() const { return m_slow_started; }
     // Bytes sent by the endless behaviours.
     std::size_t endless_bytes() const { return m_endless_bytes; }
@@ -169,7 +169,7 @@
         }
         if (action == "no-length-reset") {
             write("HTTP/1.1 200 OK\r\n\r\nthis is cut by a reset");
-            // Leaves time to read the bytes before the reset discards them.
+            // Leaves the node time to read the bytes before the reset discards them.
             std::this_thread::sleep_for(milliseconds(50));
             error_code ignored;
             const std::lock_guard lock(m_mutex);
@@ -255,7 +255,7 @@
     std::atomic<bool> m_stopped{false};
     std::atomic<int> m_runs{0};
     std::atomic<std::size_t> m_closed_while_slow{0};
-    std::atomic<std::size_t> m_slow_started{0}; // slow requests that were started
+    std::atomic<std::size_t> m_slow_started{0};
     std::atomic<std::size_t> m_endless_bytes{0};
     std::string m_health; // set before the node starts
     std::mutex m_mutex;
@@ -270,6 +270,7 @@
     node_settings m_settings;
     std::unique_ptr<node_metrics> m_metrics;
     snapshot_cell m_snapshot;
+    // Last version that the hook m_newer_version_seen received.
     std::atomic<std::uint64_t> m_newer_config_version{0};
     std::unique_ptr<traffic_server> m_server;
 };
--- a/tests/traffic_test.cpp
+++ b/tests/traffic_test.cpp
@@ -101,7 +101,7 @@
     }
 }
 
-// Guards against answers without a body after which the caller waits for one.
+// Guards against an answer without a body that makes the caller wait for a body.
 BOOST_AUTO_TEST_CASE(head_and_empty_answers_end) {
     fake_server server;
     add_node("n1", "pour", server.port());
@@ -242,7 +242,8 @@
     BOOST_TEST(server.runs() == 2);
 }
 
-// Guards against short deadlines of callers that make admission treat a healthy server as cold.
+// Guards against an admission control that treats a healthy server as cold because its callers set
+// short deadlines.
 BOOST_AUTO_TEST_CASE(short_deadlines_do_not_close_admission) {
     fake_server server;
     test_node& backend_node = add_node("n1", "pour", server.port());
@@ -478,7 +479,7 @@
         outcome_and_reason(
             caller(called_node).call("/once/echo", "", node_call_headers(key_headers("k")))) ==
         "answered/none");
-    publish(called_node, 7, {"n2", "n3"}); // a minority
+    publish(called_node, 7, {"n2", "n3"}); // n3 is dead too; only one of three registrars remains
     BOOST_TEST(
         outcome_and_reason(
             caller(called_node).call("/once/echo", "", node_call_headers(key_headers("other")))) ==
@@ -552,7 +553,7 @@
     }
 }
 
-// Guards against probes that take time of a busy server, and against probes that cannot be turned
+// Guards against probes that take up a busy server's time, and against probes that cannot be turned
 // off.
 BOOST_AUTO_TEST_CASE(health_is_not_probed_while_calls_are_served) {
     fake_server idle;
