--- a/src/carawayctl/main.cpp
+++ b/src/carawayctl/main.cpp
@@ -57,11 +57,11 @@
 // The parsed command line.
 struct command_line {
     std::vector<std::string> m_positionals; // command and arguments
-    std::set<int> m_given_options;          // options that were given
+    std::set<int> m_given_options;          // values of enum option
     std::vector<ip_endpoint> m_store;
     std::optional<std::uint64_t> m_from;
     std::string m_by;
-    std::string m_previous;
+    std::string m_previous_file;
     std::string m_service;
     std::optional<milliseconds> m_timeout;
 };
@@ -71,7 +71,7 @@
     std::string_view m_name;
     std::size_t m_min_arguments = 0;
     std::size_t m_max_arguments = 0;
-    std::set<int> m_options;
+    std::set<int> m_options; // values of enum option
 };
 
 const std::array<command_rule, 7>& command_rules() {
@@ -150,7 +150,7 @@
         line.m_by = argument;
         break;
     case option_previous:
-        line.m_previous = argument;
+        line.m_previous_file = argument;
         break;
     case option_service:
         line.m_service = argument;
@@ -175,7 +175,7 @@
                                              line.m_positionals.end());
     const wall_time now = std::chrono::system_clock::now();
     if (command == "check") {
-        return check_text(out, arguments[0], line.m_previous, now);
+        return check_text(out, arguments[0], line.m_previous_file, now);
     }
     if (command == "diff" && arguments.size() == 2) {
         return diff_files(out, arguments[0], arguments[1], now);
@@ -232,7 +232,7 @@
         for (const int option_id : line.m_given_options) {
             if (option_id != option_store && !rule.m_options.contains(option_id)) {
                 return report_usage_error(
-                    fmt::format("an option that {} does not accept", rule.m_name));
+                    fmt::format("{} does not accept one of the given options", rule.m_name));
             }
         }
         if (line.m_by.empty()) {
--- a/src/traffic/http_message.cpp
+++ b/src/traffic/http_message.cpp
@@ -14,7 +14,7 @@
 namespace beast = boost::beast;
 
 constexpr std::uint64_t max_time_left_ms = 3'600'000;
-// Delay after which a refused caller should retry unless the refusal states another one. Queues
+// Delay after which a caller should retry unless the error response states another one. Queues
 // turn over several times per second, and nodes detect a lost server within a second.
 constexpr milliseconds default_retry_after{300};
 
@@ -143,7 +143,7 @@
     return field_bytes(message) + message.body().size();
 }
 
-http_response make_refusal(error_kind kind, std::string_view text) {
+http_response make_error_response(error_kind kind, std::string_view text) {
     const error_info& row = error_info_for(kind);
     http_response answer =
         make_json_response(row.m_status, boost::json::serialize(boost::json::object{
--- a/src/traffic/served_connection.cpp
+++ b/src/traffic/served_connection.cpp
@@ -14,8 +14,8 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// Time after which an idle connection is closed. Nodes close their idle connections earlier, after
-// 30 s; see connection_pool.
+// Time after which an idle connection is closed. Nodes close their own idle connections earlier,
+// after 30 s; see max_idle_time_peers.
 constexpr milliseconds idle_timeout{75'000};
 // Time within which a request must arrive completely once its first byte was received. Slower
 // callers would occupy connections that others need.
@@ -79,8 +79,8 @@
 
 using connection_ptr = std::shared_ptr<served_connection>;
 
-// Sets a flag and wakes the connection's coroutine when another coroutine ends, even by an
-// exception.
+// Sets a flag and wakes the connection's coroutine when the coroutine that owns this object ends,
+// even by an exception.
 class completion_notifier {
 public:
     completion_notifier(bool& ended, call_control& waiter) : m_ended(ended), m_waiter(waiter) {}
@@ -126,16 +126,16 @@
 // there is no one to answer.
 std::optional<http_response> refusal_for_read_error(const error_code& failed) {
     if (failed == http::error::body_limit) {
-        return make_refusal(error_kind::body_too_large, "the body is above the limit");
+        return make_error_response(error_kind::body_too_large, "the body is above the limit");
     }
     if (failed == http::error::header_limit || failed == http::error::buffer_overflow) {
-        return make_refusal(error_kind::bad_request, "the headers are above the limit");
+        return make_error_response(error_kind::bad_request, "the headers are above the limit");
     }
     if (failed == http::error::end_of_stream || failed == http::error::partial_message ||
         failed.category() != http::make_error_code(http::error::end_of_stream).category()) {
         return std::nullopt;
     }
-    return make_refusal(error_kind::bad_request, "not a valid HTTP request");
+    return make_error_response(error_kind::bad_request, "not a valid HTTP request");
 }
 
 bool write_answer(traffic_context& context, call_control& control, http_response& answer,
@@ -159,7 +159,7 @@
     }
 }
 
-// Same for a served connection. If it has a reader, the reader discards the input.
+// As above, for a served connection. If it has a reader, the reader discards the input.
 void linger(served_connection& connection, asio::yield_context yield) {
     if (!connection.m_reader) {
         linger(connection.m_context, *connection.m_control, yield);
@@ -490,7 +490,7 @@
 
 void refuse_surplus_connection(traffic_context& context, call_control& control,
                                asio::yield_context yield) {
-    call_reply reply = refuse(
+    call_reply reply = make_error_reply(
         context, {error_kind::too_many_connections, "the connection limit is reached"}, false);
     frame_answer(reply.m_message, http::verb::get, false);
     if (write_answer(context, control, reply.m_message, yield)) {
--- a/src/traffic/traffic_context.cpp
+++ b/src/traffic/traffic_context.cpp
@@ -10,8 +10,8 @@
 // Maximum number of idle connections to one other node. At the planned 70 calls/s of about 20 ms
 // each, a node rarely has more than a few calls to one other node in progress.
 constexpr std::size_t max_idle_per_peer = 64;
-// Maximum number of idle connections to the own backend server. They are also bounded by its
-// service's connection limit, of which this is the highest sensible value.
+// Maximum number of idle connections to the own backend server. Its service's connection limit
+// bounds them as well; a higher limit than this is not sensible.
 constexpr std::size_t max_idle_own_server = 1'024;
 // Shorter than the 75 s for which other nodes keep idle connections.
 constexpr milliseconds max_idle_time_peers{30'000};
@@ -46,12 +46,12 @@
         std::chrono::duration_cast<milliseconds>(deadline - now).count());
 }
 
-call_reply refuse(const traffic_context& context, const error& reason, bool sent) {
+call_reply make_error_reply(const traffic_context& context, const error& reason, bool sent) {
     call_reply reply;
     reply.m_reason = reason.m_kind;
     reply.m_sent = sent;
     reply.m_peer = context.m_settings.m_instance;
-    reply.m_message = make_refusal(reason.m_kind, reason.m_text);
+    reply.m_message = make_error_response(reason.m_kind, reason.m_text);
     set_header(reply.m_message, header::instance, context.m_settings.m_instance);
     set_numeric_header(reply.m_message, header::config_version,
                        context.m_snapshot.load()->m_config_version);
--- a/src/traffic/traffic_context.hpp
+++ b/src/traffic/traffic_context.hpp
@@ -50,7 +50,7 @@
     admission_gate m_gate;
     key_tables m_keys;
     control_set m_connections; // of callers and other nodes
-    control_set m_background;  // work that no incoming connection carries
+    control_set m_background;  // of work that doesn't belong to an incoming connection
     waiting_calls m_config_waiting{max_config_waiting};
 
     std::atomic<bool> m_draining{false};
@@ -63,9 +63,9 @@
 
     std::mutex m_entry_mutex;
     std::unordered_map<std::string, entry_state> m_entry_states; // by service
-    std::unordered_map<std::string, weighted_round_robin>
-        m_partitions;                                          // by host and path of the route
-    std::unordered_map<std::string, caller_history> m_callers; // by host and path of the route
+    // By host and path of the route.
+    std::unordered_map<std::string, weighted_round_robin> m_route_splits;
+    std::unordered_map<std::string, caller_history> m_caller_histories;
 
     exchange_limits limits() const {
         return {m_settings.m_max_header_bytes, m_settings.m_max_answer_bytes};
@@ -95,7 +95,7 @@
     trace_context m_trace;
 };
 
-// Response of the entry side or the backend side, with the details that the other side needs.
+// Response of the entry side or the backend side, with details for retries, logs and metrics.
 struct call_reply {
     http_response m_message;
     error_kind m_reason = error_kind::none; // none: complete response of the server
@@ -128,9 +128,9 @@
 // Returns the time left until a deadline in milliseconds, rounded down; 0 if it has passed.
 std::uint64_t ms_left(time_point deadline, time_point now);
 
-// Creates the reply to a call that failed at this node. sent tells whether the request may have
+// Creates the reply to a call that was refused or failed. sent tells whether the request may have
 // reached a backend server.
-call_reply refuse(const traffic_context& context, const error& reason, bool sent);
+call_reply make_error_reply(const traffic_context& context, const error& reason, bool sent);
 
 // Writes the log line and the metrics of a call that ended at one side, and its span if spans are
 // enabled.
