--- a/src/observe/byte_account.hpp
+++ b/src/observe/byte_account.hpp
@@ -19,7 +19,7 @@
     table,  // comparisons of member tables
     text,   // configuration texts and deltas
     facts,  // suspensions of versions and records of version moves
-    other,  // evidence and version counts
+    other,  // evidence for version moves, and counts of configuration versions in force
     call,   // calls to backend servers beside other nodes
 };
 constexpr std::size_t byte_purpose_count = 8;
--- a/src/traffic/traffic_context.hpp
+++ b/src/traffic/traffic_context.hpp
@@ -95,7 +95,7 @@
     trace_context m_trace;
 };
 
-// Response of the entry side or the backend side, with the details that the other side needs.
+// Response of the entry side or the backend side, with details for retries, logs and metrics.
 struct call_reply {
     http_response m_message;
     error_kind m_reason = error_kind::none; // none: complete response of the server
--- a/tests/traffic_fixture.hpp
+++ b/tests/traffic_fixture.hpp
@@ -324,7 +324,8 @@
 }
 
 // Returns the headers of a request with an idempotency key. The time of the first attempt is later
-// than the start of the registrars by more than the allowed clock difference.
+// than the start of the registrars by more than the allowed clock difference, so that their history
+// of the key counts as complete.
 inline std::map<std::string, std::string> key_headers(const std::string& key) {
     const auto first_sent = unix_ms(std::chrono::system_clock::now()) + 3'000;
     return {{"idempotency-key", key}, {"x-caraway-first-sent", std::to_string(first_sent)}};
