--- a/src/decide/acceptance.cpp
+++ b/src/decide/acceptance.cpp
@@ -53,9 +53,9 @@
 constexpr std::uint64_t versions_kept_before_full = 8;
 
 // A delta is small up to this many bytes, or up to the text size divided by the divisor. Each delta
-// contains the changes of all earlier ones since the last full text. Beyond this size, seven deltas
-// cost more than a compressed full text, which takes a twelfth of the text's size with names that
-// hardly compress.
+// contains the changes of all earlier ones since the last full text. Beyond this size, the seven
+// deltas between two full texts cost more than a compressed full text, whose size is a twelfth of
+// the text's with names that hardly compress.
 constexpr std::size_t small_delta_bytes = 4'096;
 constexpr std::size_t small_delta_divisor = 64;
 
--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -18,7 +18,7 @@
 // of the best latency.
 constexpr double fast_factor = 2;
 // The server counts as warm, and the limit rises above a quarter of the slots, at or below this
-// multiple of the best latency. It includes a server with a tenth of its cold-start slowdown left.
+// multiple of the best latency. A server with a tenth of its cold-start slowdown left is below it.
 constexpr double warm_factor = 1.6;
 // The server is still warming up if its latency falls by a tenth within this interval.
 constexpr milliseconds trend_interval{1'000};
@@ -51,7 +51,8 @@
 // It could hardly be answered in time, and its caller still has time to retry.
 constexpr int min_useful_time_percent = 60;
 // Bounds of the ratio of actual to estimated queueing time, and the shortest estimate that is
-// compared. Below it, the moment at which a slot happens to become free dominates.
+// compared with the actual time. The actual time of a shorter wait depends mostly on the moment at
+// which a slot happens to become free.
 constexpr double min_wait_correction = 0.25;
 constexpr double max_wait_correction = 4;
 constexpr milliseconds min_compared_wait{5};
--- a/src/decide/balance.hpp
+++ b/src/decide/balance.hpp
@@ -41,8 +41,9 @@
 // to no effect.
 bool is_overloaded(std::span<const candidate> candidates);
 
-// One node's selection between the two versions of a service. Each call advances a position by its
-// weight; in every unit of 1000 the new version is selected once, at a random position.
+// One node's selection between the two versions of a service. Each call advances a position by the
+// new version's weight in permille; in every unit of 1000 the new version is selected once, at a
+// random position.
 struct version_share {
     std::uint32_t m_unit_position = 0; // position within the current unit
     // Position in the current unit at which the new version is selected.
@@ -52,9 +53,9 @@
 };
 
 // Returns true if a call goes to the new version, which receives weight_permille of the calls,
-// exact to about one call at any time. Independent random choices exceeded 5% of some 900 calls at
-// a weight of 50; selecting at a fixed distance would let a periodic pattern in a caller's requests
-// keep the new version off a route.
+// exact to about one call at any time. With independent random choices at a weight of 50, the new
+// version received more than 5% of some 900 calls. If every n-th call were selected, a periodic
+// pattern in a caller's requests could keep the new version off a route.
 bool choose_new_version(version_share& share, std::uint32_t weight_permille, random_source& random);
 
 // State of one node's smooth weighted round robin over the services of a split route.
--- a/src/decide/claim.hpp
+++ b/src/decide/claim.hpp
@@ -24,13 +24,13 @@
 // could otherwise select different registrars for the same key, and both obtain a majority. In
 // schedules of up to 1,000 nodes, all nodes knew 20 simultaneously started instances after 4.5 s.
 constexpr milliseconds membership_convergence_allowance{5'000};
-// Added to the allowance above. A partition that hides a new instance from other nodes has caused a
-// member to be suspected by the time the instance counts as a registrar.
+// Added to membership_convergence_allowance. If a partition hides a new instance from other nodes,
+// a member has been suspected by the time that the instance counts as a registrar.
 constexpr milliseconds suspicion_allowance{5'000};
-// The member table before a loss is taken as of this long before the first suspicion. Nodes on both
-// sides of a partition knew the same instances at that time, although they detect the partition at
-// different times. In a schedule of 400 nodes split into halves, it took 54 s until each node
-// suspected all members of the other half.
+// Instances first started at least this long before the first suspicion of a loss count as known on
+// both sides of a partition, although nodes detect the partition at different times. In a schedule
+// of 400 nodes split into halves, it took 54 s until each node suspected all members of the other
+// half.
 constexpr milliseconds loss_detection_allowance{75'000};
 // If instances started within this time before the key was first sent, a majority of the registrars
 // without them is required as well, since a partition may not have been detected yet.
@@ -181,7 +181,8 @@
 // What the executing node does after it has the replies of all registrars.
 struct claim_decision {
     enum class kind : std::uint8_t {
-        run, // all live registrars granted, and a majority of all; a majority's history is complete
+        run, // all live registrars, and a majority of all, granted the claim, and a majority of all
+             // has a complete history
         ask_claimant, // another node holds the key: ask it for the result
         refuse,       // the request has certainly not run: withdraw the claim and refuse the
                       // request as not run, with m_reason
--- a/src/decide/distribution.hpp
+++ b/src/decide/distribution.hpp
@@ -35,8 +35,9 @@
 // after this wait, because a node that restarts while the store is down should find the text at
 // other members.
 constexpr milliseconds store_replica_wait{1'000};
-// Number of members asked for the minimum version when the store is down. In a smaller mesh, all
-// known members are asked.
+// Number of members that must have replied to the join request before a node applies a version
+// without the store: their replies give the minimum version. If fewer members are known, all of
+// them must have replied.
 constexpr std::size_t join_replies_before_apply = 3;
 // Upper bound of the number of peers whose versions are kept. Further names are ignored, since the
 // headers of calls may carry any name.
--- a/src/decide/membership.hpp
+++ b/src/decide/membership.hpp
@@ -176,9 +176,10 @@
     bool m_indirect = false;   // indirect probes were requested
     std::uint32_t m_relays = 0;
     std::uint32_t m_relays_confirmed = 0; // relays that acknowledged the request
-    std::optional<ip_endpoint> m_relay;   // set for another node's probe: destination of the ack
-    std::uint64_t m_relay_sequence = 0;
-    std::string m_relay_instance; // node that requested the probe
+    // Set if another node requested this probe by a ping_request; its ack is forwarded there.
+    std::optional<ip_endpoint> m_requester_address;
+    std::uint64_t m_requester_sequence = 0; // of the ping_request
+    std::string m_requester;                // node that requested the probe
 };
 
 // A claim in another node's table that a member is dead. This node verifies it with its own ping.
@@ -221,13 +222,13 @@
     time_point m_next_probe;
     time_point m_last_tick;
     time_point m_self_changed;        // start, or last change of this node's incarnation
-    time_point m_no_death_before;     // no member is declared dead before; set after a pause
+    time_point m_no_death_before;     // no member is declared dead earlier; set after a pause
     std::uint32_t m_local_health = 0; // 0 is healthy; each step lengthens this node's timeouts
     std::uint64_t m_facts_digest = 0; // set by the node when facts change
     std::uint64_t m_held_version = 0; // set by the node: highest version whose text is held
     std::deque<std::string> m_update_queue;      // members with piggyback transmissions due
     std::uint32_t m_self_transmissions_left = 0; // the same for this node's entry
-    time_point m_next_gossip;                    // of queued updates, between the probes
+    time_point m_next_gossip;                    // next packet sent only for gossip
     // On a gateway: members whose entries are due for the other data centres, and the time of the
     // next packets.
     std::deque<std::string> m_remote_queue;
@@ -253,7 +254,7 @@
     std::string m_restart_cursor;   // the same for recently lost members
     time_point m_next_facts_differ; // earliest time of the next facts_differ
     double m_rumour_tokens = 0;     // member rumours that may be forwarded immediately
-    double m_gossip_bytes = 0;      // left for gossip between the probes
+    double m_gossip_bytes = 0;      // left for packets sent only for gossip
     double m_remote_bytes = 0;      // left for packets to other data centres
     double m_reply_tokens = 0;      // pings that may be sent in reply to unknown senders
     time_point m_tokens_filled;
--- a/src/decide/membership_packets.cpp
+++ b/src/decide/membership_packets.cpp
@@ -11,13 +11,14 @@
 namespace caraway::swim {
 namespace {
 
-// Piggyback transmissions of one update per power of ten of the table size. With half as many, some
-// member missed about one update in twenty at 50 members and 5% packet loss.
+// Number of packets in which a node piggybacks one update, multiplied by the decimal logarithm of
+// the number of live members (at least 1): 12 packets at 100 live members. With half as many, about
+// one update in twenty didn't reach every member (50 members, 5% packet loss).
 constexpr double transmissions_per_decade = 6.0;
-// A transmission counts as several if the queue is several times this long, so that each update is
-// sent fewer times, but at least min_transmissions times. When a data centre fails or returns,
-// every node forwards thousands of updates; the first transmissions of each reach nearly all
-// members, and the comparison of tables repairs the rest.
+// While the queue is N times this long, the number of packets that carry an update is divided by N,
+// but to no fewer than min_transmissions. When a data centre fails or returns, every node forwards
+// thousands of updates; the first transmissions of each reach nearly all members, and the
+// comparison of tables repairs the rest.
 constexpr std::size_t long_queue_length = 64;
 constexpr std::uint32_t min_transmissions = 4;
 // This node's entry goes into every packet for this time after the start or a new incarnation,
--- a/src/decide/membership_probes.cpp
+++ b/src/decide/membership_probes.cpp
@@ -60,7 +60,7 @@
     table.m_probes.push_back(std::move(started));
 }
 
-// Requests some members of the local group to ping the target for this node.
+// Asks some members of the local group to ping the target for this node.
 void request_indirect_probes(membership_table& table, probe& waiting, time_point now,
                              actions& out) {
     waiting.m_indirect = true;
@@ -113,8 +113,9 @@
     start_own_suspicion(table, *target, suspicion_time(table), now, out);
 }
 
-// Handles a due timer of a suspect. An unresolved suspicion received from another node becomes this
-// node's own, with time for two more pings. Returns whether the member is dead.
+// Handles a due timer of a suspect. Until the suspicion expires, pings the member again if this
+// node suspects it itself. If a suspicion received from another node expires, this node starts its
+// own, with time for two more pings. Returns true if the member must now be declared dead.
 bool check_suspect(membership_table& table, tracked_member& suspect, time_point now, actions& out) {
     const std::string& name = suspect.m_member.m_instance;
     const milliseconds interval = table.m_options.m_probe_interval;
@@ -153,7 +154,8 @@
     if (now - table.m_last_tick > pause_threshold) {
         // Acks and refutations that arrived during the pause still wait in the socket; declare
         // nobody dead before they have been read.
-        std::erase_if(table.m_probes, [](const probe& pending) { return !pending.m_relay; });
+        std::erase_if(table.m_probes,
+                      [](const probe& pending) { return !pending.m_requester_address; });
         table.m_no_death_before = now + table.m_options.m_probe_interval * 2;
     }
     table.m_last_tick = now;
@@ -165,7 +167,7 @@
         probe& pending = table.m_probes[i];
         const duration waited = now - pending.m_sent;
         if (waited >= pending.m_limit) {
-            if (!pending.m_relay) {
+            if (!pending.m_requester_address) {
                 failed.push_back(std::move(pending));
             }
             // The order of the probes in progress has no meaning.
@@ -175,7 +177,7 @@
             table.m_probes.pop_back();
             continue;
         }
-        if (!pending.m_relay && !pending.m_indirect && waited >= pending.m_timeout) {
+        if (!pending.m_requester_address && !pending.m_indirect && waited >= pending.m_timeout) {
             request_indirect_probes(table, pending, now, out);
         }
         ++i;
@@ -346,9 +348,9 @@
     relayed.m_sent = now;
     relayed.m_limit = table.m_options.m_probe_interval;
     relayed.m_timeout = relayed.m_limit;
-    relayed.m_relay = from;
-    relayed.m_relay_sequence = received.m_sequence;
-    relayed.m_relay_instance = received.m_sender;
+    relayed.m_requester_address = from;
+    relayed.m_requester_sequence = received.m_sequence;
+    relayed.m_requester = received.m_sender;
     send_ping(table, *target, relayed.m_sequence, std::nullopt, out);
     table.m_probes.push_back(std::move(relayed));
 }
@@ -368,11 +370,11 @@
         }
         return;
     }
-    if (found->m_relay) {
+    if (found->m_requester_address) {
         packet ack = received;
-        ack.m_sequence = found->m_relay_sequence;
-        ack.m_target = found->m_relay_instance;
-        send(*found->m_relay, std::move(ack), out);
+        ack.m_sequence = found->m_requester_sequence;
+        ack.m_target = found->m_requester;
+        send(*found->m_requester_address, std::move(ack), out);
     } else if (!found->m_indirect) {
         table.m_local_health -= table.m_local_health > 0 ? 1 : 0;
     } else if (found->m_relays > 0 && found->m_relays_confirmed == 0) {
--- a/src/decide/membership_rumours.cpp
+++ b/src/decide/membership_rumours.cpp
@@ -11,16 +11,17 @@
 namespace swim {
 namespace {
 
-// Budget of gossip between the probes, in bytes per second and per burst. Together with one full
-// ping and one full ack a second, sent and received, control traffic stays within 9 KB/s however
-// many updates are queued.
+// Budget of the packets sent only for gossip, in bytes per second and per burst. Together with one
+// full ping and one full ack a second, sent and received, control traffic stays within 9 KB/s
+// however many updates are queued.
 constexpr double gossip_bytes_per_second = 2'000;
 constexpr double gossip_byte_burst = 16'000;
 // Packets sent only for their header, one per gossip interval, after this node's held version or
 // facts have changed. A rumour misses about 2% of the members, which receive the change from such a
 // header.
 constexpr std::uint32_t header_packets_per_change = 8;
-// Such packets from each gateway to every other data centre.
+// Packets that each gateway sends only for their header to every other data centre after such a
+// change.
 constexpr std::uint32_t remote_header_packets_per_change = 2;
 // Budget of a gateway for packets to other data centres between probes, in bytes per second and per
 // burst.
@@ -251,19 +252,19 @@
                                                        time_point now) {
     actions out;
     packet rumour = make_packet(table, packet_kind::rumour, {});
-    const std::size_t empty = estimated_packet_bytes(rumour);
-    std::size_t bytes = empty;
+    const std::size_t empty_bytes = estimated_packet_bytes(rumour);
+    std::size_t bytes = empty_bytes;
     const auto flush = [&] {
-        if (bytes > empty) {
+        if (bytes > empty_bytes) {
             send_rumour(table, rumour, gossip_scope::all_data_centres, {}, now, out);
             rumour.m_suspensions.clear();
             rumour.m_records.clear();
-            bytes = empty;
+            bytes = empty_bytes;
         }
     };
     // A fact that is too large for any packet is left to the comparison of digests.
     const auto reserve_bytes = [&](std::size_t size) {
-        if (empty + size > max_packet_bytes) {
+        if (empty_bytes + size > max_packet_bytes) {
             return false;
         }
         if (bytes + size > max_packet_bytes) {
--- a/src/decide/membership_table.cpp
+++ b/src/decide/membership_table.cpp
@@ -12,9 +12,10 @@
 namespace caraway::swim {
 namespace {
 
-// Suspicion time in probe intervals per power of ten of the table size. A suspected member must
-// receive the suspicion and its refutation must spread within that time; both take a number of
-// rounds that grows with the logarithm of the table size.
+// Suspicion time in probe intervals, multiplied by the decimal logarithm of the number of live
+// members (at least 1). A suspected member must receive the suspicion and its refutation must
+// spread within that time; both take a number of rounds that grows with the logarithm of the table
+// size.
 constexpr double suspicion_intervals_per_decade = 3.0;
 // A suspicion received from another node lasts this many times as long as one of this node's own:
 // by then the other node's verdict or the refutation has arrived.
--- a/src/decide/move_evidence.cpp
+++ b/src/decide/move_evidence.cpp
@@ -298,8 +298,10 @@
     }
 };
 
-// Log-likelihood ratios for the failures of a batch, compared with the old version's or, if it has
-// no calls, with the share assumed to be good.
+// Returns the log-likelihood ratios for the new version's failures in the pending intervals. They
+// are compared with the old version's failures or, if it had no calls in these intervals, with an
+// assumed failure share of a good version, or the old version's share since the move began if that
+// is higher.
 interval_ratios<failure_alternatives> test_failures(const route_test& test, bool old_version_seen) {
     interval_ratios<failure_alternatives> result;
     const std::uint64_t n_new = test.m_pending_new.m_calls;
@@ -333,8 +335,9 @@
     return result;
 }
 
-// Log-likelihood ratios for the latencies of a batch. The thresholds come from the old version's
-// calls before the batch; those for the new version's calls are `tolerance` buckets higher.
+// Returns the log-likelihood ratios for the latencies in the pending intervals. The thresholds come
+// from the old version's earlier calls; those for the new version's calls are `tolerance` buckets
+// higher.
 interval_ratios<latency_alternatives> test_latency(const route_test& test, std::size_t tolerance) {
     interval_ratios<latency_alternatives> result;
     const std::uint64_t n_new = latency_calls(test.m_pending_new);
--- a/src/decide/move_evidence.hpp
+++ b/src/decide/move_evidence.hpp
@@ -53,8 +53,9 @@
 constexpr std::size_t failure_alternatives = 3;
 constexpr std::size_t latency_alternatives = 4;
 
-// Likelihood ratios of "worse than the old version" to "as good", restarted at every interval, with
-// one ratio for each alternative of a measure.
+// Statistics of "worse than the old version" against "as good", one for each alternative of a
+// measure. Each is a mixture of the likelihood ratios that start at every interval, see
+// move_evidence.cpp.
 template <std::size_t alternatives>
 struct ratio_test {
     std::array<double, alternatives> m_ratios{};
@@ -69,7 +70,8 @@
     // Log-likelihood ratios of "as good" to "worse" in the current stage.
     double m_failure_score = 0;
     double m_latency_score = 0;
-    std::uint64_t m_new_calls = 0; // since the current stage began, as are the next three
+    // Counts since the current stage began.
+    std::uint64_t m_new_calls = 0;
     std::uint64_t m_old_calls = 0;
     std::uint64_t m_new_failures = 0;
     std::uint64_t m_old_failures = 0;
@@ -103,8 +105,8 @@
     std::uint32_t m_instances = 8;
 };
 
-// Probability that the test rolls back a good version in one move. The users' bound is 1 in 100;
-// half of it is left for causes outside the test.
+// Upper bound of the probability that the test rolls back a good version in one move. At most 1 in
+// 100 good versions may be rolled back; half of that is left for causes outside the test.
 constexpr double false_alarm_bound = 0.005;
 
 // Adds the reports of one interval from all instances of the service. Reports of other versions
--- a/src/decide/version_move.cpp
+++ b/src/decide/version_move.cpp
@@ -31,8 +31,8 @@
     return std::min(last_end_share * given_ms, (1 - outage_share) * given_ms - reserve_ms);
 }
 
-// The stages don't run ahead of the schedule by more than this share, even with good evidence; the
-// time at 40 permille is shortened by this share at most.
+// A stage may end before its latest end by at most this share of the time given, even with good
+// evidence; this also bounds the time cut from the stage at 40 permille.
 constexpr double max_early_share = 0.06;
 constexpr double first_stage_share = 0.08;
 // Minimum duration of a stage: 3% of the time given, but at least eight evidence intervals if the
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -27,7 +27,7 @@
     bool m_ready = false;
 };
 
-constexpr std::uint64_t invalid_every = 7; // texts of multiples of this version don't parse here
+constexpr std::uint64_t invalid_every = 7; // a text with a multiple of this version doesn't parse
 
 // Checks every action against the independent record and carries out parsing.
 void check_actions(checked_node& node, const std::vector<distribution_action>& actions,
@@ -177,7 +177,7 @@
             applied += node.m_applied > 0 ? 1 : 0;
         }
     }
-    // Most schedules must apply a version; a replayed one need not.
+    // Most schedules must apply a version; a single replayed seed need not.
     BOOST_TEST((seeds.size() == 1 || applied > seeds.size() / 2));
 }
 
--- a/tests/entry_points_test.cpp
+++ b/tests/entry_points_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the selection of entry points.
+// Tests of the selection of entry points. A slot is a stored name with the address of one node. The
+// nodes that watch the store replace the address of a lost node.
 #include <set>
 #include <string>
 #include <vector>
@@ -20,7 +21,8 @@
 
 BOOST_AUTO_TEST_SUITE(entry_points)
 
-// Guards against a list of entry points that grows with the number of members.
+// Guards against a list of entry points that grows with the number of members: each data centre has
+// eight slots.
 BOOST_AUTO_TEST_CASE(slots_do_not_grow_with_the_members) {
     std::set<std::string> slots;
     for (std::size_t index = 0; index < 14'000; ++index) {
@@ -41,7 +43,8 @@
     BOOST_TEST(join_entry_points(all, "").size() == 24U);
 }
 
-// Guards against nodes that started together and know no member of another group.
+// Guards against nodes that started together, know only each other and never find the others: entry
+// points that belong to no known member must be returned.
 BOOST_AUTO_TEST_CASE(unknown_entry_points_are_returned) {
     node_schedule schedule = make_schedule(4, 1, milliseconds(1), 0);
     const std::vector<entry_point> all{entry_of(1, "0"), entry_of(2, "0"), entry_of(7, "1")};
@@ -50,8 +53,8 @@
         (unknown_entry_points(table, all) == std::vector<ip_endpoint>{node_entry(7, 1).m_bulk}));
 }
 
-// Guards against slots that keep the address of a lost instance for ever, and against watchers that
-// fill them with different members.
+// Guards against slots that keep the address of a lost instance, and against nodes that choose
+// different members for the same slot.
 BOOST_AUTO_TEST_CASE(slots_of_lost_instances_get_a_live_member) {
     node_schedule schedule = make_schedule(16, 1, milliseconds(1), 0);
     const std::vector<entry_point> all{entry_of(4, "0"), entry_of(100, "1"), entry_of(101, "2")};
--- a/tests/facts_test.cpp
+++ b/tests/facts_test.cpp
@@ -22,7 +22,8 @@
     return value;
 }
 
-// Two records of one store never have the same revision.
+// Returns a record with the given revision. The caller gives each record another one, as the store
+// does.
 move_record random_record(random_source& random, std::uint64_t revision) {
     move_record value;
     value.m_service = "service-" + std::to_string(random.below(3));
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -15,7 +15,7 @@
 constexpr milliseconds period{5'000};
 constexpr milliseconds client_timeout{2'000};
 
-// Models one key and its leases as the store of the design page keeps them.
+// Models one key and its leases as the store described in docs/design.md keeps them.
 struct lease_store {
     std::map<std::string, time_point> m_leases; // expiry time by lease id
     std::string m_value;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -223,7 +223,7 @@
     for (const std::uint64_t seed : schedule_seeds(20)) {
         node_schedule schedule = make_schedule(60, seed, milliseconds(2), 0.05);
         schedule.m_exchange = false;
-        std::size_t underestimated = 0; // packets
+        std::size_t underestimated = 0; // packets larger than estimated
         std::size_t seen = 0;
         schedule.m_on_send = [&underestimated, &seen](const packet& value) {
             if (seen++ % 50 == 0) {
@@ -254,7 +254,7 @@
                    all_hold_state(schedule, 3, member_state::dead);
         });
         BOOST_TEST(death.has_value(), "CARAWAY_SEED=" << seed);
-        BOOST_TEST(schedule.m_largest <= max_packet_bytes);
+        BOOST_TEST(schedule.m_largest_packet_bytes <= max_packet_bytes);
         BOOST_TEST(underestimated == 0U);
     }
 }
--- a/tests/node_schedule.hpp
+++ b/tests/node_schedule.hpp
@@ -32,7 +32,7 @@
     distribution_state m_config;
     fact_table m_facts;
     bool m_up = true;
-    std::uint64_t m_started = 0;         // counts the starts, so that late replies are dropped
+    std::uint64_t m_start_count = 0;     // replies to requests of an earlier run are dropped
     std::uint64_t m_highest_applied = 0; // across restarts
     time_point m_paused_until;           // the process is stopped until then; packets wait
 };
@@ -47,13 +47,13 @@
     time_point m_now{std::chrono::hours{1}};
     random_source m_random{1};
     link m_link;
-    link m_bulk;                    // for bulk requests; m_link if empty
-    bool m_exchange = true;         // whether due comparisons of tables run
-    std::uint64_t m_store = 0;      // accepted version in the store, 0 if none
-    std::uint64_t m_packets = 0;    // packets sent by all nodes
-    std::uint64_t m_rumours = 0;    // rumours among m_packets
-    std::uint64_t m_bytes = 0;      // estimated bytes of m_packets
-    std::size_t m_largest = 0;      // estimated bytes of the largest packet
+    link m_bulk;                            // for bulk requests; m_link if empty
+    bool m_exchange = true;                 // whether due comparisons of tables run
+    std::uint64_t m_store = 0;              // accepted version in the store, 0 if none
+    std::uint64_t m_packets = 0;            // packets sent by all nodes
+    std::uint64_t m_rumours = 0;            // rumours among m_packets
+    std::uint64_t m_bytes = 0;              // estimated bytes of m_packets
+    std::size_t m_largest_packet_bytes = 0; // estimated
     std::uint64_t m_downgrades = 0; // versions applied below an earlier one of the same instance
     std::function<void(std::size_t observer, const std::string& instance)> m_on_change;
     std::function<void(const packet&)> m_on_send;
@@ -157,7 +157,7 @@
             ++schedule.m_packets;
             schedule.m_rumours += action.m_packet.m_kind == packet_kind::rumour ? 1 : 0;
             schedule.m_bytes += bytes;
-            schedule.m_largest = std::max(schedule.m_largest, bytes);
+            schedule.m_largest_packet_bytes = std::max(schedule.m_largest_packet_bytes, bytes);
             if (schedule.m_on_send) {
                 schedule.m_on_send(action.m_packet);
             }
@@ -246,12 +246,12 @@
                 holder == nullptr ? index : node_index(holder->m_member.m_bulk);
             const auto delay = bulk_delay(schedule, index, from);
             const bool lost = !delay || !schedule.m_nodes[from].m_up;
-            const std::uint64_t started = node.m_started;
+            const std::uint64_t start_count = node.m_start_count;
             const time_point reply = schedule.m_now + (lost ? milliseconds(500) : 4 * *delay);
-            at(schedule, reply, [index, from, lost, started, action](node_schedule& later) {
+            at(schedule, reply, [index, from, lost, start_count, action](node_schedule& later) {
                 scheduled_node& asker = later.m_nodes[index];
                 const scheduled_node& holder_node = later.m_nodes[from];
-                if (!asker.m_up || asker.m_started != started) {
+                if (!asker.m_up || asker.m_start_count != start_count) {
                     return;
                 }
                 if (lost || !holder_node.m_up || holder_node.m_config.m_texts.empty()) {
@@ -326,14 +326,14 @@
 }
 
 // Ticks the node and schedules its next tick, unless it has stopped or restarted since.
-inline void tick_node(node_schedule& schedule, std::size_t index, std::uint64_t started) {
+inline void tick_node(node_schedule& schedule, std::size_t index, std::uint64_t start_count) {
     scheduled_node& node = schedule.m_nodes[index];
-    if (!node.m_up || node.m_started != started) {
+    if (!node.m_up || node.m_start_count != start_count) {
         return;
     }
     if (schedule.m_now < node.m_paused_until) {
         at(schedule, node.m_paused_until,
-           [index, started](node_schedule& later) { tick_node(later, index, started); });
+           [index, start_count](node_schedule& later) { tick_node(later, index, start_count); });
         return;
     }
     run_actions(schedule, index, membership_tick(node.m_members, schedule.m_now));
@@ -341,7 +341,7 @@
         schedule, index,
         distribution_tick(node.m_config, live_member_count(node.m_members), schedule.m_now));
     at(schedule, schedule.m_now + schedule_tick,
-       [index, started](node_schedule& later) { tick_node(later, index, started); });
+       [index, start_count](node_schedule& later) { tick_node(later, index, start_count); });
 }
 
 // Starts a node, or restarts it under the same name without state. It knows no other member yet.
@@ -350,18 +350,18 @@
         schedule.m_nodes.resize(index + 1);
     }
     scheduled_node& node = schedule.m_nodes[index];
-    const std::uint64_t started = node.m_started + 1;
+    const std::uint64_t start_count = node.m_start_count + 1;
     const std::uint64_t highest = node.m_highest_applied;
     const auto incarnation = static_cast<std::uint64_t>(
         std::chrono::duration_cast<milliseconds>(schedule.m_now.time_since_epoch()).count());
     node = {};
-    node.m_started = started;
+    node.m_start_count = start_count;
     node.m_highest_applied = highest;
     node.m_members =
         make_membership(node_entry(index, incarnation), {}, schedule.m_random(), schedule.m_now);
     node.m_config = make_distribution(node_name(index), milliseconds(2'000), schedule.m_random());
     at(schedule, schedule.m_now + milliseconds(schedule.m_random.below(50)),
-       [index, started](node_schedule& later) { tick_node(later, index, started); });
+       [index, start_count](node_schedule& later) { tick_node(later, index, start_count); });
 }
 
 // Lets the node join through the other one: it receives the other's table and held version.
--- a/tests/version_move_test.cpp
+++ b/tests/version_move_test.cpp
@@ -36,7 +36,8 @@
     return result;
 }
 
-// Adds intervals until the verdict is bad or their number is reached; returns the number added.
+// Adds up to the given number of intervals, but stops after one that makes the verdict bad. Returns
+// the number added.
 int add_intervals(move_evidence& evidence, int intervals, const arm_behaviour& old_arm,
                   const arm_behaviour& new_arm, random_source& random) {
     for (int i = 1; i <= intervals; ++i) {
@@ -113,7 +114,7 @@
 }
 
 // Guards against a later defect that is diluted by earlier good intervals: 700 intervals without a
-// defect (a fifth of an hour at one per second) must not delay the verdict.
+// defect (350 s) must not delay the verdict.
 BOOST_AUTO_TEST_CASE(later_badness_is_not_diluted) {
     random_source random(seed_or_default());
     const arm_behaviour old_arm{190, 0.002, 20, false};
@@ -127,8 +128,8 @@
 }
 
 // Guards against rolling back a good version because one of its servers is slower than the others.
-// The local test of a server at 1.6 times the usual service time compared it with servers of the
-// old version at 0.7 times.
+// The local latencies are those of a server at 1.6 times the usual service time, compared with
+// servers of the old version at 0.7 times.
 BOOST_AUTO_TEST_CASE(a_slow_server_is_not_evidence_of_its_version) {
     random_source random(seed_or_default());
     std::string reason;
