--- a/src/decide/balance.cpp
+++ b/src/decide/balance.cpp
@@ -9,12 +9,13 @@
 constexpr std::uint32_t weight_unit = 1000;
 
 // Reported load from which a backend server counts as close to queueing calls (1000 means that all
-// slots are busy). Load reports lag by one answer; spilling over at 800 leaves them time to arrive.
+// slots are busy). Load reports lag by one answer, so calls go to other data centres before all
+// local slots are busy.
 constexpr double spill_load_permille = 800;
 // A remote server must report a load lower than the local ones by this much; otherwise calls would
 // move between equally loaded data centres.
 constexpr double spill_margin_permille = 100;
-// Age at which a reported load no longer counts: slots turn over several times per second.
+// Age at which a reported load no longer counts: a slot runs several calls per second.
 constexpr std::chrono::duration<double> load_lifetime{1.0};
 
 constexpr std::uint32_t breaker_threshold = 3; // a single cut connection is ordinary
--- a/src/decide/move_evidence.cpp
+++ b/src/decide/move_evidence.cpp
@@ -171,8 +171,9 @@
     return (log_threshold(routes, 0) + std::log(start_spread / spread_mass)) / 2;
 }
 
-// Cap for the interval in which the weight changed (ln 10). The new version's calls are
-// concentrated in its later part, so an overload that begins within it harms more of them.
+// Cap for the interval in which the weight changed, about ln 10. The new version's calls are
+// concentrated in the later part of the interval, so an overload that begins within it harms more
+// of them than of the old version's calls.
 constexpr double mixed_interval_cap = 2.3;
 
 double mean(std::span<const double> values) {
--- a/src/decide/own_server.cpp
+++ b/src/decide/own_server.cpp
@@ -9,10 +9,11 @@
            server.m_report->m_started_ms == started_ms;
 }
 
-// Reports may arrive seconds late. A report counts as late up to this long after the leave notice.
+// Reports may arrive seconds late. After a leave notice without a start time, a report that arrives
+// later than this is taken for one of a new incarnation.
 constexpr milliseconds max_report_delay{6'000};
-// Highest sequence number of a server that may have restarted since its leave notice. The sequence
-// restarts with the incarnation, and a server needs some seconds to stop and start.
+// Within max_report_delay, a report with a sequence number above this can't come from a new
+// incarnation: its sequence restarts, and a server needs some seconds to stop and start.
 constexpr std::uint64_t max_new_incarnation_sequence = 2;
 
 // Returns true if the report comes from an incarnation whose leave notice arrived before this node
--- a/src/decide/pushback.cpp
+++ b/src/decide/pushback.cpp
@@ -15,7 +15,7 @@
 // jitter, so that they don't retry in lockstep.
 constexpr milliseconds early_retry_min{40};
 constexpr milliseconds early_retry_jitter{80};
-// Share of the useful time that a caller needs for the answer itself.
+// Share of the useful time within which an early retry must begin; the rest is for the answer.
 constexpr double answer_share = 0.5;
 // Callers that will be late anyway retry after a random share of their remaining time between these
 // bounds.
