--- a/src/decide/claim.cpp
+++ b/src/decide/claim.cpp
@@ -117,10 +117,11 @@
     return snapshots;
 }
 
-// Returns all registrar sets that a claim needs. Instances that joined after the key was first sent
-// don't change the result, nor does a loss whose cutoff is not before the convergence_cutoff. An
-// empty set from before recent joins means that the service is new, and is left out. An empty set
-// from before a loss means that the registrars are uncertain, and is kept.
+// Returns all registrar sets that a claim needs. loss_ms is the result of loss_cutoff_ms. Instances
+// that joined after the key was first sent don't change the result, nor does a loss whose cutoff is
+// not before the convergence_cutoff. An empty set from before recent joins means that the service
+// is new, and is left out. An empty set from before a loss means that the registrars are uncertain,
+// and is kept.
 std::vector<registrar_snapshot> registrars_since(std::string_view service, std::string_view key,
                                                  std::span<const known_instance> instances,
                                                  std::optional<std::int64_t> first_sent_ms,
@@ -146,8 +147,8 @@
     return snapshots;
 }
 
-// Adds the departed members back, the latest first, until this instance is no longer among the
-// registrars. That departure promoted it.
+// Finds the departure that made this instance a registrar: adds the departed members back, the
+// latest first, until this instance is no longer among the registrars.
 std::optional<wall_time> promotion_time_at_cutoff(std::string_view service, std::string_view key,
                                                   std::optional<std::int64_t> cutoff_ms,
                                                   std::string_view self,
