--- a/src/decide/move_evidence.cpp
+++ b/src/decide/move_evidence.cpp
@@ -171,8 +171,9 @@
     return (log_threshold(routes, 0) + std::log(start_spread / spread_mass)) / 2;
 }
 
-// Cap for the interval in which the weight changed (ln 10). The new version's calls are
-// concentrated in its later part, so an overload that begins within it harms more of them.
+// Cap for the interval in which the weight changed, about ln 10. The new version's calls are
+// concentrated in the later part of the interval, so an overload that begins within it harms more
+// of them than of the old version's calls.
 constexpr double mixed_interval_cap = 2.3;
 
 double mean(std::span<const double> values) {
@@ -298,8 +299,10 @@
     }
 };
 
-// Log-likelihood ratios for the failures of a batch, compared with the old version's or, if it has
-// no calls, with the share assumed to be good.
+// Returns the log-likelihood ratios for the new version's failures in the pending intervals. They
+// are compared with the old version's failures or, if it had no calls in these intervals, with an
+// assumed failure share of a good version, or the old version's share since the move began if that
+// is higher.
 interval_ratios<failure_alternatives> test_failures(const route_test& test, bool old_version_seen) {
     interval_ratios<failure_alternatives> result;
     const std::uint64_t n_new = test.m_pending_new.m_calls;
@@ -333,8 +336,9 @@
     return result;
 }
 
-// Log-likelihood ratios for the latencies of a batch. The thresholds come from the old version's
-// calls before the batch; those for the new version's calls are `tolerance` buckets higher.
+// Returns the log-likelihood ratios for the latencies in the pending intervals. The thresholds come
+// from the old version's earlier calls; those for the new version's calls are `tolerance` buckets
+// higher.
 interval_ratios<latency_alternatives> test_latency(const route_test& test, std::size_t tolerance) {
     interval_ratios<latency_alternatives> result;
     const std::uint64_t n_new = latency_calls(test.m_pending_new);
