--- a/Makefile
+++ b/Makefile
@@ -108,7 +108,8 @@
 	@mkdir -p $(@D)
 	$(CXX) $^ $(SANITIZE_FLAGS) $(LDLIBS) -o $@
 
-# Runs the fuzz targets under clang's libFuzzer, if installed; FUZZ_TARGET selects one at run time.
+# Builds the fuzz targets with clang's libFuzzer, if installed. The program runs the target that the
+# environment variable FUZZ_TARGET names.
 LIBFUZZER_SRC := $(wildcard src/base/*.cpp src/config/*.cpp src/decide/*.cpp) src/ctl/audit.cpp \
                  src/ctl/records.cpp src/observe/log.cpp src/observe/span.cpp src/peer/wire.cpp \
                  src/store/store_json.cpp src/traffic/http_message.cpp tests/fuzz/targets.cpp \
--- a/bench/call_cost.cpp
+++ b/bench/call_cost.cpp
@@ -32,7 +32,7 @@
 
 // Call rate of one node at the planned scale.
 constexpr int planned_calls_per_second = 70;
-// Target for the increase of the 99th percentile latency through two nodes, in microseconds.
+// Maximum increase of the 99th percentile latency through two nodes, in microseconds.
 constexpr double target_added_p99_us = 520;
 constexpr int saturation_connections = 24;
 constexpr std::size_t body_bytes = 512;
@@ -70,7 +70,8 @@
     double m_begin;
 };
 
-// Redirects stderr to a pipe that a thread reads.
+// Redirects stderr to a pipe that a thread empties, so that the cost of a terminal or file isn't
+// measured. The nodes' log goes to standard output and isn't redirected.
 void drain_stderr() {
     std::array<int, 2> pipe_ends{};
     if (::pipe(pipe_ends.data()) != 0) {
--- a/bench/control_cost.cpp
+++ b/bench/control_cost.cpp
@@ -1,6 +1,6 @@
 // Measures the cost of the membership protocol for one node at several table sizes: processor time
-// and bytes per second of protocol time, the time to hash the table for anti-entropy, and the
-// memory of the table. Packet sizes are estimated with the function that the node itself uses to
+// and bytes per simulated second, the time to hash the table for anti-entropy, and the memory of
+// the table. Packet sizes are estimated with the function that the node itself uses to
 // fill packets. The churn is that of the target scale: 1,545 restarts and failures a day among
 // 14,000 members.
 #include <algorithm>
@@ -87,8 +87,8 @@
 }
 
 // Simulates the other members: one ping per second from a random member, acks to the node's pings,
-// and the updates caused by churn. The node receives each update as often as it sends one itself,
-// because on average every node receives as many updates as it sends.
+// and the updates caused by churn. Each update reaches the node as often as a node sends it,
+// because a node receives on average as many updates as it sends.
 void run_protocol(measured_node& node, std::vector<member>& members, time_point& now,
                   random_source& random, int seconds) {
     std::deque<packet> pings;
--- a/bench/move_simulation.hpp
+++ b/bench/move_simulation.hpp
@@ -98,11 +98,11 @@
     std::optional<double> m_traffic_stopped_s;     // time from which the new version gets no calls
     std::uint32_t m_max_weight_before_visible = 0; // permille
     double m_share_before_visible = 0; // share of all calls that the new version served until then
-    std::uint64_t m_harmed_calls = 0;  // calls that the defect failed or slowed down
+    std::uint64_t m_harmed_calls = 0;  // calls that failed or became slower because of the defect
     // Calls to the new version more than 3 s after the defect became visible.
     std::uint64_t m_calls_after_3s = 0;
-    std::uint32_t m_final_writes = 0;
-    bool m_suspended_locally = false; // a node suspended the version on its local evidence
+    std::uint32_t m_final_state_writes = 0; // writes of a record with a final state
+    bool m_suspended_locally = false;       // a node suspended the version on its local evidence
     std::string m_reason;
 };
 
@@ -340,9 +340,10 @@
 
     bool has_ended() const { return m_record.m_state != move_state::running; }
 
-    // Runs the holder's decision and every node's local test on one interval of reports. While the
-    // store is down, the holder continues to test but writes nothing. While the holder is down too,
-    // each node decides on its own calls alone.
+    // Runs on one interval of reports the decision of the node that holds the move's lease (the
+    // holder) and the local test of every new-version node. While the store is down, the holder can
+    // suspend the version but writes nothing. While there is no holder, only the local tests run,
+    // without the reports of the old version.
     void decide_sequential(double now) {
         const bool is_down = store_down(now);
         const bool no_holder =
@@ -393,7 +394,7 @@
         }
     }
 
-    // Stores the record as the holder does, and resets the evidence if the stage has changed.
+    // Stores the record, as the holder does, and resets the evidence if the stage has changed.
     void write(const move_record& record, double now) {
         if (record.m_stage != m_record.m_stage) {
             begin_stage(m_evidence);
@@ -404,7 +405,7 @@
         m_record = record;
         ++m_record.m_revision;
         if (has_ended()) {
-            ++m_result.m_final_writes;
+            ++m_result.m_final_state_writes;
             m_result.m_ended_s = now;
         }
         set_weight(m_record.m_weight_permille, now);
--- a/bench/spread.cpp
+++ b/bench/spread.cpp
@@ -1,6 +1,6 @@
 // Measures how fast updates propagate and how accurate the failure detector is. Simulates many
-// nodes in one thread with a manual clock and with seeded packet delay and loss. Times are protocol
-// times. usage: spread [LARGEST_COUNT]
+// nodes in one thread with a manual clock and with seeded packet delay and loss. Times are
+// simulated times. usage: spread [MAX_NODE_COUNT]
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -126,18 +126,18 @@
               [](const node_schedule& schedule) {
                   return all_hold_state(schedule, 0, member_state::left);
               }));
-    const std::vector<suspension> suspended{
+    const std::vector<suspension> suspensions{
         {"move-1", "surveys", "2.0", node_name(0), "failures", 1}};
     print(json, count, loss, "suspension known",
           measure(
               warmed_up, loss, seconds(60),
               [&](node_schedule& schedule) {
                   scheduled_node& node = schedule.m_nodes[0];
-                  merge_suspension(node.m_facts, suspended[0]);
+                  merge_suspension(node.m_facts, suspensions[0]);
                   node.m_members.m_facts_digest = facts_digest(node.m_facts);
                   run_actions(
                       schedule, 0,
-                      membership_spread_facts(node.m_members, suspended, {}, schedule.m_now));
+                      membership_spread_facts(node.m_members, suspensions, {}, schedule.m_now));
               },
               [](const node_schedule& schedule) {
                   return std::all_of(schedule.m_nodes.begin(), schedule.m_nodes.end(),
@@ -145,7 +145,7 @@
                                          return is_suspended(node.m_facts, "move-1");
                                      });
               }));
-    const auto any_holds_dead = [](const node_schedule& schedule) {
+    const auto any_considers_first_dead = [](const node_schedule& schedule) {
         return std::any_of(
             schedule.m_nodes.begin() + 1, schedule.m_nodes.end(), [](const scheduled_node& node) {
                 const tracked_member* found = find_member(node.m_members, node_name(0));
@@ -154,7 +154,7 @@
     };
     const auto kill_first = [](node_schedule& schedule) { schedule.m_nodes[0].m_up = false; };
     print(json, count, loss, "killed member, first to know",
-          measure(warmed_up, loss, seconds(120), kill_first, any_holds_dead));
+          measure(warmed_up, loss, seconds(120), kill_first, any_considers_first_dead));
     print(json, count, loss, "killed member, all know",
           measure(warmed_up, loss, seconds(120), kill_first, [](const node_schedule& schedule) {
               return all_hold_state(schedule, 0, member_state::dead);
@@ -222,12 +222,12 @@
 } // namespace
 
 int main(int argc, char** argv) {
-    const std::size_t largest = argc > 1 ? std::strtoul(argv[1], nullptr, 10) : 1'000;
+    const std::size_t max_node_count = argc > 1 ? std::strtoul(argv[1], nullptr, 10) : 1'000;
     std::string json;
     fmt::print("{:>6} {:>6} {:<28} {:>8} {:>8} {:>9} {:>10} {:>10}\n", "nodes", "loss", "event",
                "median s", "worst s", "pkts/node", "bytes/node", "unfinished");
     for (const std::size_t count : {50U, 200U, 1'000U}) {
-        if (count > largest) {
+        if (count > max_node_count) {
             break;
         }
         for (const double loss : {0.0, 0.05}) {
--- a/bench/watch_baseline.cpp
+++ b/bench/watch_baseline.cpp
@@ -27,7 +27,7 @@
 constexpr milliseconds call_timeout{10'000};
 constexpr milliseconds pause_between_changes{1'000};
 
-// Sums over all watchers' store calls.
+// Totals of all watchers' store calls.
 struct store_totals {
     std::uint64_t m_calls = 0;
     std::uint64_t m_bytes = 0;
--- a/standins/backend_server_main.cpp
+++ b/standins/backend_server_main.cpp
@@ -27,7 +27,7 @@
 constexpr std::size_t max_queued_calls = 4; // calls that wait for a slot; more are shed
 // Relative increase of the handler time of a completely cold instance, which takes 5 times as long.
 constexpr double cold_slowdown = 4.0;
-// An instance that is colder than this counts as cold, and load makes it fail.
+// Coldness above which an instance counts as cold and can fail under load.
 constexpr double max_coldness_under_load = 0.125;
 constexpr double warm_up_calls_per_slot = 25; // answered calls that warm up one slot
 // Time for which a cold instance fails all calls after an overload.
@@ -54,7 +54,7 @@
     std::int64_t m_behaviour_after_calls = 0; // 0: no such limit
     std::int64_t m_slots = 12;
     std::int64_t m_connections = 110;
-    std::int64_t m_connection_ms = 1;
+    std::int64_t m_accept_delay_ms = 1;
     std::int64_t m_probe_ms = 6;
     double m_service_ms = 10;
     double m_cold_s = 0;
@@ -594,7 +594,7 @@
             {"version", &options.m_version, "version of the backend server"},
             {"slots", &options.m_slots, "maximum calls handled concurrently"},
             {"connections", &options.m_connections, "maximum connections; more are reset"},
-            {"connection-ms", &options.m_connection_ms, "delay for accepting a connection"},
+            {"connection-ms", &options.m_accept_delay_ms, "delay for accepting a connection"},
             {"probe-ms", &options.m_probe_ms, "duration of GET /healthz"},
             {"health", &options.m_health, "honest, lagging (5 s old) or lying"},
             {"service-ms", &options.m_service_ms, "mean handler time"},
@@ -616,7 +616,7 @@
     }
     http_server_options server_options;
     server_options.m_connection_limit = static_cast<std::size_t>(options.m_connections);
-    server_options.m_accept_delay = milliseconds(options.m_connection_ms);
+    server_options.m_accept_delay = milliseconds(options.m_accept_delay_ms);
     server_options.m_watch_for_close = true;
     const auto server =
         start_server_or_exit(context, endpoint_or_exit(listen), server_options,
--- a/standins/common.hpp
+++ b/standins/common.hpp
@@ -31,8 +31,8 @@
 };
 
 // Parses the command line into the variables of the options. Returns false with an error of kind
-// usage for an unknown option, an unexpected argument or a value that isn't a number although the
-// option requires one. With --help, prints the options and exits the process with 0.
+// usage for an unknown option, an unexpected argument or a malformed number. With --help, prints
+// the options and exits the process with 0.
 bool parse_command_line(int argc, const char** argv, std::span<const option_spec> options,
                         error& reason);
 
--- a/standins/fault_proxy_main.cpp
+++ b/standins/fault_proxy_main.cpp
@@ -124,8 +124,9 @@
     udp::socket m_socket;
     std::map<udp::endpoint, std::shared_ptr<udp_sender>> m_senders;
     std::deque<std::function<void()>> m_held_datagrams;
-    // Time at which all bytes so far have been sent at the limited bandwidth, by direction.
-    std::array<time_point, 2> m_line_free_at{};
+    // Time at which the limited bandwidth will have sent all bytes received until now, by
+    // direction.
+    std::array<time_point, 2> m_bandwidth_reserved_until{};
     std::array<std::uint64_t, 2> m_bytes{};
     std::array<std::uint64_t, 2> m_datagrams{};
     std::uint64_t m_connections = 0;
@@ -141,10 +142,10 @@
     if (link.m_faults.m_bandwidth_kbps == 0) {
         return now + link.m_faults.m_delay;
     }
-    time_point& line_free_at = link.m_line_free_at[flow_direction];
-    line_free_at = std::max(now, line_free_at) +
-                   std::chrono::microseconds(bytes * 8 * 1000 / link.m_faults.m_bandwidth_kbps);
-    return line_free_at + link.m_faults.m_delay;
+    time_point& reserved_until = link.m_bandwidth_reserved_until[flow_direction];
+    reserved_until = std::max(now, reserved_until) +
+                     std::chrono::microseconds(bytes * 8 * 1000 / link.m_faults.m_bandwidth_kbps);
+    return reserved_until + link.m_faults.m_delay;
 }
 
 // Decides at random whether a datagram or a TCP read is lost.
@@ -508,16 +509,16 @@
     if (protocol != "tcp" && protocol != "udp") {
         exit_with_error({error_kind::usage, "'" + protocol + "' is neither tcp nor udp"});
     }
-    auto opened = std::make_unique<network_link>(context);
-    opened->m_name = text.substr(0, equals);
-    opened->m_is_udp = protocol == "udp";
-    opened->m_listen =
+    auto new_link = std::make_unique<network_link>(context);
+    new_link->m_name = text.substr(0, equals);
+    new_link->m_is_udp = protocol == "udp";
+    new_link->m_listen =
         endpoint_or_exit(text.substr(first_comma + 1, second_comma - first_comma - 1));
-    opened->m_target = endpoint_or_exit(text.substr(second_comma + 1));
-    if (const error_code ec = opened->m_is_udp ? open_udp(*opened) : open_tcp(*opened)) {
-        exit_with_error({error_kind::invalid_settings, opened->m_name + ": " + ec.message()});
+    new_link->m_target = endpoint_or_exit(text.substr(second_comma + 1));
+    if (const error_code ec = new_link->m_is_udp ? open_udp(*new_link) : open_tcp(*new_link)) {
+        exit_with_error({error_kind::invalid_settings, new_link->m_name + ": " + ec.message()});
     }
-    return opened;
+    return new_link;
 }
 
 // Puts changed faults into effect: closes or reopens the listening socket, resets the connections
--- a/standins/http_client.cpp
+++ b/standins/http_client.cpp
@@ -12,7 +12,7 @@
 namespace http = beast::http;
 using boost::system::error_code;
 
-// Connections above it are closed after their exchange.
+// Further connections are closed after their exchange.
 constexpr std::size_t max_idle_connections = 256;
 constexpr std::size_t max_answer_bytes = 16 << 20;
 
--- a/standins/kv_store_main.cpp
+++ b/standins/kv_store_main.cpp
@@ -21,10 +21,10 @@
 constexpr std::size_t max_value_bytes = 1 << 20;
 constexpr std::size_t max_keys = 1'000'000; // including deleted keys; new keys above it get 507
 constexpr std::int64_t max_watch_ms = 60'000;
-// Burst capacity in seconds at the configured rate. Calls of a longer burst get 429.
+// Time whose calls, at the configured rate, can arrive at once. Further calls get 429.
 constexpr double burst_s = 0.1;
 
-// Rate limiter with a capacity of burst_s, but at least one call.
+// Rate limiter whose capacity is the number of calls in burst_s at its rate, but at least one.
 struct token_bucket {
     double m_rate_per_s = 0;
     double m_tokens = 0;
--- a/standins/load_generator_main.cpp
+++ b/standins/load_generator_main.cpp
@@ -25,7 +25,7 @@
 namespace json = boost::json;
 using std::chrono::steady_clock;
 
-// Limit in open loop. Arrivals above it are counted as not sent.
+// Maximum number of outstanding requests in open loop. Arrivals above it are counted as not sent.
 constexpr std::int64_t max_in_flight = 20'000;
 constexpr milliseconds default_answer_timeout{30'000}; // for requests without a deadline
 // Extra time for the answer that reports a passed deadline.
--- a/tests/fuzz/driver.cpp
+++ b/tests/fuzz/driver.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint64_t max_mutations_per_input = 8;
 constexpr std::uint64_t max_block_bytes = 80; // erased, copied or replaced by one mutation
 
-// Boundary values of encoded numbers: varints, signs and text.
+// Boundary values of varints, and a line feed, a quote, a minus sign and a digit for text.
 constexpr std::array<unsigned char, 10> edge_bytes{0x00, 0x01, 0x0a, 0x22, 0x2d,
                                                    0x39, 0x7f, 0x80, 0xfe, 0xff};
 
--- a/tests/fuzz/fuzz_main.cpp
+++ b/tests/fuzz/fuzz_main.cpp
@@ -18,7 +18,7 @@
 
 using namespace caraway;
 
-void write_failing_input(std::string_view target, std::string_view input) {
+void save_input(std::string_view target, std::string_view input) {
     std::ofstream file(fmt::format("found-{}", target), std::ios::binary);
     file.write(input.data(), static_cast<std::streamsize>(input.size()));
 }
@@ -42,7 +42,7 @@
         std::function<void(const std::string&)> before_check;
         if (std::getenv("FUZZ_KEEP") != nullptr) {
             before_check = [&target](const std::string& input) {
-                write_failing_input(target.m_name, input);
+                save_input(target.m_name, input);
             };
         }
         const fuzz_result result =
@@ -52,7 +52,7 @@
                    elapsed.count(), result.m_fault.empty() ? "nothing found" : result.m_fault);
         std::fflush(stdout);
         if (!result.m_fault.empty()) {
-            write_failing_input(target.m_name, result.m_input);
+            save_input(target.m_name, result.m_input);
             status = 1;
         }
     }
--- a/tests/integration/calls_test.py
+++ b/tests/integration/calls_test.py
@@ -11,13 +11,13 @@
 KEYS_READY_S = 12.5
 
 
-def start_mesh(mesh, work, gates=1, service=None, **options):
+def start_mesh(mesh, work, gates=1, service_settings=None, **options):
     """Starts `work` instances of the service "work", whose backend servers get the options, and
-    `gates` entry nodes. Callers reach the entry nodes directly, so that the proxy's faults affect
-    only the traffic between nodes."""
+    `gates` entry nodes. service_settings are further settings of "work". Callers reach
+    the entry nodes directly, so that the proxy's faults affect only the traffic between nodes."""
     mesh.text = mesh_text(
         ["east", "west"],
-        {"work": {"version": "1", **(service or {})}, "gate": {"version": "1"}},
+        {"work": {"version": "1", **(service_settings or {})}, "gate": {"version": "1"}},
         {"/read": {"service": "work", "timeout": "2s", "idempotent": True},
          "/poll": {"service": "work", "timeout": "2s", "idempotent": True,
                    "urgency": "background"},
@@ -157,7 +157,7 @@
     """Guards against exceeding the slots of a server, urgent calls that wait behind background
     ones, and calls refused under overload that ran nevertheless (guarantees 5 and 8)."""
     with Mesh(proxied=True) as mesh:
-        start_mesh(mesh, 2, service={"slots": 2, "queue": 8}, service_ms=40, slots=2)
+        start_mesh(mesh, 2, service_settings={"slots": 2, "queue": 8}, service_ms=40, slots=2)
         # Two servers with two slots each and a handler time of 40 ms serve at most 100 calls/s.
         calls = start_load(mesh, "overload", "--path", "/poll/a:6", "--path", "/alarm/b:1",
                            "--rate", 200, "--duration-s", 8)
@@ -196,8 +196,8 @@
                                    "--duration-s", 4, "--keyed-permille", 500, "--resend",
                                    targets=["c1-0"], direct=True, **more)
 
-        whole_load = start_chain_load("seven", [f"/{n}" for n in names[1:]])
-        summary = mesh.summary(whole_load)
+        seven_hop_load = start_chain_load("seven", [f"/{n}" for n in names[1:]])
+        summary = mesh.summary(seven_hop_load)
         assert summary["answered"] == summary["sent"], summary
         counts = [mesh.executions(f"{n}-0")["started"] for n in names]
         assert counts == [summary["sent"]] * 7, counts
--- a/tests/integration/config_faults_test.py
+++ b/tests/integration/config_faults_test.py
@@ -111,7 +111,7 @@
             paused_at = time.monotonic()
             others = [n for n in mesh.instances if n not in failed_nodes]
             # If the accepter failed, another node becomes accepter within a lease period. The
-            # target counts from the acceptance.
+            # time limit counts from the acceptance.
             accepted_at = wait_accepted(mesh, version)
             times_s.append(wait_in_force(mesh, version, accepted_at, others))
             if kind == "pause":
@@ -126,8 +126,8 @@
 
 
 def test_concurrent_edits_with_lost_answers_and_datagrams():
-    """Guards against a lost edit, a text applied out of order and a node that stays behind when
-    the store loses answers and watch events and UDP loses 5% (guarantees 1 and 12)."""
+    """Guards against a lost edit, a text applied out of order and a node that keeps an older
+    version when the store loses answers and watch events and UDP loses 5% (guarantees 1 and 12)."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         mesh.set_link_fault("udp/*", loss_permille=50)
--- a/tests/integration/ctl_test.py
+++ b/tests/integration/ctl_test.py
@@ -94,7 +94,8 @@
 
 
 def test_follow_a_change_through_a_mesh():
-    """Guards against verdicts that carawayctl cannot read from the nodes' records."""
+    """Guards against carawayctl misreading the nodes' records of whether a version was refused,
+    accepted or is in force."""
     with Mesh() as mesh:
         for name, data_centre in (("a1", "east"), ("a2", "west"), ("a3", "west")):
             mesh.add(name, data_centre, "alpha")
--- a/tests/integration/data_centre_test.py
+++ b/tests/integration/data_centre_test.py
@@ -5,7 +5,7 @@
 from harness import run_tests
 from mesh import Mesh, check_calls, mesh_text, wait_ignoring_errors
 
-# The users' targets.
+# Time limits that the users require.
 STOP_LIMIT_S = 3.0
 CONVERGENCE_S = 18.0
 DATA_CENTRES = ["harris", "martin", "thurlow"]
@@ -120,8 +120,8 @@
 
 
 def test_cut_off():
-    """Guards against a disconnected data centre that returns to an older version or stays behind
-    after the cut, and against work there although the store says that it is out."""
+    """Guards against a disconnected data centre that returns to an older version or keeps one after
+    the cut, and against work there although the accepted text in the store takes it out."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh)
         entry_names = names_in(mesh, "martin") + names_in(mesh, "thurlow")
--- a/tests/integration/harness.py
+++ b/tests/integration/harness.py
@@ -208,7 +208,7 @@
         return os.path.join(self.dir, name)
 
     def start(self, program, *arguments, name=None, ready="listening", timeout_s=10, env=None):
-        """Starts a program and waits for the log event ready, or does not wait if ready is None."""
+        """Starts a program and waits for the log event that ready names; None: doesn't wait."""
         label = name or f"{program}-{len(self.programs)}"
         log_path = self.path(label + ".log")
         with open(log_path, "wb") as log:
@@ -223,12 +223,12 @@
 
     def start_load(self, *arguments, name="load"):
         """Starts a load generator with the run's seed, unless --seed is given. Returns the program,
-        for load_result."""
+        for wait_for_load."""
         return self.start("load_generator", "--out", self.path(name + ".json"),
                           "--records", self.path(name + ".records"), "--run-id", name,
                           "--seed", seed(), *arguments, name=name, ready="started")
 
-    def load_result(self, program, timeout_s=120):
+    def wait_for_load(self, program, timeout_s=120):
         """Waits until a load generator ends. Returns its summary and its records."""
         status = program.wait(timeout_s)
         if status != 0:
--- a/tests/integration/mesh.py
+++ b/tests/integration/mesh.py
@@ -21,8 +21,8 @@
 # The ports are below the ephemeral range, so that outgoing connections do not occupy them.
 FIRST_PORT = 14400
 SLOT_PORTS = 2000
-# Test files that run at the same time take their ports from different slots, since a node that is
-# restarted must find its port still free.
+# Test files that run at the same time use different slots, that is, ranges of ports, since a node
+# that is restarted must find its port still free.
 _first_port = FIRST_PORT + SLOT_PORTS * (int(os.environ.get("CARAWAY_PORT_SLOT", "0")) % 9)
 _next_port = [_first_port]
 _port_lock = threading.Lock()
@@ -30,8 +30,8 @@
 # If set, nodes record the inputs of their decisions, and their logs are copied to this folder at
 # the end of a test.
 RECORD_DIR = os.environ.get("CARAWAY_RECORD_DIR")
-# Maximum number of recorded lines that wait to be written; far more than gather between two writes,
-# so that none is dropped.
+# Maximum number of recorded lines that wait to be written; far more than accumulate between two
+# writes, so that none is dropped.
 RECORD_LINES = 100_000
 
 
@@ -144,7 +144,7 @@
         return instance
 
     def start(self, later=()):
-        """Starts the store, the proxy and all instances but the later ones."""
+        """Starts the store, the proxy and all instances except those that later names."""
         self.start_store()
         if self.proxied:
             self.start_proxy()
@@ -439,8 +439,8 @@
 
     def check_run_once(self, records, names):
         """Fails unless the named backend servers ran each answered request once, each refused one
-        never and each other one at most once (guarantee 9). They must have got no other requests:
-        the sum holds only if no refused request ran and no answered one ran twice.
+        never and each other one at most once (guarantee 9). They must have received no other
+        requests, because their total number of starts is compared with that of the records.
         Returns the number of starts by the servers' own counts."""
         others = [r for r in records if r["outcome"] != "answered" and not is_refused(r)]
         run_counts = [self.run_count(r["number"], names) for r in others]
@@ -470,16 +470,17 @@
             node.process.terminate()
         return [node.wait(timeout_s) for node in nodes]
 
-    def finish(self, allowed=None):
+    def finish(self, is_allowed_breach=None):
         """Ends a test: checks that planned stops are graceful (guarantee 11), that versions never
-        decrease and that the audit of all logs finds only breaches for which allowed(line) is
-        true (none without allowed). Returns the counts in the audit's last line."""
+        decrease and that the audit of all logs finds only breaches for which
+        is_allowed_breach(line) is true (none without it). Returns the counts in the audit's last
+        line."""
         statuses = self.stop_nodes()
         assert set(statuses) <= {0}, f"exit statuses {statuses}"
         self.check_versions()
-        if allowed:
+        if is_allowed_breach:
             *breaches, report = self.audit(check=False).stdout.strip().splitlines()
-            others = [line for line in breaches if not allowed(line)]
+            others = [line for line in breaches if not is_allowed_breach(line)]
             assert not others, others
             return report.split("), ", 1)[-1]
         report = self.audit().stdout.strip().splitlines()[-1]
--- a/tests/integration/move_faults_test.py
+++ b/tests/integration/move_faults_test.py
@@ -1,11 +1,12 @@
-"""Version moves under faults: guarantee 4 with real processes behind the proxy."""
+"""Version moves under faults: guarantee 4 with real processes behind the proxy. The holder of a
+move is the node whose lease lets it decide about the move."""
 import datetime
 import time
 
 from harness import run_tests
 from mesh import Mesh, check_calls, mesh_text, wait_ignoring_errors
 
-# The users' targets.
+# Limits that the users require.
 SHARE_LIMIT = 0.05
 STOP_LIMIT_S = 3.0
 CONVERGENCE_S = 18.0
@@ -86,7 +87,7 @@
 
 def check_suspended(mesh, to="2"):
     """Fails unless the version was suspended, got at most 5% of the calls until then and none
-    later than 3 s after it. Returns the measured values as text."""
+    later than 3 s after the suspension. Returns the measured values as text."""
     lines = [line for name in mesh.instances for line in mesh.log_lines(name, "version_suspended")
              if line["version"] == to]
     assert lines, "never suspended"
--- a/tests/integration/partition_test.py
+++ b/tests/integration/partition_test.py
@@ -116,19 +116,19 @@
 
 
 def test_two_way_cut_store_outside():
-    """Guards against work in the cut off data centre later than 3 s after it can know that it is
-    out, an older version after the cut, and false answers on either side."""
+    """Guards against work in the cut-off data centre later than 3 s after it can know that it was
+    taken out, an older version after the cut, and false answers on either side."""
     return out_during_cut(store_inside=False)
 
 
 def test_two_way_cut_store_inside():
-    """Guards against work in the cut off data centre, which alone knows that it is out, and a mesh
-    that stays behind after the cut."""
+    """Guards against work in the cut-off data centre, which alone has the text that takes it out,
+    and against other nodes that keep the older text after the cut."""
     return out_during_cut(store_inside=True)
 
 
 def test_inbound_cut():
-    """Guards against a data centre that doesn't learn that it is out, because the others can't
+    """Guards against a data centre that doesn't learn that it was taken out, because others can't
     reach it while its own probes are answered."""
     return out_during_cut(store_inside=False, outbound=False)
 
--- a/tests/integration/platform_test.py
+++ b/tests/integration/platform_test.py
@@ -205,8 +205,8 @@
 
 
 def test_groups_that_started_apart():
-    """Guards against nodes that start together, join only each other and never join the rest. In 3
-    of 8 runs of a day with a power loss, a fifth of the day's calls was refused after the loss."""
+    """Guards against nodes that start together, join only each other and never join the rest. In a
+    test of one day with a power loss, 3 of 8 runs refused a fifth of the day's calls after it."""
     with Platform(separate_groups=True) as platform:
         for instance in platform.instances:
             wait_until(lambda: all(instance.call(path)[0] == 200
--- a/tests/integration/standins_test.py
+++ b/tests/integration/standins_test.py
@@ -43,7 +43,7 @@
         load = harness.start_load("--target", listen, "--path", "/a:3", "--path", "/b",
                                   "--rate", 1000, "--duration-s", 1.5, "--body-bytes", 300,
                                   "--response-bytes", 5000)
-        summary, records = harness.load_result(load)
+        summary, records = harness.wait_for_load(load)
         ran = get_json(control, "/control/executions")
         assert summary["sent"] > 1200, summary
         assert summary["answered"] == summary["sent"] == len(records), summary
@@ -67,7 +67,7 @@
         time.sleep(0.5)
         post_json(proxy_control, "/control",
                   {"link": "in.a", "cut": False, "truncate_after_bytes": 60})
-        summary, records = harness.load_result(load)
+        summary, records = harness.wait_for_load(load)
         counted = sum(summary[k] for k in ("answered", "not_run", "unknown", "deadline", "crossed",
                                            "cut", "lost"))
         assert counted == summary["sent"] == len(records), summary
@@ -266,7 +266,7 @@
     with Harness() as harness:
         listen, control, backend = start_backend(harness, "--service-ms", 50, "--slots", 2)
         load = harness.start_load("--target", listen, "--concurrency", 20, "--requests", 100)
-        summary, records = harness.load_result(load)
+        summary, records = harness.wait_for_load(load)
         ran = get_json(control, "/control/executions")
         assert summary["not_run_reasons"] == {"backend-shed": ran["shed"]}, summary
         assert ran["started"] == summary["answered"] == ran["distinct"], (ran, summary)
@@ -276,10 +276,10 @@
                                               name="cold")
         gentle = harness.start_load("--target", cold, "--concurrency", 3, "--requests", 60,
                                     name="gentle")
-        assert harness.load_result(gentle)[0]["status"] == {"200": 60}
+        assert harness.wait_for_load(gentle)[0]["status"] == {"200": 60}
         harsh = harness.start_load("--target", cold, "--concurrency", 10, "--requests", 60,
                                    name="harsh")
-        assert harness.load_result(harsh)[0]["status"].get("500", 0) > 0
+        assert harness.wait_for_load(harsh)[0]["status"].get("500", 0) > 0
         assert get_json(cold_control, "/control/executions")["falls"] >= 1
 
         post_json(control, "/control", {"service_ms": 800})
@@ -317,7 +317,7 @@
         post_json(control, "/control", {"service_ms": 1, "truncate_permille": 1000})
         load = harness.start_load("--target", listen, "--concurrency", 1, "--requests", 5,
                                   "--keyed-permille", 1000, "--resend")
-        summary, records = harness.load_result(load)
+        summary, records = harness.wait_for_load(load)
         assert summary["cut"] == 5 and summary["resent"] == 15, summary
         assert all(r["attempts"] == 4 for r in records), records
         ran = get_json(control, "/control/executions")
@@ -335,7 +335,7 @@
         def p50(concurrency, name):
             load = harness.start_load("--target", listen, "--concurrency", concurrency,
                                       "--requests", 60, name=name)
-            return harness.load_result(load)[0]["latency_us"]["p50"]
+            return harness.wait_for_load(load)[0]["latency_us"]["p50"]
 
         assert p50(8, "loaded") > 2 * p50(4, "light")
         held = [socket.create_connection((HOST, int(listen.split(":")[1]))) for _ in range(9)]
@@ -367,7 +367,7 @@
         first, first_control, _ = start_backend(harness, "--egress", last, name="first")
         load = harness.start_load("--target", first, "--concurrency", 4, "--requests", 40,
                                   "--chain", "/onward")
-        summary, records = harness.load_result(load)
+        summary, records = harness.wait_for_load(load)
         assert summary["answered"] == 40 and summary["status"] == {"200": 40}, summary
         for record in records:
             for control, suffix in ((first_control, ""), (last_control, ".1")):
@@ -379,7 +379,8 @@
 
 
 def test_usage():
-    """Guards against programs that start with a misspelt option."""
+    """Guards against programs that start although an option is misspelt or their address is in
+    use."""
     with Harness() as harness:
         for name in ("kv_store", "backend_server", "fault_proxy", "load_generator"):
             assert harness.start(name, "--help", ready=None).wait(5) == 0
--- a/tests/integration/stored_text_test.py
+++ b/tests/integration/stored_text_test.py
@@ -62,8 +62,8 @@
 
 def test_text_is_restored_at_every_distance_from_a_whole_one():
     """Guards against a version that no node can restore once all of them have restarted, against
-    values that are removed too soon or never, and against a raw text that is not checked or is
-    checked with the delta of another text."""
+    values that are removed too soon or never, and against an uncompressed text that is not
+    checked or is checked with the delta of another text."""
     with Mesh() as mesh:
         start_mesh(mesh)
         store = f"{HOST}:{mesh.store_port}"
@@ -85,8 +85,8 @@
                 restart_all(mesh)
                 assert {mesh.status(n)["config_version"] for n in mesh.instances} == {version}
                 mesh.wait_members()
-        # Up to two intervals are kept, each with up to 8 deltas and a full text, and a third until
-        # it has been removed: 3 * 9 values.
+        # Up to two series of a full text and up to 8 deltas are kept, and a third until it has been
+        # removed: 3 * 9 values.
         assert max(counts) <= 27, counts
         return f"{counts[-1]} values kept, at most {max(counts)}; {mesh.finish()}"
 
@@ -94,8 +94,8 @@
 def test_accepter_ends_between_two_writes():
     """Guards against a text that is lost, accepted in part or can't be restored when the accepter
     is killed, paused past its lease or cut off from the store between any two of its writes, while
-    answers are lost and raw texts are written. Store calls take 20 ms more, so that faults hit
-    each step."""
+    answers are lost and uncompressed texts are written. Store calls take 20 ms more, so that
+    faults hit each step."""
     rng = random.Random(seed())
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 5)
@@ -141,7 +141,7 @@
 
 def test_accepter_stays_below_the_bound_with_a_text_of_1_mb():
     """Guards against an accepter that reads or writes the full text for each change. The bound of
-    9 KB/s at 7,100 changes a day is 109 KB a change (design page, section 1.3)."""
+    9 KB/s at 7,100 changes a day is 109 KB a change (docs/design.md, section 1.3)."""
     max_bytes_per_change = 9_000 * 86_400 / 7_100
 
     def large(slots):
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -28,7 +28,7 @@
 FAULT_PAUSE_S = (0.2, 1.0)  # bounds of the random time between two faults
 MAX_CONCURRENT_FAULTS = 3
 RATE_PER_S = 60  # calls of each load generator
-# If there are more requests of a load and kind, the executions of at least so many are counted.
+# Of more requests of a load and kind than this, a sample of at least this size is checked.
 MIN_CHECKED_REQUESTS = 200
 DATA_CENTRES = ["east", "west", "north"]
 GATE_COUNT, WORKER_COUNT = 2, 6  # gates receive the callers' calls; node faults spare gate-0
--- a/tests/version_move_test.cpp
+++ b/tests/version_move_test.cpp
@@ -66,7 +66,7 @@
                           seed_or_default() + static_cast<std::uint64_t>(i), options);
         totals.m_taken_back += result.m_state == move_state::taken_back ? 1 : 0;
         totals.m_in_time += result.m_in_time ? 1 : 0;
-        totals.m_final_writes += static_cast<int>(result.m_final_writes);
+        totals.m_final_writes += static_cast<int>(result.m_final_state_writes);
         totals.m_largest_weight =
             std::max(totals.m_largest_weight, result.m_max_weight_before_visible);
         if (result.m_state == move_state::done) {
