--- a/bench/call_cost.cpp
+++ b/bench/call_cost.cpp
@@ -32,7 +32,8 @@
 
 // Call rate of one node at the planned scale.
 constexpr int planned_calls_per_second = 70;
-// Maximum increase of the 99th percentile latency through two nodes, in microseconds.
+// Largest increase of the 99th percentile latency through two nodes that meets the target, in
+// microseconds.
 constexpr double target_added_p99_us = 520;
 constexpr int saturation_connections = 24;
 constexpr std::size_t body_bytes = 512;
--- a/bench/watch_baseline.cpp
+++ b/bench/watch_baseline.cpp
@@ -93,7 +93,8 @@
     }
 }
 
-// Writes a new text and a new accepted version, then waits until every watcher has read the text.
+// Writes a new text and a new accepted version, then waits until every watcher has read the text,
+// at most 18 s.
 void apply_change(measurement& state, store_client& writer, const std::string& text) {
     state.m_delays_ms.clear();
     ++state.m_change;
