--- a/src/base/error.hpp
+++ b/src/base/error.hpp
@@ -93,7 +93,7 @@
 // Returns the outcome with the given header value, or nothing if there is none.
 std::optional<outcome> outcome_from_name(std::string_view name);
 
-// Reason of a failure, set when a function returns an empty std::optional. m_kind is for the
+// Reason of a failure, set by a function that returns no result, null or false. m_kind is for the
 // program, m_text for a person.
 struct error {
     error_kind m_kind = error_kind::none;
--- a/src/ctl/commands.hpp
+++ b/src/ctl/commands.hpp
@@ -1,5 +1,6 @@
 // The commands of carawayctl. Each command prints readable text or, if console::m_json is set, one
-// JSON object per line, and returns the exit code.
+// JSON object per line, and returns the exit code. A verdict is the stored result of a version
+// move or of the distribution of a configuration version.
 #pragma once
 
 #include <cstdint>
--- a/src/ctl/records.hpp
+++ b/src/ctl/records.hpp
@@ -48,14 +48,14 @@
     std::string m_reason;
 };
 std::optional<stored_move> parse_move(std::string_view value);
-// Returns whether the move has ended, with the state done or taken_back.
+// Returns whether the move has ended. A move without a state counts as not ended.
 bool is_final(const stored_move& move);
 
 // The record of how widely a version is applied, stored at caraway/verdict/config/VERSION.
 struct stored_config_verdict {
     std::uint64_t m_version = 0;
-    std::uint64_t m_in_force = 0; // members that have the version in force
-    std::uint64_t m_members = 0;
+    std::uint64_t m_in_force = 0;       // members that have the version in force
+    std::uint64_t m_members = 0;        // number of members
     std::vector<std::string> m_missing; // instances without the version, at most 20
     bool m_final = false;
 };
--- a/src/ctl/replay.hpp
+++ b/src/ctl/replay.hpp
@@ -22,10 +22,12 @@
 struct replay_report {
     std::uint64_t m_inputs = 0;            // replayed decision lines
     std::uint64_t m_differing_actions = 0; // actions that differ from the recorded ones
-    std::uint64_t m_breaches = 0;          // unmet outcomes, damaged lines and gaps
-    std::uint64_t m_signature = 0;         // hash of all replayed actions
-    std::vector<std::string> m_faults;     // messages about the first differences and breaches
-    std::vector<std::string> m_outcomes;   // one line per expected outcome, with its figures
+    // Unmet outcomes, lines that are damaged or contradict the replayed suspension, and the lines
+    // of an instance from a loss of lines to its next process start.
+    std::uint64_t m_breaches = 0;
+    std::uint64_t m_signature = 0;       // hash of all replayed actions
+    std::vector<std::string> m_faults;   // messages about the first differences and breaches
+    std::vector<std::string> m_outcomes; // one line per expected outcome, with its figures
 };
 
 // Replays one trace, the text of its log lines in the order that read_trace returns. outcomes is a
--- a/src/ctl/replay_outcomes.cpp
+++ b/src/ctl/replay_outcomes.cpp
@@ -241,7 +241,7 @@
 }
 
 outcome_checker::check_result outcome_checker::check_final_states() const {
-    std::size_t finals = 0;
+    std::size_t final_state_count = 0;
     std::size_t rewritten = 0;
     for (const auto& [id, history] : m_moves) {
         bool ended = false;
@@ -249,11 +249,11 @@
             rewritten += ended ? 1 : 0;
             ended = ended || record.m_state != move_state::running;
         }
-        finals += ended ? 1 : 0;
+        final_state_count += ended ? 1 : 0;
     }
-    return {rewritten == 0 && finals > 0,
-            fmt::format("one_final_state: {} final states, {} records written after one", finals,
-                        rewritten)};
+    return {rewritten == 0 && final_state_count > 0,
+            fmt::format("one_final_state: {} final states, {} records written after one",
+                        final_state_count, rewritten)};
 }
 
 outcome_checker::check_result
@@ -284,10 +284,10 @@
     }
     std::vector<time_point> times = failed->second;
     std::sort(times.begin(), times.end());
-    const duration took = suspended_at - times[outcome.m_count - 1];
-    return {took <= outcome.m_limit,
+    const duration delay = suspended_at - times[outcome.m_count - 1];
+    return {delay <= outcome.m_limit,
             fmt::format("suspended_within: {:.2f} s after failed call {}, at most {:.1f} s",
-                        seconds(took), outcome.m_count, seconds(outcome.m_limit))};
+                        seconds(delay), outcome.m_count, seconds(outcome.m_limit))};
 }
 
 outcome_checker::check_result outcome_checker::check_count(const expected_outcome& outcome) const {
--- a/src/ctl/replay_outcomes.hpp
+++ b/src/ctl/replay_outcomes.hpp
@@ -90,11 +90,12 @@
     std::map<std::string, std::uint64_t> m_highest_applied; // by instance, kept over restarts
     std::size_t m_apply_count = 0;
     std::size_t m_version_decreases = 0;
-    std::map<std::string, std::size_t> m_ready_counts; // starts that became ready, by instance
-    std::map<std::string, move_history> m_moves;       // by move id
+    // Number of process starts after which the instance became ready, by instance.
+    std::map<std::string, std::size_t> m_ready_counts;
+    std::map<std::string, move_history> m_moves;                        // by move id
     std::map<std::string, std::vector<time_point>> m_failed_call_times; // by version
     std::map<std::string, time_point> m_suspension_times; // of the first suspension, by version
-    // Number of evaluations of the weight of a suspended move, and how many of them were not 0.
+    // Evaluations of a new version's weight after its suspension, and how many of them were not 0.
     std::size_t m_weight_checks = 0;
     std::size_t m_nonzero_weights_after_suspension = 0;
 };
--- a/src/ctl/report_commands.cpp
+++ b/src/ctl/report_commands.cpp
@@ -84,7 +84,7 @@
 struct mesh_status {
     std::uint64_t m_text_revision = 0; // 0: no text submitted yet
     std::optional<stored_acceptance> m_accepted;
-    std::optional<stored_refusal> m_refused;
+    std::optional<stored_refusal> m_refused; // last refusal, perhaps of an earlier text
     std::vector<stored_move> m_moves;
     std::optional<stored_config_verdict> m_verdict;
     std::vector<std::pair<std::string, std::string>> m_leases; // key without lease_prefix, holder
--- a/src/ctl/store_session.cpp
+++ b/src/ctl/store_session.cpp
@@ -121,37 +121,38 @@
 } // namespace
 
 store_interface open_store(std::vector<ip_endpoint> addresses, milliseconds timeout) {
-    auto opened = std::make_shared<session>();
-    opened->m_client = store_client::create(opened->m_context, std::move(addresses),
-                                            native_store_codec(), timeout, {});
+    auto shared_session = std::make_shared<session>();
+    shared_session->m_client = store_client::create(shared_session->m_context, std::move(addresses),
+                                                    native_store_codec(), timeout, {});
     store_interface calls;
-    calls.m_get = [opened](std::string_view key) {
-        return opened->retry(true, [&](store_callback done) { opened->m_client->get(key, done); });
+    calls.m_get = [shared_session](std::string_view key) {
+        return shared_session->retry(
+            true, [&](store_callback done) { shared_session->m_client->get(key, done); });
     };
-    calls.m_put = [opened](std::string_view key, std::string_view value,
-                           std::uint64_t if_revision) {
-        return opened->retry(false, [&](store_callback done) {
-            opened->m_client->put(key, value, if_revision, "", done);
+    calls.m_put = [shared_session](std::string_view key, std::string_view value,
+                                   std::uint64_t if_revision) {
+        return shared_session->retry(false, [&](store_callback done) {
+            shared_session->m_client->put(key, value, if_revision, "", done);
         });
     };
-    calls.m_list = [opened](std::string_view prefix) {
-        return opened->retry(true,
-                             [&](store_callback done) { opened->m_client->list(prefix, done); });
+    calls.m_list = [shared_session](std::string_view prefix) {
+        return shared_session->retry(
+            true, [&](store_callback done) { shared_session->m_client->list(prefix, done); });
     };
-    calls.m_follow = [opened](std::span<const std::string> prefixes, std::uint64_t after,
-                              milliseconds limit, const change_handler& handler) {
+    calls.m_follow = [shared_session](std::span<const std::string> prefixes, std::uint64_t after,
+                                      milliseconds limit, const change_handler& handler) {
         auto state = std::make_shared<follow_state>();
-        state->m_session = opened.get();
+        state->m_session = shared_session.get();
         state->m_handler = &handler;
         for (const std::string& prefix : prefixes) {
             watch_prefix(state, prefix, after);
         }
         const auto deadline = std::chrono::steady_clock::now() + limit;
-        opened->m_context.restart();
+        shared_session->m_context.restart();
         while (!state->m_stopped) {
             if (limit.count() == 0) {
-                opened->m_context.run_one();
-            } else if (opened->m_context.run_one_until(deadline) == 0) {
+                shared_session->m_context.run_one();
+            } else if (shared_session->m_context.run_one_until(deadline) == 0) {
                 state->m_stopped = true;
                 state->m_result = error_kind::deadline_after_send;
             }
--- a/src/observe/byte_account.hpp
+++ b/src/observe/byte_account.hpp
@@ -14,12 +14,12 @@
 
 enum class byte_purpose : std::uint8_t {
     probe,  // pings and their replies
-    rumour, // gossip sent between the probes
+    rumour, // packets of gossip alone; gossip inside pings and replies counts as probe
     join,   // member tables sent to joining nodes
     table,  // comparisons of member tables
     text,   // configuration texts and deltas
     facts,  // suspensions of versions and records of version moves
-    other,  // evidence for version moves, and counts of configuration versions in force
+    other,  // evidence for version moves, and counts of members with a version in force
     call,   // calls to backend servers beside other nodes
 };
 constexpr std::size_t byte_purpose_count = 8;
--- a/src/observe/recorder.cpp
+++ b/src/observe/recorder.cpp
@@ -42,8 +42,8 @@
     all_fields.emplace_back("action", action);
     std::string line = format_event(log_level::info, decision_event, all_fields);
     const std::lock_guard lock(state.m_mutex);
-    // Once a line has been dropped, drops all further ones until flush_recording has logged the
-    // gap. A replay ends at the gap, so it can't use them.
+    // After the first dropped line, drops all further ones until flush_recording reports the loss.
+    // A replay couldn't use them: it skips an instance's lines from a loss to the next restart.
     if (state.m_dropped > 0 || state.m_lines.size() >= state.m_max_queued_lines) {
         ++state.m_dropped;
         return;
--- a/src/observe/recorder.hpp
+++ b/src/observe/recorder.hpp
@@ -13,7 +13,8 @@
 namespace caraway {
 
 constexpr std::string_view decision_event = "decision";
-// Written in place of inputs that were dropped because the queue was full. A replay ends there.
+// Reports inputs that were dropped because the queue was full. A replay counts the instance's lines
+// from here to its next process start as breaches.
 constexpr std::string_view dropped_decisions_event = "decisions_dropped";
 
 // Starts recording, or stops it if max_lines is 0. At most max_lines lines are queued, and further
--- a/src/traffic/admin.hpp
+++ b/src/traffic/admin.hpp
@@ -45,8 +45,8 @@
     admin_server& operator=(const admin_server&) = delete;
     admin_server(admin_server&&) = delete;
     admin_server& operator=(admin_server&&) = delete;
-    // Closes the listening socket. Open connections receive no further page; they end when the peer
-    // closes them or their timeout expires.
+    // Closes the listening socket. Open connections receive no answer any more; they end when the
+    // peer closes them or their timeout expires.
     ~admin_server();
 
 private:
--- a/src/traffic/admission_gate.cpp
+++ b/src/traffic/admission_gate.cpp
@@ -21,8 +21,8 @@
 // nothing and is not recorded.
 void record_release(const admission_state& state, std::string_view input, time_point now,
                     const released_calls& release) {
-    const bool did_nothing = release.m_run.empty() && release.m_expired.empty();
-    if (is_recording() && !(did_nothing && input == "tick")) {
+    const bool released_none = release.m_run.empty() && release.m_expired.empty();
+    if (is_recording() && !(released_none && input == "tick")) {
         record_input(recorded_component, input, now, {}, action_text(state, release));
     }
 }
@@ -69,7 +69,7 @@
         const time_point now = m_clock.now();
         cold = is_cold(m_state, now);
         const time_point deadline = control.deadline();
-        const admission_result offered =
+        const admission_result offer_result =
             admission_offer(m_state, call, request.m_urgency, deadline, now, request.m_useful_until,
                             request.m_route);
         if (is_recording()) {
@@ -77,18 +77,18 @@
                          {{"call", call},
                           {"urgency", static_cast<std::uint32_t>(request.m_urgency)},
                           {"deadline_ns", to_ns(deadline.time_since_epoch())}},
-                         action_text(m_state, offered));
+                         action_text(m_state, offer_result));
         }
-        if (offered.m_displaced != 0) {
-            set_verdict(offered.m_displaced, verdict::displaced);
+        if (offer_result.m_displaced != 0) {
+            set_verdict(offer_result.m_displaced, verdict::displaced);
         }
         update_load();
-        if (offered.m_verdict == admission_verdict::run) {
+        if (offer_result.m_verdict == admission_verdict::run) {
             return true;
         }
-        if (offered.m_verdict == admission_verdict::refuse) {
-            retry_after = offered.m_retry_after;
-            fail(reason, offered.m_reason, "the backend server takes no more calls now");
+        if (offer_result.m_verdict == admission_verdict::refuse) {
+            retry_after = offer_result.m_retry_after;
+            fail(reason, offer_result.m_reason, "the backend server takes no more calls now");
             return false;
         }
         waiting->m_control = control.shared_from_this();
--- a/src/traffic/admission_gate.hpp
+++ b/src/traffic/admission_gate.hpp
@@ -18,7 +18,8 @@
 // A call that requests a slot.
 struct admission_request {
     urgency m_urgency = urgency::normal;
-    time_point m_useful_until; // when the answer loses most of its value; default: unknown
+    // When the answer loses most of its value to the caller; time_point{} if unknown.
+    time_point m_useful_until;
     std::string_view m_route;
 };
 
--- a/src/traffic/backend_side.cpp
+++ b/src/traffic/backend_side.cpp
@@ -125,8 +125,8 @@
 constexpr std::array<unsigned, 4> not_run_statuses{400, 421, 429, 503};
 constexpr unsigned misdirected_status = 421;
 
-// Turns a response that states that the request did not run into a refusal, and a response that
-// cannot come from the server into a cut connection.
+// Converts a response that states that the request did not run into a refusal. Converts a response
+// without the marker that the server sets on all its responses into connection_cut.
 void classify_answer(const traffic_context& context, connection& open_connection,
                      server_result& result) {
     const edge_headers& edge = context.m_settings.m_edge_headers;
--- a/src/traffic/call_control.hpp
+++ b/src/traffic/call_control.hpp
@@ -61,6 +61,7 @@
     // detects when it closes.
     void disable_caller_watch() { m_watch_enabled = false; }
 
+    // Returns the current time limit, which during a call is the call's deadline.
     time_point deadline() const { return m_time_limit; }
     // Returns true if the call was cancelled or has reached its deadline.
     bool is_ended() const { return m_deadline_passed || m_cancelled; }
--- a/src/traffic/claims_over_http.cpp
+++ b/src/traffic/claims_over_http.cpp
@@ -213,18 +213,19 @@
 }
 
 claim_reply key_tables::grant(const claim_request& request, const routing_snapshot& snapshot) {
-    std::optional<wall_time> promoted;
+    std::optional<wall_time> promoted_at;
     bool partition_safe = true;
     const auto service = snapshot.m_services.find(request.m_service);
     if (service != snapshot.m_services.end()) {
         const service_view& view = service->second;
         if (!view.m_departures.empty()) {
-            promoted = promotion_time(request, m_instance, view.m_members, view.m_departures);
+            promoted_at = promotion_time(request, m_instance, view.m_members, view.m_departures);
         }
         partition_safe = is_partition_safe(request, m_instance, view.m_members, view.m_losses);
     }
     const std::lock_guard lock(m_mutex);
-    claim_reply reply = grant_claim(m_claims, request, m_clock.now(), m_clock.wall_now(), promoted);
+    claim_reply reply =
+        grant_claim(m_claims, request, m_clock.now(), m_clock.wall_now(), promoted_at);
     reply.m_history_complete = reply.m_history_complete && partition_safe;
     return reply;
 }
--- a/src/traffic/claims_over_http.hpp
+++ b/src/traffic/claims_over_http.hpp
@@ -1,5 +1,6 @@
 // Idempotency keys over HTTP: this node's claim and result tables, the requests that nodes send
-// each other about them, and the steps of claiming the key of one call.
+// each other about them, and the steps of claiming the key of one call. A registrar of a key is an
+// instance that records which attempt holds the key; see decide/claim.hpp.
 #pragma once
 
 #include <cstdint>
--- a/src/traffic/connection_pool.cpp
+++ b/src/traffic/connection_pool.cpp
@@ -69,11 +69,12 @@
     }
 }
 
-error_kind read_error_kind(const error_code& failed, bool got_some) {
+// Returns the error kind of a failed read. answer_started is true if a byte of the answer arrived.
+error_kind read_error_kind(const error_code& failed, bool answer_started) {
     if (failed == http::error::body_limit) {
         return error_kind::answer_too_large;
     }
-    return got_some ? error_kind::answer_truncated : error_kind::connection_cut;
+    return answer_started ? error_kind::answer_truncated : error_kind::connection_cut;
 }
 
 } // namespace
@@ -120,32 +121,32 @@
     if (auto idle = take_idle(peer)) {
         return idle;
     }
-    auto opened =
+    auto new_connection =
         std::make_unique<connection>(m_io, peer, read_ahead_bytes + (64U << 10U), m_max_idle_time);
     error_code failed;
     {
-        const call_control::outgoing_guard guard(control, opened->m_socket);
-        const connect_timeout_guard limit(control, opened->m_socket, connect_timeout);
+        const call_control::outgoing_guard guard(control, new_connection->m_socket);
+        const connect_timeout_guard limit(control, new_connection->m_socket, connect_timeout);
         if (m_source) {
-            bind_source(opened->m_socket, *m_source, failed);
+            bind_source(new_connection->m_socket, *m_source, failed);
         }
         if (!failed) {
-            opened->m_socket.async_connect(to_tcp_endpoint(peer), yield[failed]);
+            new_connection->m_socket.async_connect(to_tcp_endpoint(peer), yield[failed]);
         }
     }
     if (control.is_ended()) {
         fail(reason, control.end_reason(false), "the call ended while connecting");
         return nullptr;
     }
-    if (failed || !opened->m_socket.is_open()) {
+    if (failed || !new_connection->m_socket.is_open()) {
         fail(reason, error_kind::connect_failed,
              "connect to " + format_endpoint(peer) + ": " + failed.message());
         return nullptr;
     }
     error_code ignored;
-    opened->m_socket.set_option(tcp::no_delay(true), ignored);
-    detect_dead_peer(opened->m_socket.native_handle());
-    return opened;
+    new_connection->m_socket.set_option(tcp::no_delay(true), ignored);
+    detect_dead_peer(new_connection->m_socket.native_handle());
+    return new_connection;
 }
 
 void connection_pool::return_connection(std::unique_ptr<connection> peer_connection) {
--- a/src/traffic/http_message.cpp
+++ b/src/traffic/http_message.cpp
@@ -85,14 +85,14 @@
 }
 
 void strip_hop_by_hop_headers(http::fields& fields) {
-    std::vector<std::string> named;
+    std::vector<std::string> connection_options;
     const auto [first, last] = fields.equal_range(http::field::connection);
     for (auto field = first; field != last; ++field) {
         for (const auto& token : http::token_list(field->value())) {
-            named.emplace_back(from_beast(token));
+            connection_options.emplace_back(from_beast(token));
         }
     }
-    for (const std::string& name : named) {
+    for (const std::string& name : connection_options) {
         fields.erase(name);
     }
     for (const http::field name :
--- a/src/traffic/snapshot.hpp
+++ b/src/traffic/snapshot.hpp
@@ -50,7 +50,7 @@
     // suspended.
     std::uint32_t m_new_weight_permille = 0;
     std::string m_old_version;
-    std::string m_new_version;            // empty if the text contains no move
+    std::string m_new_version;            // empty if no move is configured
     std::vector<backend_view> m_backends; // alive, ready and in a data centre in service
     // All known instances that have not left, including dead ones. The registrars of keys are
     // selected from them.
@@ -62,7 +62,7 @@
     std::vector<member_loss> m_losses;
 };
 
-// The backend server beside this node, as far as calls depend on it.
+// Properties of the backend server beside this node that affect calls.
 struct own_server_view {
     std::string m_server; // identity of the server; empty if it does not report itself
     std::string m_service;
--- a/src/traffic/sockets.hpp
+++ b/src/traffic/sockets.hpp
@@ -11,7 +11,7 @@
 
 using tcp = boost::asio::ip::tcp;
 
-// Delay before the next accept after one failed, mostly for lack of file descriptors.
+// Delay before accepting again after a failure, which is usually a lack of file descriptors.
 constexpr milliseconds accept_retry_delay{10};
 
 // Converts an endpoint of the settings or of a member. A malformed address is converted to the
--- a/src/traffic/traffic.cpp
+++ b/src/traffic/traffic.cpp
@@ -175,7 +175,7 @@
     }
     auto control = call_control::create(m_io, std::move(socket), m_context.m_clock, next_seed());
     spawn_coroutine(*control, [this](const auto& self, asio::yield_context yield) {
-        const progress_guard counted(m_refusing);
+        const progress_guard guard(m_refusing);
         const control_registration registration(m_context.m_background, self);
         refuse_surplus_connection(m_context, *self, yield);
         self->stop();
@@ -202,8 +202,8 @@
         }));
 }
 
-// Returns true if neither a call nor a probe has shown the state of the backend server for the
-// length of the interval.
+// Returns true if probes are enabled, no call is in progress, and within the last interval no call
+// has ended and no probe was sent.
 bool traffic_server::impl::health_probe_is_due() const {
     const milliseconds interval = m_context.m_settings.m_health_interval;
     const time_point now = m_context.m_clock.now();
@@ -212,8 +212,8 @@
            now.time_since_epoch() - last_call >= interval && m_context.m_in_progress == 0;
 }
 
-// Requests the backend server's health endpoint. The response is only logged: health endpoints lag
-// or mislead, so only calls decide.
+// Requests the backend server's health endpoint. The response is only logged, because health
+// endpoints can be late or wrong; routing depends on the results of calls.
 void traffic_server::impl::probe_health() {
     m_last_probe = m_context.m_clock.now();
     auto control = call_control::create(m_io, tcp::socket(m_io), m_context.m_clock, next_seed());
--- a/src/traffic/traffic_context.cpp
+++ b/src/traffic/traffic_context.cpp
@@ -10,8 +10,8 @@
 // Maximum number of idle connections to one other node. At the planned 70 calls/s of about 20 ms
 // each, a node rarely has more than a few calls to one other node in progress.
 constexpr std::size_t max_idle_per_peer = 64;
-// Maximum number of idle connections to the own backend server. Its service's connection limit
-// bounds them as well; a higher limit than this is not sensible.
+// Maximum number of idle connections to the own backend server. The service's connection
+// limit bounds them as well and is expected to be lower.
 constexpr std::size_t max_idle_own_server = 1'024;
 // Shorter than the 75 s for which other nodes keep idle connections.
 constexpr milliseconds max_idle_time_peers{30'000};
--- a/src/traffic/traffic_context.hpp
+++ b/src/traffic/traffic_context.hpp
@@ -63,7 +63,7 @@
 
     std::mutex m_entry_mutex;
     std::unordered_map<std::string, entry_state> m_entry_states; // by service
-    // By host and path of the route.
+    // Both by host and path of the route.
     std::unordered_map<std::string, weighted_round_robin> m_route_splits;
     std::unordered_map<std::string, caller_history> m_caller_histories;
 
@@ -87,8 +87,9 @@
     std::string m_version; // of the backend server; chosen by the entry side
     urgency m_urgency = urgency::normal;
     bool m_idempotent = false;
-    time_point m_useful_until; // when the answer loses most of its value; default: unknown
-    std::string m_key;         // idempotency key, empty if none
+    // When the answer loses most of its value to the caller; time_point{} if unknown.
+    time_point m_useful_until;
+    std::string m_key; // idempotency key, empty if none
     std::optional<std::uint64_t> m_first_sent_ms;
     std::string m_request_number;
     std::uint32_t m_hop = 0; // depth in the chain of calls; 1 for a call from a caller
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -147,7 +147,7 @@
 
 // Guards against a page made from the state of a node that has already been destroyed.
 BOOST_AUTO_TEST_CASE(request_that_ends_after_the_server_gets_no_page) {
-    tcp::socket late = send("GET /page HTTP/1.1\r\n");
+    tcp::socket incomplete_request = send("GET /page HTTP/1.1\r\n");
     check_page_is_served(); // the first connection was accepted before this one
     std::promise<void> destroyed;
     asio::post(m_io, [this, &destroyed] {
@@ -155,8 +155,8 @@
         destroyed.set_value();
     });
     destroyed.get_future().wait();
-    asio::write(late, asio::buffer(std::string("\r\n")));
-    BOOST_TEST(read_all(late).empty());
+    asio::write(incomplete_request, asio::buffer(std::string("\r\n")));
+    BOOST_TEST(read_all(incomplete_request).empty());
     BOOST_TEST(m_handled_requests == 1);
 }
 
--- a/tests/ctl_test.cpp
+++ b/tests/ctl_test.cpp
@@ -248,8 +248,9 @@
                                                "2027-01-15T00:00:00.000Z from revision 11\n");
 }
 
-// Guards against a submitted delta that restores another text, names another revision or replaces
-// the delta of a later text, and against an accepted delta that carawayctl can't restore.
+// Guards against a submitted delta that yields another text than the submitted one, contains a
+// wrong revision or replaces the delta of a later text. Also guards against an accepted delta from
+// which carawayctl can't restore the accepted text.
 BOOST_AUTO_TEST_CASE(delta_of_a_submitted_text_restores_it) {
     const scratch_folder folder;
     const std::string accepted = std::string(s_text) + "timeout = \"3s\"\n";
@@ -279,16 +280,16 @@
     BOOST_TEST(delta->m_base_version == 4U);
     BOOST_TEST((unpack_text(*delta, accepted, reason) == text.m_value));
     // Another operator writes a text and its delta between this operator's text and delta.
-    store_interface late = store.calls();
-    late.m_put = [&](std::string_view key, std::string_view value, std::uint64_t revision) {
+    store_interface racing_store = store.calls();
+    racing_store.m_put = [&](std::string_view key, std::string_view value, std::uint64_t revision) {
         store_reply reply = store.put(key, value, revision);
         if (key == "caraway/text") {
             store.set("caraway/text-delta", "later");
         }
         return reply;
     };
-    BOOST_TEST(apply_text(output.open(), late, make_apply_options(file, text.m_revision), s_now) ==
-               exit_done);
+    BOOST_TEST(apply_text(output.open(), racing_store, make_apply_options(file, text.m_revision),
+                          s_now) == exit_done);
     BOOST_TEST(store.m_keys["caraway/text-delta"].m_value == "later");
 }
 
@@ -302,14 +303,15 @@
     BOOST_TEST(apply_text(output.open(), store.calls(), make_apply_options(file, 0), s_now) ==
                exit_done);
     const std::string winner = store.m_keys["caraway/text"].m_value;
-    apply_options late = make_apply_options(
+    apply_options losing_options = make_apply_options(
         folder.write("late.toml", std::string(s_text) + "idempotent = true\n"), 0);
-    late.m_author = "bo";
-    captured_output lost;
-    BOOST_TEST(apply_text(lost.open(), store.calls(), late, s_now) == exit_refused);
-    BOOST_TEST(contains(lost.m_err, "is at revision 11, applied by ana at"));
-    BOOST_TEST(contains(lost.m_err, "nothing was changed"));
-    BOOST_TEST(contains(lost.m_err, "route /alpha: idempotent false -> true"));
+    losing_options.m_author = "bo";
+    captured_output losing_output;
+    BOOST_TEST(apply_text(losing_output.open(), store.calls(), losing_options, s_now) ==
+               exit_refused);
+    BOOST_TEST(contains(losing_output.m_err, "is at revision 11, applied by ana at"));
+    BOOST_TEST(contains(losing_output.m_err, "nothing was changed"));
+    BOOST_TEST(contains(losing_output.m_err, "route /alpha: idempotent false -> true"));
     BOOST_TEST(store.m_keys["caraway/text"].m_value == winner);
     BOOST_TEST(folder.read("late.toml.revision").empty());
 }
--- a/tests/replay_test.cpp
+++ b/tests/replay_test.cpp
@@ -90,11 +90,11 @@
 // Guards against a replay that returns the recorded actions instead of running the decision code.
 BOOST_AUTO_TEST_CASE(changed_inputs_and_actions_are_detected) {
     const std::string trace = load_trace("bad_move");
-    const replay_report whole = replay_or_fail(trace, "[]");
-    BOOST_TEST(whole.m_differing_actions == 0U);
+    const replay_report original_report = replay_or_fail(trace, "[]");
+    BOOST_TEST(original_report.m_differing_actions == 0U);
     const replay_report action = replay_or_fail(replace_first(trace, "write {", "wrote {"), "[]");
     BOOST_TEST(action.m_differing_actions == 1U);
-    BOOST_TEST(action.m_signature == whole.m_signature);
+    BOOST_TEST(action.m_signature == original_report.m_signature);
     for (const auto& [from, to] : {std::pair("\"failed\":true", "\"failed\":false"),
                                    std::pair("\"wanted\":true", "\"wanted\":false"),
                                    std::pair("\"valid\":true", "\"valid\":0"),
@@ -102,7 +102,7 @@
         BOOST_TEST_CONTEXT(from) {
             const replay_report input = replay_or_fail(replace_first(trace, from, to), "[]");
             BOOST_TEST(input.m_differing_actions > 0U);
-            BOOST_TEST(input.m_signature != whole.m_signature);
+            BOOST_TEST(input.m_signature != original_report.m_signature);
         }
     }
 }
@@ -137,9 +137,9 @@
 
 // Guards against a recording that passes as complete although lines were dropped from it.
 BOOST_AUTO_TEST_CASE(dropped_lines_are_a_breach) {
-    const std::string gap =
+    const std::string loss_line =
         R"({"time":1,"event":"decisions_dropped","instance":"new-0","count":3})";
-    BOOST_TEST(replay_or_fail(gap + "\n", "[]").m_breaches == 1U);
+    BOOST_TEST(replay_or_fail(loss_line + "\n", "[]").m_breaches == 1U);
     BOOST_TEST(replay_or_fail("{\"event\":\"decision\"", "[]").m_breaches == 1U);
 }
 
--- a/tests/traffic_fixture.hpp
+++ b/tests/traffic_fixture.hpp
@@ -35,7 +35,7 @@
 class fake_server {
 public:
     fake_server() : m_acceptor(m_io, {asio::ip::address_v4::loopback(), 0}) {
-        m_thread = std::thread([this] { accept_all(); });
+        m_accept_thread = std::thread([this] { accept_all(); });
     }
     fake_server(const fake_server&) = delete;
     fake_server& operator=(const fake_server&) = delete;
@@ -46,14 +46,14 @@
         error_code ignored;
         tcp::socket waker(m_io);
         waker.connect(m_acceptor.local_endpoint(), ignored);
-        m_thread.join();
+        m_accept_thread.join();
         {
             const std::lock_guard lock(m_mutex);
             for (const auto& socket : m_sockets) {
                 socket->shutdown(tcp::socket::shutdown_both, ignored);
             }
         }
-        for (std::thread& thread : m_threads) {
+        for (std::thread& thread : m_connection_threads) {
             thread.join();
         }
     }
@@ -85,7 +85,7 @@
             }
             const std::lock_guard lock(m_mutex);
             m_sockets.push_back(socket);
-            m_threads.emplace_back([this, socket] { serve(*socket); });
+            m_connection_threads.emplace_back([this, socket] { serve(*socket); });
         }
     }
     void serve(tcp::socket& socket) {
@@ -261,8 +261,8 @@
     std::mutex m_mutex;
     std::string m_last_headers;
     std::vector<std::shared_ptr<tcp::socket>> m_sockets;
-    std::vector<std::thread> m_threads;
-    std::thread m_thread;
+    std::vector<std::thread> m_connection_threads;
+    std::thread m_accept_thread;
 };
 
 // A node reduced to its traffic server.
--- a/tests/traffic_test.cpp
+++ b/tests/traffic_test.cpp
@@ -461,7 +461,9 @@
     BOOST_TEST(refused < 30);
 }
 
-// Guards against runs while a registrar that is considered alive cannot be reached.
+// Guards against running a request although one of its key's registrars (the nodes that record the
+// claims of the key) is considered alive but can't be reached, or although only one of the three
+// registrars is left.
 BOOST_AUTO_TEST_CASE(unreachable_registrar_prevents_a_run) {
     fake_server server;
     test_node& called_node = add_node("n1", "pour", server.port());
