--- a/src/carawayctl/main.cpp
+++ b/src/carawayctl/main.cpp
@@ -59,8 +59,8 @@
     std::vector<std::string> m_positionals; // command and arguments
     std::set<int> m_given_options;          // values of enum option
     std::vector<ip_endpoint> m_store;
-    std::optional<std::uint64_t> m_from;
-    std::string m_by;
+    std::optional<std::uint64_t> m_from_revision;
+    std::string m_author;
     std::string m_previous_file;
     std::string m_service;
     std::optional<milliseconds> m_timeout;
@@ -135,8 +135,8 @@
         break;
     }
     case option_from:
-        line.m_from = parse_revision(argument);
-        if (!line.m_from) {
+        line.m_from_revision = parse_revision(argument);
+        if (!line.m_from_revision) {
             return fmt::format("--from {}: expected a revision", argument);
         }
         break;
@@ -147,7 +147,7 @@
         }
         break;
     case option_by:
-        line.m_by = argument;
+        line.m_author = argument;
         break;
     case option_previous:
         line.m_previous_file = argument;
@@ -204,8 +204,8 @@
     }
     apply_options options;
     options.m_file = arguments[0];
-    options.m_from_revision = line.m_from;
-    options.m_author = line.m_by;
+    options.m_from_revision = line.m_from_revision;
+    options.m_author = line.m_author;
     options.m_wait = line.m_given_options.contains(option_wait);
     options.m_timeout = line.m_timeout.value_or(options.m_timeout);
     return apply_text(out, store, options, now);
@@ -235,9 +235,9 @@
                     fmt::format("{} does not accept one of the given options", rule.m_name));
             }
         }
-        if (line.m_by.empty()) {
+        if (line.m_author.empty()) {
             const char* user = std::getenv("USER");
-            line.m_by = user != nullptr ? user : "";
+            line.m_author = user != nullptr ? user : "";
         }
         return run(line);
     }
--- a/src/ctl/replay.hpp
+++ b/src/ctl/replay.hpp
@@ -35,8 +35,8 @@
 //   one_holder               no two nodes hold a lease at the same time
 //   steps_under_lease        nodes take steps of a move only while they hold the move's lease
 //   running_within_slots     no call starts while all slots are taken
-//   cold_start_share         hold_ms: a process uses at most a quarter of its slots until this
-//                            time after its first answer
+//   cold_start_share         hold_ms: until this time after its first successful answer, a process
+//                            uses at most a quarter of its slots, but at least one
 //   version_never_falls      the applied version of an instance never decreases, not even over
 //                            restarts
 //   one_final_state          a move's final state is written once and never changed
--- a/src/ctl/replay_outcomes.cpp
+++ b/src/ctl/replay_outcomes.cpp
@@ -9,7 +9,7 @@
 namespace caraway {
 namespace {
 
-// A backend server in cold start may use at most a quarter of its slots, as the design specifies.
+// The design allows a backend server in cold start a quarter of its slots, but at least one.
 constexpr std::uint32_t cold_divisor = 4;
 
 constexpr std::array<std::string_view, 10> known_checks{
--- a/src/ctl/store_session.hpp
+++ b/src/ctl/store_session.hpp
@@ -51,7 +51,7 @@
     };
     kind m_kind = kind::unreachable;
     std::uint64_t m_revision = 0; // revision of the key after the write, or of the winner's value
-    std::string m_value;          // lost_race: the winner's value
+    std::string m_value;          // lost_race: the winner's value, empty if it can't be read
     bool m_may_have_been_stored = false; // lost_race: the winner may have overwritten this value
     std::string m_text;                  // reason for a failure
 };
--- a/src/ctl/text_commands.cpp
+++ b/src/ctl/text_commands.cpp
@@ -313,10 +313,10 @@
     return *state.m_exit_code;
 }
 
-// Writes the delta from the accepted text to the submitted text, so that the accepter need not read
-// the whole text. The delta contains the store revision of the text, so it can't be mistaken for
-// the delta of another writer's text. A failure is not reported, because without a delta the
-// accepter reads the whole text after a short wait.
+// Writes the delta from the accepted text to the submitted text, so that the node that accepts the
+// text need not read all of it. The delta contains the store revision of the text, so it can't be
+// mistaken for the delta of another writer's text. A failure is not reported, because without a
+// delta that node reads the whole text after a short wait.
 void submit_delta(const store_interface& store, const accepted_config& current,
                   std::string_view text, std::uint64_t text_revision,
                   std::uint64_t delta_revision) {
