--- a/src/config/mesh.cpp
+++ b/src/config/mesh.cpp
@@ -90,8 +90,8 @@
 };
 using dependency_map = std::map<std::string, std::vector<dependency>, std::less<>>;
 
-// State that the checks of one text share.
-struct check_context {
+// State shared by the functions that read and check one text.
+struct parse_context {
     fault_sink m_faults;
     bool m_complete = true; // false if lines with syntax errors were left out
     wall_time m_now;
@@ -103,7 +103,7 @@
     std::size_t m_name_hints = 0;
 };
 
-void check_data_centres(check_context& context, const table_reader& root) {
+void read_data_centres(parse_context& context, const table_reader& root) {
     const auto tables = root.read_named_tables("data_centre", presence::required, max_data_centres);
     bool any_in_service = false;
     position last_out_position;
@@ -126,7 +126,7 @@
     }
 }
 
-void check_move(check_context& context, const table_reader& service, service_spec& spec) {
+void read_move(parse_context& context, const table_reader& service, service_spec& spec) {
     if (!service.has("move")) {
         return;
     }
@@ -159,7 +159,7 @@
     spec.m_move = std::move(move);
 }
 
-void check_services(check_context& context, const table_reader& root) {
+void read_services(parse_context& context, const table_reader& root) {
     const auto tables = root.read_named_tables("service", presence::required, max_services);
     for (const auto& [name, at, table] : tables) {
         const table_reader reader(*table, fmt::format("service.{}", name), service_keys,
@@ -191,7 +191,7 @@
                 dependencies.push_back({std::move(element.m_text), element.m_position});
             }
         }
-        check_move(context, reader, spec);
+        read_move(context, reader, spec);
         context.m_mesh.m_services.emplace(name, std::move(spec));
     }
     // Entries that are not tables or have invalid names are missing here; they already have a
@@ -203,7 +203,7 @@
 
 // Returns the expected part of a fault about an unknown service, with the nearest declared service
 // while the limit of suggestions allows it.
-std::string expected_service(check_context& context, std::string_view name) {
+std::string expected_service(parse_context& context, std::string_view name) {
     if (context.m_name_hints++ < max_name_hints) {
         const std::vector<std::string_view> names(context.m_declared_services.begin(),
                                                   context.m_declared_services.end());
@@ -214,7 +214,7 @@
     return "a service of this text";
 }
 
-void check_routes(check_context& context, const table_reader& root) {
+void read_routes(parse_context& context, const table_reader& root) {
     const auto tables = root.read_table_array("route", presence::optional, max_routes);
     std::unordered_map<std::string, position> paths;
     context.m_mesh.m_routes.reserve(tables.size());
@@ -268,7 +268,7 @@
 // Adds a fault for each dependency on an unknown service and for each dependency that closes a
 // cycle. The depth-first search uses an explicit stack, since a chain can be as long as the list of
 // services.
-void check_dependencies(check_context& context) {
+void check_dependencies(parse_context& context) {
     enum class visit_state : std::uint8_t { unvisited, in_progress, done };
     struct frame {
         std::string_view m_name;
@@ -422,13 +422,14 @@
                           fmt::format("at most {} bytes", max_text_bytes)});
         return std::nullopt;
     }
-    check_context context;
+    parse_context context;
     context.m_now = now;
     context.m_previous = previous;
     const text_check::document parsed = text_check::parse_document(text, context.m_faults);
     context.m_complete = parsed.m_complete;
 
-    // A newer format may have keys that are unknown here, so further faults would be misleading.
+    // The format is checked first. A newer one may have keys that are unknown here, so faults other
+    // than that of the format would be misleading; format_faults is discarded.
     fault_sink format_faults;
     const table_reader format_reader(*parsed.m_root, "", root_keys, parsed.m_complete,
                                      format_faults);
@@ -447,9 +448,9 @@
     root.read_integer("format", presence::required, std::uint64_t{1}, std::uint64_t{mesh_format},
                       format);
     root.read_name("name", presence::required, context.m_mesh.m_name);
-    check_data_centres(context, root);
-    check_services(context, root);
-    check_routes(context, root);
+    read_data_centres(context, root);
+    read_services(context, root);
+    read_routes(context, root);
     if (parsed.m_complete) {
         check_dependencies(context);
     }
--- a/src/config/mesh.hpp
+++ b/src/config/mesh.hpp
@@ -38,7 +38,7 @@
     // For a move that is ordered with a duration instead of a deadline: the store revision of the
     // order, which distinguishes it from other orders. 0 if m_deadline applies.
     std::uint64_t m_order_revision = 0;
-    milliseconds m_duration{0}; // counts from when the node that starts the move saw the order
+    milliseconds m_duration{0}; // from when the node that starts the move first saw the order
     friend bool operator==(const move_spec&, const move_spec&) = default;
 };
 
@@ -67,7 +67,7 @@
     friend bool operator==(const weighted_service&, const weighted_service&) = default;
 };
 
-// A rule that sends the calls to a host and path prefix to a service.
+// A rule that routes the calls with a given host and path prefix to a service.
 struct route_spec {
     std::string m_path; // prefix
     std::string m_service;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -109,7 +109,7 @@
     fault_sink* m_faults;
 };
 
-// Reads the source address as an endpoint with a dummy port, which shares the address validation.
+// Reads the source address. A dummy port is appended so that parse_endpoint can validate it.
 void read_source(const table_reader& reader, std::string& result) {
     constexpr std::string_view expected = "an IP address without a port, as \"10.0.0.7\"";
     std::string text;
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -45,7 +45,7 @@
     std::string m_instance;    // required; unique name of the instance
     std::string m_data_centre; // required
     std::string m_service;     // required; service of the backend server beside this node
-    std::string m_version;     // version of the backend server; required unless it reports itself
+    std::string m_version;     // version of the backend server; required unless m_reports is set
     // [listen]
     ip_endpoint m_traffic;   // required; calls of callers and of other nodes
     ip_endpoint m_peer_udp;  // required; membership probes and gossip
--- a/src/node/config_sync.cpp
+++ b/src/node/config_sync.cpp
@@ -149,8 +149,8 @@
             apply_version(state, action.m_version);
             break;
         case distribution_action::kind::announce:
-            // Every packet carries the version held here. An urgent update to the gossip fanout
-            // makes other members fetch that version.
+            // Every packet carries the version held here. Sending an urgent update of this node's
+            // entry to the gossip fanout makes other members fetch that version.
             state.m_members.m_held_version = held_version(state.m_distribution);
             perform(state, membership_update_self(state.m_members, true, state.now()));
             break;
--- a/src/node/control.hpp
+++ b/src/node/control.hpp
@@ -46,7 +46,7 @@
 constexpr std::string_view refused_key = "caraway/state/refused";
 constexpr std::string_view entry_point_prefix = "caraway/entry/";
 
-// Readers and the accepter list the whole prefix at this interval, since a watch can miss events.
+// Readers and the accepter read their keys again at this interval, since watches can miss events.
 constexpr milliseconds list_interval{10'000};
 // Pause after a failed store call of a role.
 constexpr milliseconds store_retry_pause{500};
@@ -59,7 +59,7 @@
 struct lease_role {
     lease_keeper m_keeper;
     bool m_call_pending = false;
-    bool m_was_held = false;  // as last logged
+    bool m_was_held = false;  // whether the last log line reported it as held
     bool m_candidate = false; // result of the last candidate check
     time_point m_next_check;  // when m_candidate is computed again
 };
@@ -92,12 +92,12 @@
     std::map<std::string, store_entry> m_items; // by key
     // When this node begins to use the store; random, to spread the calls of a fleet.
     time_point m_start_at;
-    time_point m_behind_since; // since when a newer text than the one held is known to exist
+    time_point m_behind_since; // since when this node waits for a newer text that it knows of
     time_point m_retry_at;
     time_point m_next_list;
     bool m_entry_written = false;              // the store has an entry point in this node's slot
     std::optional<time_point> m_slot_check_at; // when this node's slot, if free, is checked
-    // Slots whose entry point was not a known member's address at the last discovery.
+    // Entry point slots that did not hold a known member's address at the last discovery.
     std::vector<std::string> m_unknown_slots;
     bool m_records_read = false;
     bool m_records_call_pending = false;
@@ -127,7 +127,7 @@
 
 // State of the version move of this node's service. The holder of the move's lease advances it.
 struct move_role {
-    std::optional<lease_role> m_lease; // set once the mesh has had a move of the own service
+    std::optional<lease_role> m_lease; // empty until the first move of the own service is seen
     std::string m_move_id;
     time_point m_first_seen_at; // when the move first appeared in the text
     bool m_call_pending = false;
@@ -135,7 +135,7 @@
     bool m_record_current = false; // the record was read since the lease was acquired
     std::optional<move_record> m_record;
     move_evidence m_evidence;               // lease candidates: evidence of all instances
-    move_evidence m_local_evidence;         // new version's calls on the own server only
+    move_evidence m_local_evidence;         // own server's calls compared with the old version's
     std::vector<evidence_report> m_reports; // received since the last evaluation
     // Sum of the old version's reports of the last interval: as computed here from the reports that
     // this node received, and as last received from a lease candidate.
@@ -148,9 +148,9 @@
     time_point m_retry_at;
 };
 
-// Collects which members run a configuration version.
+// State of counting the members on which a configuration version is in force.
 struct collector_state {
-    std::uint64_t m_reported_version = 0; // last version in force in all shards collected here
+    std::uint64_t m_reported_version = 0; // last version in force at all members of the own shards
     // Global collector: summaries of the version being collected, by data centre and shard.
     std::uint64_t m_collecting_version = 0;
     time_point m_collecting_since;
@@ -165,20 +165,20 @@
     bool m_no_member_found = false; // the store had no entry point, and no other target was known
     std::vector<entry_point> m_entry_points; // from the last list of the store
     time_point m_entry_points_listed_at;
-    bool m_mesh_first_start = false; // few entry points in the first list: the whole mesh starts
+    bool m_mesh_first_start = false; // the first list was nearly empty: the whole mesh starts
     time_point m_next_discovery;     // when a watching member next looks for unknown members
     std::set<std::string> m_pending; // formatted addresses with an outstanding join request
     time_point m_first_attempt;
     time_point m_next_attempt;
     std::uint32_t m_failures = 0;
-    bool m_complete = false; // a member answered, and nothing since has hinted at unknown members
+    bool m_complete = false; // a member answered; reset if an unknown instance holds a reader lease
 };
 
-// A process that was paused has an outdated view of the mesh and refuses traffic until it has
-// synchronised with a member.
+// Recovery after a pause of the process: its view of the mesh is outdated, so it refuses traffic
+// until it has synchronised with a member.
 struct resync_state {
     time_point m_last_tick;
-    std::optional<time_point> m_refuse_until; // set while traffic is refused: the latest end
+    std::optional<time_point> m_refuse_until; // if set, traffic is refused at most until then
     bool m_peer_synced = false;               // a member's facts and text were received
 };
 
@@ -200,7 +200,7 @@
     distribution_state m_distribution;
     fact_table m_facts;
     std::shared_ptr<const mesh> m_mesh; // in force on this node
-    // Parsed configurations by version that this node holds but that are not yet in force.
+    // Configurations that this node has parsed but that are not yet in force here, by version.
     std::map<std::uint64_t, std::shared_ptr<const mesh>> m_parsed_configs;
     // Cache of the latest text, packed for peers by the version they hold; 0 means the full text.
     // Most members fetch a new text from the few that had it first, and hold the same version.
@@ -339,7 +339,8 @@
 
 // store_roles.cpp: store leases and the reader role.
 
-// Handles the accepted record: reads its text from the store unless the version is already known.
+// Passes the accepted record's text to the distribution, unless an accepted version was read from
+// the store before and this or a newer one is in force. Reads the text if it isn't held.
 void adopt_accepted_record(control& state, const accepted_record& record);
 // Makes the next store call of a lease if one is due: acquires or renews the lease while it is
 // wanted, otherwise releases it.
--- a/src/node/join.cpp
+++ b/src/node/join.cpp
@@ -57,10 +57,10 @@
         milliseconds{state.m_random.below(static_cast<std::uint64_t>(ceiling.count()))};
 }
 
-// Returns the addresses to ask besides the entry points: live members known from earlier replies
-// that haven't answered a join request yet, or the seeds if there are none. A node that asked only
-// its seeds could not determine its minimum version while the store was down and most of the seeds
-// were unreachable, although enough other members were alive.
+// Returns the addresses to ask besides the entry points: live members that have not answered a join
+// request and have none outstanding, or the seeds if there are none. A node that asked only its
+// seeds could not determine its minimum version while the store was down and most of the seeds were
+// unreachable, although enough other members were alive.
 std::vector<ip_endpoint> known_targets(const control& state) {
     std::vector<ip_endpoint> targets;
     for (const auto& [name, tracked] : state.m_members.m_members) {
@@ -113,7 +113,7 @@
 
 // Parses an entry point from its key, PREFIX followed by DATA_CENTRE/SLOT, and its value, an
 // address. Returns nullopt if either is malformed.
-std::optional<entry_point> read_entry_point(const store_entry& entry) {
+std::optional<entry_point> parse_entry_point(const store_entry& entry) {
     std::string_view key = entry.m_key;
     key.remove_prefix(std::min(entry_point_prefix.size(), key.size()));
     const std::size_t slash = key.find('/');
@@ -140,7 +140,7 @@
     watch.m_start_at = std::min(watch.m_start_at,
                                 state.now() + milliseconds(state.m_random.below(start_spread + 1)));
     for (const store_entry& entry : entries) {
-        auto parsed = read_entry_point(entry);
+        auto parsed = parse_entry_point(entry);
         if (!parsed) {
             continue;
         }
@@ -278,9 +278,9 @@
 // Reads the accepted record, which sets the minimum version that this node may apply. The text
 // comes from members. Only a node that finds no member, or gets no answer from the first ones it
 // asked, reads the full text from the store, so that a mass join costs the store two small reads
-// per node. It asks the members that it can find first: a node that had not done so became ready
-// with an empty member table, mistook one member for all registrars of an idempotency key and
-// executed a call again.
+// per node. The node asks the members that it can find before it reads the text: a node that had
+// not done so became ready with an empty member table, mistook one member for all registrars of an
+// idempotency key and executed a call again.
 void read_min_version(control& state) {
     state.m_store->get(accepted_key, [&state](const store_reply& reply) {
         if (reply.m_kind == error_kind::store_not_found) {
--- a/src/node/move_control.cpp
+++ b/src/node/move_control.cpp
@@ -12,7 +12,7 @@
 namespace caraway {
 namespace {
 
-// Interval at which backend sides report and the evidence is evaluated. The evidence test needs at
+// Interval at which nodes report evidence and the evidence is evaluated. The evidence test needs at
 // least two intervals, so with intervals of 1 s a version that failed under load was suspended a
 // second later.
 constexpr milliseconds evidence_interval{500};
@@ -105,7 +105,7 @@
                        });
 }
 
-// Adopts a record as stored and spreads it to the members.
+// Uses a record that the store holds as the current one and spreads it to the members.
 void adopt_record(control& state, const move_record& record) {
     move_role& role = state.m_move;
     role.m_record = record;
@@ -290,8 +290,8 @@
     }
 }
 
-// Reports the own server's counts to the candidates for the lease. Suspends the version at once if
-// these counts alone show that it is bad.
+// Reports the own server's counts to the candidates for the lease. If the server runs the new
+// version, first evaluates the local evidence, which may suspend the version.
 void report_evidence(control& state, const service_spec& service) {
     evidence_report own = state.m_traffic->take_evidence();
     own.m_instance = state.m_settings.m_instance;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -111,8 +111,8 @@
 
     bool open(error& reason) {
         open_store();
-        return open_peers(reason) && open_traffic(reason) && open_admin(reason) &&
-               open_reports(reason);
+        return open_peer_transports(reason) && start_traffic_server(reason) &&
+               start_admin_server(reason) && start_report_server(reason);
     }
 
     void start() {
@@ -231,7 +231,7 @@
             });
     }
 
-    bool open_peers(error& reason) {
+    bool open_peer_transports(error& reason) {
         node_metrics& metrics = *m_state.m_metrics;
         control& state = m_state;
         m_state.m_udp = datagram_socket::open(
@@ -256,7 +256,7 @@
         return m_state.m_bulk != nullptr;
     }
 
-    bool open_traffic(error& reason) {
+    bool start_traffic_server(error& reason) {
         refresh_snapshot(m_state);
         traffic_hooks hooks;
         hooks.m_newer_version_seen = [this](const std::string& instance, std::uint64_t version) {
@@ -274,29 +274,29 @@
         return m_state.m_traffic != nullptr;
     }
 
-    bool open_admin(error& reason) {
+    bool start_admin_server(error& reason) {
         const control& state = m_state;
-        m_admin = admin_server::start(
+        m_admin_server = admin_server::start(
             m_context, m_state.m_settings.m_admin,
             [&state](const admin_request& request) {
                 return answer_admin_request(state, request.m_path);
             },
             reason);
-        return m_admin != nullptr;
+        return m_admin_server != nullptr;
     }
 
-    bool open_reports(error& reason) {
+    bool start_report_server(error& reason) {
         if (m_state.m_settings.m_reports.m_port == 0) {
             return true;
         }
         control& state = m_state;
-        m_reports = admin_server::start(
+        m_report_server = admin_server::start(
             m_context, m_state.m_settings.m_reports,
             [&state](const admin_request& request) {
                 return answer_server_request(state, request);
             },
             reason, admin_server::methods::get_and_post);
-        return m_reports != nullptr;
+        return m_report_server != nullptr;
     }
 
     void refresh_gauges(time_point now) {
@@ -354,8 +354,8 @@
 
     boost::asio::io_context& m_context;
     control m_state;
-    std::unique_ptr<admin_server> m_admin;
-    std::unique_ptr<admin_server> m_reports;
+    std::unique_ptr<admin_server> m_admin_server;
+    std::unique_ptr<admin_server> m_report_server;
     boost::asio::steady_timer m_timer;
     time_point m_next_flush;
     std::map<std::string, std::uint64_t> m_store_calls; // by label
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -187,8 +187,8 @@
 constexpr milliseconds max_start_delay{600};
 
 // A starting node that is not a watcher reads the configuration from the store if it has received
-// none from members within this time. The time is shorter if the store lists few entry points: in a
-// small mesh, one read for each node costs the store little.
+// none from members this long after it began to use the store. The time is shorter if the store
+// lists few entry points: in a small mesh, one read for each node costs the store little.
 constexpr milliseconds max_member_wait{700};
 constexpr milliseconds member_wait_per_entry{15};
 // Replaces max_member_wait if the store listed hardly any entry points at the first read, as at the
@@ -211,7 +211,8 @@
 // the store.
 constexpr milliseconds max_behind_time{400};
 
-// A node that has found no other member this long after its start watches the store itself.
+// A node that no member has answered takes part in the selection of watchers this long after the
+// time at which it begins to use the store.
 constexpr milliseconds max_discovery_time{1'500};
 
 // Determines whether this node watches the store: it is among the first candidates of its data
@@ -249,8 +250,8 @@
     }
 }
 
-// Returns whether a member has held a newer text for longer than `max_behind_time` and it could not
-// be fetched, for example because the members that hold it died or were just cut off.
+// Returns whether a newer text has been known for longer than `max_behind_time` and could not be
+// fetched, for example because the members that hold it died or were just cut off.
 bool is_behind(control& state, time_point now) {
     operator_watch& watch = state.m_operator;
     if (state.m_distribution.m_highest_known <= held_version(state.m_distribution)) {
@@ -326,7 +327,8 @@
     const bool starting =
         !state.m_distribution.m_ready && now >= watch.m_start_at + member_wait(state);
     if (!watch.m_candidate && is_behind(state, now)) {
-        watch.m_behind_since = now; // delays the next list if this one finds nothing new
+        // If the items listed below bring nothing new, they are listed again after max_behind_time.
+        watch.m_behind_since = now;
         watch.m_listed = false;
     } else if (!watch.m_candidate && !starting) {
         return;
--- a/src/node/recorded.cpp
+++ b/src/node/recorded.cpp
@@ -72,8 +72,8 @@
     }
 }
 
-// Returns the share of the own service's calls that the new version gets, in permille, by the facts
-// known to this node.
+// Returns the share of the own service's calls that the new version gets, in permille, according to
+// the facts known to this node.
 std::uint64_t local_move_weight(const control& state) {
     return move_weight(state.m_facts, state.m_settings.m_service, state.m_move.m_move_id);
 }
--- a/src/node/resync.cpp
+++ b/src/node/resync.cpp
@@ -15,7 +15,7 @@
 // After this time, a resumed node that no member answers, as in a partition, continues with its
 // current view.
 constexpr milliseconds resync_timeout{1'000};
-// Number of members asked. More than one, since some may have failed during the pause.
+// Number of members asked for updates. More than one, since some may have failed during the pause.
 constexpr std::size_t resync_members = 3;
 
 // Requests facts and a newer configuration text from a few random members. Each answer is complete,
--- a/src/node/server_reports.cpp
+++ b/src/node/server_reports.cpp
@@ -28,8 +28,8 @@
                {"verdict", report_verdict_name(verdict)}});
 }
 
-// Returns true if the report says more than that the server is still running unchanged. A change in
-// the remaining warm-up time counts only when the warm-up begins or ends.
+// Returns true if the report must be logged because the server, its state, its start time or its
+// number of slots has changed, or because its warm-up begins or ends.
 bool is_changed_report(const std::optional<server_report>& previous_report,
                        const server_report& current_report) {
     return !previous_report || previous_report->m_server != current_report.m_server ||
--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -45,8 +45,8 @@
     return view;
 }
 
-// Adds a member to its service's view: as a registrar unless it has left, and as a backend server
-// if it is reachable, ready and in a data centre that accepts work.
+// Adds a member to its service's view: as a possible registrar of idempotency keys unless it has
+// left, and as a backend server if it is reachable, ready and in a data centre that accepts work.
 void add_member(routing_snapshot& snapshot, const member& added, const member& self,
                 counter_map& counters) {
     const bool reachable =
--- a/src/node/store_roles.cpp
+++ b/src/node/store_roles.cpp
@@ -1,5 +1,5 @@
-// Roles that a node holds by a lease in the store: the store calls for the leases, and the readers,
-// which watch the accepted state and serve as entry points.
+// Store calls for the leases of a node's roles, and the reader role. Readers watch the accepted
+// state and serve as entry points.
 #include "base/hash.hpp"
 #include "node/control.hpp"
 #include "node/recorded.hpp"
@@ -127,8 +127,8 @@
 
 // Joins the mesh again when the reader lease is held by an instance that is not in the member
 // table. Without this, instances that started in a partition and joined only each other stayed
-// separate after it had healed. The candidates for the lease, which are all members of a small
-// table, detect the other side here.
+// separate after it had healed. Only candidates for the lease learn who holds it; in a group of up
+// to lease_candidates members, each one is a candidate.
 void rejoin_on_unknown_holder(control& state, lease_keeper& keeper) {
     const std::string_view holder = other_holder(keeper);
     if (holder.empty() || holder == state.m_settings.m_instance ||
--- a/src/peer/transport.hpp
+++ b/src/peer/transport.hpp
@@ -69,8 +69,8 @@
     bulk_transport& operator=(bulk_transport&&) = delete;
     ~bulk_transport();
 
-    // Sends one request over its own connection, which is closed after the reply: a node has many
-    // peers and few exchanges, so kept connections would grow with the number of nodes. Calls done
+    // Sends one request over its own connection, which is closed after the reply: if connections
+    // were kept for the few exchanges, their number would grow with the number of nodes. Calls done
     // with peer_busy at once if max_pending_requests are in progress.
     void request(const ip_endpoint& to, std::string_view bytes, milliseconds timeout,
                  callback done);
--- a/src/peer/wire.cpp
+++ b/src/peer/wire.cpp
@@ -32,8 +32,8 @@
 // counts their names; the factor applies to facts, too.
 constexpr std::size_t max_repeated_entries = 2 * (max_members + max_facts) + 64;
 
-// Protobuf logs damaged messages to standard error, where the log holds JSON lines only. The
-// handler is removed, since the calling code reports the damage.
+// By default, Protobuf prints each malformed message to standard error as plain text. The handler
+// is removed, since the calling code logs these messages as JSON lines.
 [[maybe_unused]] const auto previous_log_handler = google::protobuf::SetLogHandler(nullptr);
 
 // Converts a number to an enumeration. Numbers above the last known value, which newer nodes may
--- a/src/peer/wire.hpp
+++ b/src/peer/wire.hpp
@@ -48,7 +48,7 @@
 struct fetch_config_request {
     std::string m_instance;
     std::uint64_t m_have_version = 0;
-    std::uint64_t m_want_version = 0; // lowest version that answers the request
+    std::uint64_t m_want_version = 0; // lowest version that the requester accepts
 };
 // Answers a fetch_config_request.
 struct fetch_config_reply {
@@ -60,7 +60,7 @@
     std::vector<suspension> m_suspensions;
     std::vector<move_record> m_records;
 };
-// Compares member tables by a hash of each bucket.
+// Asks to compare member tables: the sender's hash of each bucket (see member_bucket_hashes).
 struct members_digest_request {
     std::string m_instance;
     std::vector<std::uint64_t> m_bucket_hashes;
@@ -82,7 +82,7 @@
     std::uint64_t m_version = 0;
     std::uint32_t m_in_force = 0;
     std::uint32_t m_members = 0;        // all live members of the shard
-    std::vector<std::string> m_missing; // at most max_missing_names instances
+    std::vector<std::string> m_missing; // instances without it, up to max_missing_names
 };
 // Acknowledges a request that has no other reply.
 struct ack_reply {};
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -21,7 +21,8 @@
 // Maximum number of idle connections kept for later calls. A node has only a few calls in progress:
 // watches, lease renewals and one write.
 constexpr std::size_t max_idle_connections = 4;
-// Maximum size of a reply body: a list of 100 verdicts, or one value of a megabyte as escaped JSON.
+// Maximum size of a reply body. Large enough for a list of 100 verdicts (see ctl/records.hpp) and
+// for one value of a megabyte as escaped JSON.
 constexpr std::size_t max_reply_bytes = 8U << 20U;
 // Time that a watch may take in addition to the wait in its request.
 constexpr milliseconds watch_timeout_margin{2'000};
@@ -37,7 +38,7 @@
 // transferred.
 struct http_exchange {
     error_kind m_kind = error_kind::none;
-    std::string m_text;
+    std::string m_error_text;
     http::response<http::string_body> m_response;
     std::uint64_t m_sent = 0;
     std::uint64_t m_received = 0;
@@ -49,7 +50,7 @@
     if (finished.m_kind != error_kind::none) {
         store_reply reply;
         reply.m_kind = finished.m_kind;
-        reply.m_text = finished.m_text;
+        reply.m_text = finished.m_error_text;
         return reply;
     }
     const auto revision = finished.m_response["x-revision"];
@@ -109,7 +110,7 @@
             stream = connect(yield, ec);
             if (ec) {
                 out.m_kind = error_kind::store_unreachable;
-                out.m_text = ec.message();
+                out.m_error_text = ec.message();
                 return out;
             }
         }
@@ -137,7 +138,7 @@
             out.m_kind = is_read(call.m_command.m_operation) || out.m_sent == 0
                              ? error_kind::store_unreachable
                              : error_kind::store_outcome_unknown;
-            out.m_text = ec.message();
+            out.m_error_text = ec.message();
             return out;
         }
         if (out.m_response.keep_alive() && m_idle.size() < max_idle_connections && !m_stopped) {
--- a/tests/peer_test.cpp
+++ b/tests/peer_test.cpp
@@ -131,8 +131,8 @@
     BOOST_TEST(encode_packet(sent).size() <= max_packet_bytes);
 }
 
-// Guards against sending full texts for small changes, which would exceed the bound of control
-// bytes.
+// Guards against sending full texts for small changes, which would exceed the bound on control
+// traffic.
 BOOST_AUTO_TEST_CASE(deltas_are_small_and_exact) {
     const std::string before = sample_text(-1);
     const std::string after = sample_text(1'234);
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -66,7 +66,7 @@
 BOOST_FIXTURE_TEST_SUITE(snapshot, fixture)
 
 // Guards against routing new work to a data centre that is out, or to dead, departed or starting
-// instances. Dead instances must still count as registrars.
+// instances. Dead instances must still count as registrars of idempotency keys.
 BOOST_AUTO_TEST_CASE(only_usable_instances_are_backends) {
     add(make_member("usable", "north", "1"));
     add(make_member("out", "south", "1"));
@@ -97,7 +97,7 @@
 }
 
 // Guards against routing calls to a suspended version, and against a backend server that accepts
-// work for a version or in a data centre that must not serve.
+// work although its version or its data centre must not serve.
 BOOST_AUTO_TEST_CASE(suspension_stops_the_new_version) {
     move_record record;
     record.m_move_id = m_id;
