--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -91,7 +91,7 @@
     // has that configuration.
     milliseconds m_behind_wait{250};
     std::uint32_t m_retry_budget_percent = 10; // retries in percent of a service's calls
-    std::uint32_t m_retry_burst = 10;          // retries allowed before calls add to the budget
+    std::uint32_t m_retry_burst = 10;          // retries in the budget at the start
     // [results]
     milliseconds m_result_retention{600'000};
     std::uint32_t m_result_entries = 10'000;
--- a/src/config/text_check.hpp
+++ b/src/config/text_check.hpp
@@ -33,7 +33,7 @@
     std::uint32_t m_column = 0;
 };
 
-// Collects up to max_text_faults faults and counts those beyond.
+// Collects the first max_text_faults - 1 faults and counts the others.
 class fault_sink {
 public:
     // Adds a fault whose two parts are made printable and truncated.
--- a/src/node/control.hpp
+++ b/src/node/control.hpp
@@ -81,7 +81,7 @@
 // them itself, without an accepter. Also holds the state of this node's entry point there.
 struct operator_watch {
     bool m_store_reachable = false; // the last store call was answered
-    bool m_candidate = false;       // this node is one of the watching members
+    bool m_is_watcher = false;      // this node is one of the members that watch the store
     time_point m_next_check;
     time_point m_store_lost_since;
     std::uint32_t m_failures = 0; // failed store calls since the last successful one
@@ -109,8 +109,8 @@
     lease_role m_lease;
     bool m_call_pending = false;
     bool m_active = false;
-    std::uint64_t m_text_revision = 0; // of the last text validated, accepted or not
-    std::uint64_t m_refused_revision = 0;
+    std::uint64_t m_text_revision = 0;           // of the last text validated, accepted or not
+    std::uint64_t m_refused_revision = 0;        // of the last text refused
     std::uint64_t m_latest_text_revision = 0;    // highest revision of a submitted text seen
     time_point m_latest_text_seen_at;            // when that revision was first seen
     std::uint64_t m_unusable_delta_revision = 0; // of a submitted delta against an older text
--- a/src/node/join.cpp
+++ b/src/node/join.cpp
@@ -199,7 +199,8 @@
     if (join.m_next_discovery == time_point{}) {
         join.m_next_discovery = join.m_first_attempt + first_discovery;
     }
-    if (!state.m_operator.m_candidate || join.m_store_call_pending || now < join.m_next_discovery) {
+    if (!state.m_operator.m_is_watcher || join.m_store_call_pending ||
+        now < join.m_next_discovery) {
         return;
     }
     join.m_next_discovery = now + discovery_interval;
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -236,15 +236,15 @@
     const bool membership_known =
         state.m_join.m_complete || now >= watch.m_start_at + max_discovery_time;
     const std::size_t watchers = watchers_per_data_centre(state.m_members.m_groups.size());
-    const bool candidate =
+    const bool is_watcher =
         membership_known &&
         (is_candidate(state, role, watchers, same_data_centre) ||
          (!self.m_store_lost && is_candidate(state, role, watchers, reaches_store)));
-    if (candidate != watch.m_candidate) {
-        watch.m_candidate = candidate;
-        log_event(log_level::info, candidate ? "store_watch_begun" : "store_watch_ended", {});
+    if (is_watcher != watch.m_is_watcher) {
+        watch.m_is_watcher = is_watcher;
+        log_event(log_level::info, is_watcher ? "store_watch_begun" : "store_watch_ended", {});
     }
-    if (!candidate && self.m_store_lost &&
+    if (!is_watcher && self.m_store_lost &&
         now - watch.m_store_lost_since > store_lost_announcement_time) {
         announce_store_access(state, false);
     }
@@ -326,14 +326,14 @@
     // a watcher.
     const bool starting =
         !state.m_distribution.m_ready && now >= watch.m_start_at + member_wait(state);
-    if (!watch.m_candidate && is_behind(state, now)) {
+    if (!watch.m_is_watcher && is_behind(state, now)) {
         // If the items listed below bring nothing new, they are listed again after max_behind_time.
         watch.m_behind_since = now;
         watch.m_listed = false;
-    } else if (!watch.m_candidate && !starting) {
+    } else if (!watch.m_is_watcher && !starting) {
         return;
     }
-    if (!watch.m_records_read && watch.m_candidate && !watch.m_records_call_pending &&
+    if (!watch.m_records_read && watch.m_is_watcher && !watch.m_records_call_pending &&
         now >= watch.m_records_retry_at) {
         read_records(state);
     }
--- a/src/peer/wire.hpp
+++ b/src/peer/wire.hpp
@@ -90,8 +90,8 @@
 using bulk_request =
     std::variant<join_request, fetch_config_request, facts_message, members_digest_request,
                  merge_members_request, evidence_report, in_force_summary>;
-// Reply to a bulk request. The reply to an evidence report is the sum of the old version's reports
-// of the last interval.
+// Reply to a bulk request: error_kind if it was malformed, and for an evidence report the sum of
+// the old version's reports of the last interval.
 using bulk_reply = std::variant<ack_reply, join_reply, fetch_config_reply, facts_message,
                                 members_digest_reply, evidence_report, error_kind>;
 
