--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -36,8 +36,8 @@
     return out;
 }
 
-struct fixture {
-    fixture() : m_members(make_membership(make_member("self", "north", "1"), {}, 1, {})) {
+struct snapshot_fixture {
+    snapshot_fixture() : m_members(make_membership(make_member("self", "north", "1"), {}, 1, {})) {
         std::vector<text_fault> faults;
         auto parsed = parse_mesh(text, wall_time{}, nullptr, faults);
         BOOST_REQUIRE(parsed);
@@ -63,10 +63,10 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(snapshot, fixture)
+BOOST_FIXTURE_TEST_SUITE(snapshot, snapshot_fixture)
 
 // Guards against routing new work to a data centre that is out, or to dead, departed or starting
-// instances. Dead instances must still count as registrars.
+// instances. Dead instances must still count as registrars of idempotency keys.
 BOOST_AUTO_TEST_CASE(only_usable_instances_are_backends) {
     add(make_member("usable", "north", "1"));
     add(make_member("out", "south", "1"));
@@ -97,7 +97,7 @@
 }
 
 // Guards against routing calls to a suspended version, and against a backend server that accepts
-// work for a version or in a data centre that must not serve.
+// work although its version or its data centre must not serve.
 BOOST_AUTO_TEST_CASE(suspension_stops_the_new_version) {
     move_record record;
     record.m_move_id = m_id;
