--- a/src/config/adapter.hpp
+++ b/src/config/adapter.hpp
@@ -43,9 +43,9 @@
     // sets reason.
     std::function<std::optional<mesh>(std::span<const store_entry> items, error& reason)>
         m_parse_items;
-    // Prefix of the store keys of move records, followed by the service's name, and the codec of
-    // the records.
+    // Prefix of the store keys of move records. The service's name follows it.
     std::string m_move_key_prefix = "caraway/state/move/";
+    // Encode and decode a move record as stored.
     std::function<std::string(const move_record&)> m_encode_move;
     std::function<std::optional<move_record>(std::string_view value, std::uint64_t revision)>
         m_decode_move;
--- a/src/config/mesh.hpp
+++ b/src/config/mesh.hpp
@@ -139,8 +139,9 @@
 // target version.
 bool is_old_version(const service_spec& service, std::string_view version);
 
-// Returns the identifier of a move. It is the same in every text that has the same service, target
-// and deadline, or order revision for a move ordered with a duration.
+// Returns the identifier of a move: a hash of the service, the target version and the deadline, so
+// that it is the same in every text with these values. For a move ordered with a duration, the
+// order revision replaces the deadline.
 std::string move_id(std::string_view service, const move_spec& move);
 
 } // namespace caraway
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -19,8 +19,8 @@
 using text_check::quote;
 using text_check::table_reader;
 
-constexpr auto required = presence::required;
-constexpr auto optional = presence::optional;
+constexpr auto required_entry = presence::required;
+constexpr auto optional_entry = presence::optional;
 
 constexpr std::size_t max_settings_bytes = 64U << 10U;
 constexpr std::size_t max_store_addresses = 16;
@@ -67,14 +67,15 @@
     return true;
 }
 
-// Appends the valid endpoints of an array of at most max_count; a required array must not be empty.
+// Reads an array of at most max_count endpoints. Appends the valid ones and adds a fault for each
+// invalid one; appends none if read_strings fails. A required array must not be empty.
 void read_endpoints(const table_reader& reader, std::string_view key, presence need,
                     std::size_t max_count, fault_sink& faults, std::vector<ip_endpoint>& result) {
     std::vector<table_reader::string_element> elements;
     if (!reader.read_strings(key, need, max_count, elements)) {
         return;
     }
-    if (elements.empty() && need == required) {
+    if (elements.empty() && need == required_entry) {
         reader.add_fault(key, fmt::format("an empty array for {}", key), "at least one address");
     }
     for (const table_reader::string_element& element : elements) {
@@ -97,7 +98,7 @@
 
     // Opens a section and adds a fault for each key that is not in keys.
     table_reader open(std::string_view name, std::span<const std::string_view> keys) const {
-        const toml::table* table = m_root->read_table(name, optional);
+        const toml::table* table = m_root->read_table(name, optional_entry);
         return {table != nullptr ? *table : *m_empty, std::string(name), keys, m_complete,
                 *m_faults};
     }
@@ -113,7 +114,7 @@
 void read_source(const table_reader& reader, std::string& result) {
     constexpr std::string_view expected = "an IP address without a port, as \"10.0.0.7\"";
     std::string text;
-    if (!reader.read_text("source", optional, expected, text)) {
+    if (!reader.read_text("source", optional_entry, expected, text)) {
         return;
     }
     const auto endpoint =
@@ -126,26 +127,26 @@
 }
 
 void read_listen(const table_reader& reader, node_settings& settings) {
-    read_endpoint(reader, "traffic", required, settings.m_traffic);
-    read_endpoint(reader, "peer_udp", required, settings.m_peer_udp);
-    read_endpoint(reader, "peer_bulk", required, settings.m_peer_bulk);
-    read_endpoint(reader, "admin", required, settings.m_admin);
-    read_endpoint(reader, "callers", optional, settings.m_callers);
-    read_endpoint(reader, "reports", optional, settings.m_reports);
+    read_endpoint(reader, "traffic", required_entry, settings.m_traffic);
+    read_endpoint(reader, "peer_udp", required_entry, settings.m_peer_udp);
+    read_endpoint(reader, "peer_bulk", required_entry, settings.m_peer_bulk);
+    read_endpoint(reader, "admin", required_entry, settings.m_admin);
+    read_endpoint(reader, "callers", optional_entry, settings.m_callers);
+    read_endpoint(reader, "reports", optional_entry, settings.m_reports);
     settings.m_announce_traffic = settings.m_traffic;
     settings.m_announce_udp = settings.m_peer_udp;
     settings.m_announce_bulk = settings.m_peer_bulk;
-    read_endpoint(reader, "announce_traffic", optional, settings.m_announce_traffic);
-    read_endpoint(reader, "announce_udp", optional, settings.m_announce_udp);
-    read_endpoint(reader, "announce_bulk", optional, settings.m_announce_bulk);
+    read_endpoint(reader, "announce_traffic", optional_entry, settings.m_announce_traffic);
+    read_endpoint(reader, "announce_udp", optional_entry, settings.m_announce_udp);
+    read_endpoint(reader, "announce_bulk", optional_entry, settings.m_announce_bulk);
     read_source(reader, settings.m_source_address);
 }
 
 void read_peers(const table_reader& reader, fault_sink& faults, node_settings& settings) {
-    read_endpoints(reader, "seeds", optional, max_seeds, faults, settings.m_seeds);
-    reader.read_duration("probe_interval", optional, milliseconds(50), milliseconds(60'000),
+    read_endpoints(reader, "seeds", optional_entry, max_seeds, faults, settings.m_seeds);
+    reader.read_duration("probe_interval", optional_entry, milliseconds(50), milliseconds(60'000),
                          settings.m_probe_interval);
-    reader.read_duration("probe_timeout", optional, milliseconds(10), milliseconds(30'000),
+    reader.read_duration("probe_timeout", optional_entry, milliseconds(10), milliseconds(30'000),
                          settings.m_probe_timeout);
     // A probe must time out before the next one is due.
     if (settings.m_probe_timeout >= settings.m_probe_interval) {
@@ -155,18 +156,20 @@
                                      text_check::format_duration(settings.m_probe_interval)),
                          "a probe_timeout below the probe_interval");
     }
-    reader.read_duration("fetch_timeout", optional, milliseconds(100), milliseconds(60'000),
+    reader.read_duration("fetch_timeout", optional_entry, milliseconds(100), milliseconds(60'000),
                          settings.m_fetch_timeout);
-    reader.read_duration("join_backoff_max", optional, milliseconds(100), milliseconds(300'000),
-                         settings.m_join_backoff_max);
-    reader.read_integer("joins_per_second", optional, 1U, 1'000U, settings.m_joins_per_second);
+    reader.read_duration("join_backoff_max", optional_entry, milliseconds(100),
+                         milliseconds(300'000), settings.m_join_backoff_max);
+    reader.read_integer("joins_per_second", optional_entry, 1U, 1'000U,
+                        settings.m_joins_per_second);
 }
 
 void read_store(const table_reader& reader, fault_sink& faults, node_settings& settings) {
-    read_endpoints(reader, "addresses", required, max_store_addresses, faults, settings.m_store);
-    reader.read_duration("timeout", optional, milliseconds(50), milliseconds(60'000),
+    read_endpoints(reader, "addresses", required_entry, max_store_addresses, faults,
+                   settings.m_store);
+    reader.read_duration("timeout", optional_entry, milliseconds(50), milliseconds(60'000),
                          settings.m_store_timeout);
-    reader.read_duration("lease_period", optional, milliseconds(500), milliseconds(60'000),
+    reader.read_duration("lease_period", optional_entry, milliseconds(500), milliseconds(60'000),
                          settings.m_lease_period);
     // A renewal that takes as long as the lease period would complete only after the lease expired.
     if (settings.m_store_timeout >= settings.m_lease_period) {
@@ -179,20 +182,21 @@
 }
 
 void read_traffic(const table_reader& reader, node_settings& settings) {
-    reader.read_integer("threads", optional, 1U, 64U, settings.m_threads);
-    reader.read_integer("max_connections", optional, 1U, 100'000U, settings.m_max_connections);
-    reader.read_integer("max_body_bytes", optional, 1U << 10U, 64U << 20U,
+    reader.read_integer("threads", optional_entry, 1U, 64U, settings.m_threads);
+    reader.read_integer("max_connections", optional_entry, 1U, 100'000U,
+                        settings.m_max_connections);
+    reader.read_integer("max_body_bytes", optional_entry, 1U << 10U, 64U << 20U,
                         settings.m_max_body_bytes);
     settings.m_max_answer_bytes = settings.m_max_body_bytes;
-    reader.read_integer("max_answer_bytes", optional, 1U << 10U, 64U << 20U,
+    reader.read_integer("max_answer_bytes", optional_entry, 1U << 10U, 64U << 20U,
                         settings.m_max_answer_bytes);
-    reader.read_integer("max_header_bytes", optional, 1U << 10U, 1U << 20U,
+    reader.read_integer("max_header_bytes", optional_entry, 1U << 10U, 1U << 20U,
                         settings.m_max_header_bytes);
-    reader.read_duration("behind_wait", optional, milliseconds(0), milliseconds(10'000),
+    reader.read_duration("behind_wait", optional_entry, milliseconds(0), milliseconds(10'000),
                          settings.m_behind_wait);
-    reader.read_integer("retry_budget_percent", optional, 0U, 100U,
+    reader.read_integer("retry_budget_percent", optional_entry, 0U, 100U,
                         settings.m_retry_budget_percent);
-    reader.read_integer("retry_burst", optional, 0U, 100U, settings.m_retry_burst);
+    reader.read_integer("retry_burst", optional_entry, 0U, 100U, settings.m_retry_burst);
 }
 
 } // namespace
@@ -252,43 +256,43 @@
     node_settings settings;
 
     const table_reader instance = sections.open("instance", instance_keys);
-    instance.read_name("name", required, settings.m_instance);
-    instance.read_name("data_centre", required, settings.m_data_centre);
-    instance.read_name("service", required, settings.m_service);
+    instance.read_name("name", required_entry, settings.m_instance);
+    instance.read_name("data_centre", required_entry, settings.m_data_centre);
+    instance.read_name("service", required_entry, settings.m_service);
 
     read_listen(sections.open("listen", listen_keys), settings);
-    instance.read_name("version", settings.m_reports.m_port != 0 ? optional : required,
+    instance.read_name("version", settings.m_reports.m_port != 0 ? optional_entry : required_entry,
                        settings.m_version);
 
     const table_reader backend = sections.open("backend_server", backend_server_keys);
-    read_endpoint(backend, "address", required, settings.m_backend_server);
-    backend.read_duration("health_interval", optional, milliseconds(0), milliseconds(3'600'000),
-                          settings.m_health_interval);
-    backend.read_duration("report_interval", optional, milliseconds(50), milliseconds(600'000),
-                          settings.m_report_interval);
+    read_endpoint(backend, "address", required_entry, settings.m_backend_server);
+    backend.read_duration("health_interval", optional_entry, milliseconds(0),
+                          milliseconds(3'600'000), settings.m_health_interval);
+    backend.read_duration("report_interval", optional_entry, milliseconds(50),
+                          milliseconds(600'000), settings.m_report_interval);
 
     read_store(sections.open("store", store_keys), sink, settings);
     read_peers(sections.open("peers", peers_keys), sink, settings);
     read_traffic(sections.open("traffic", traffic_keys), settings);
 
     const table_reader results = sections.open("results", results_keys);
-    results.read_duration("retention", optional, milliseconds(1'000), milliseconds(86'400'000),
-                          settings.m_result_retention);
-    results.read_integer("entries", optional, 1U, 1'000'000U, settings.m_result_entries);
-    results.read_integer("bytes", optional, 0U, 1U << 20U, settings.m_result_bytes);
+    results.read_duration("retention", optional_entry, milliseconds(1'000),
+                          milliseconds(86'400'000), settings.m_result_retention);
+    results.read_integer("entries", optional_entry, 1U, 1'000'000U, settings.m_result_entries);
+    results.read_integer("bytes", optional_entry, 0U, 1U << 20U, settings.m_result_bytes);
 
     const table_reader shutdown = sections.open("shutdown", shutdown_keys);
-    shutdown.read_duration("drain_timeout", optional, milliseconds(0), milliseconds(600'000),
+    shutdown.read_duration("drain_timeout", optional_entry, milliseconds(0), milliseconds(600'000),
                            settings.m_drain_timeout);
-    shutdown.read_duration("announce_time", optional, milliseconds(0), milliseconds(600'000),
+    shutdown.read_duration("announce_time", optional_entry, milliseconds(0), milliseconds(600'000),
                            settings.m_announce_time);
     const table_reader log = sections.open("log", log_keys);
-    log.read_bool("trace_spans", optional, settings.m_trace_spans);
-    log.read_integer("record_lines", optional, 0U, 1'000'000U, settings.m_record_lines);
-    log.read_duration("flush_interval", optional, milliseconds(0), milliseconds(10'000),
+    log.read_bool("trace_spans", optional_entry, settings.m_trace_spans);
+    log.read_integer("record_lines", optional_entry, 0U, 1'000'000U, settings.m_record_lines);
+    log.read_duration("flush_interval", optional_entry, milliseconds(0), milliseconds(10'000),
                       settings.m_flush_interval);
     sections.open("random", random_keys)
-        .read_integer("seed", optional, std::uint64_t{0},
+        .read_integer("seed", optional_entry, std::uint64_t{0},
                       static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max()),
                       settings.m_seed);
 
--- a/src/ctl/replay_player.cpp
+++ b/src/ctl/replay_player.cpp
@@ -150,7 +150,7 @@
     } else if (const auto record = decode_move(input.text("record"), input.count("revision"))) {
         merge_record(facts, *record);
     }
-    return std::to_string(move_weight(facts, process.m_service, process.m_move_id));
+    return std::to_string(new_version_weight_permille(facts, process.m_service, process.m_move_id));
 }
 
 // Adds one route's counts to the report they belong to. The field "first" marks the first route of
--- a/src/decide/distribution.cpp
+++ b/src/decide/distribution.cpp
@@ -22,7 +22,8 @@
 // fetches have failed. A restarted node therefore doesn't apply a version below its predecessor's
 // only because a lagging peer replied first.
 constexpr std::uint32_t failures_before_older = 6;
-// Number of failed holders remembered. In a mesh with more holders a repeated choice is unlikely.
+// Maximum number of peers remembered after a failed fetch. If more peers hold a higher version, the
+// same one is unlikely to be chosen again.
 constexpr std::size_t max_failed_holders = 16;
 
 // Sets the version that a peer holds and updates the holder counts; 0 removes the peer.
--- a/src/decide/facts.cpp
+++ b/src/decide/facts.cpp
@@ -106,8 +106,8 @@
     return digest;
 }
 
-std::uint32_t move_weight(const fact_table& facts, std::string_view service,
-                          std::string_view move_id) {
+std::uint32_t new_version_weight_permille(const fact_table& facts, std::string_view service,
+                                          std::string_view move_id) {
     if (facts.m_suspensions.contains(move_id)) {
         return 0;
     }
--- a/src/decide/facts.hpp
+++ b/src/decide/facts.hpp
@@ -76,10 +76,10 @@
 // digests.
 std::uint64_t facts_digest(const fact_table& facts);
 
-// Returns the version's share of a service's calls in permille, as far as this node knows: 0 for a
-// version that is suspended, taken back or unknown, 1000 for a finished move.
-std::uint32_t move_weight(const fact_table& facts, std::string_view service,
-                          std::string_view move_id);
+// Returns the new version's share of a service's calls in permille, as far as this node knows: 0
+// for a version that is suspended, taken back or unknown, 1000 for a finished move.
+std::uint32_t new_version_weight_permille(const fact_table& facts, std::string_view service,
+                                          std::string_view move_id);
 
 // Returns whether the version of this move is suspended or taken back.
 bool is_suspended(const fact_table& facts, std::string_view move_id);
--- a/src/decide/membership.hpp
+++ b/src/decide/membership.hpp
@@ -257,7 +257,7 @@
     double m_gossip_bytes = 0;      // left for packets sent only for gossip
     double m_remote_bytes = 0;      // left for packets to other data centres
     double m_reply_tokens = 0;      // pings that may be sent in reply to unknown senders
-    time_point m_tokens_filled;
+    time_point m_tokens_filled_at;
     std::set<std::uint64_t> m_forwarded_facts;                        // hashes of forwarded facts
     std::deque<std::uint64_t> m_forwarded_facts_order;                // oldest first
     std::array<std::uint64_t, member_bucket_count> m_bucket_hashes{}; // without this node
--- a/src/decide/membership_merge.cpp
+++ b/src/decide/membership_merge.cpp
@@ -21,7 +21,8 @@
 // already know its entries, so they are not piggybacked.
 constexpr std::size_t max_piggybacked_changes = 64;
 
-// Returns the earlier of two first starts; 0 means unknown.
+// Returns the earlier of two times at which a member's name was first started; 0 means that a time
+// is unknown.
 std::uint64_t earlier_start(std::uint64_t first, std::uint64_t second) {
     return first == 0 || second == 0 ? std::max(first, second) : std::min(first, second);
 }
--- a/src/decide/membership_rumours.cpp
+++ b/src/decide/membership_rumours.cpp
@@ -40,9 +40,9 @@
 
 // Refills the budgets for the time since the last call.
 void fill_tokens(membership_table& table, time_point now) {
-    const double seconds = std::chrono::duration<double>(now - table.m_tokens_filled).count();
+    const double seconds = std::chrono::duration<double>(now - table.m_tokens_filled_at).count();
     if (seconds > 0) {
-        table.m_tokens_filled = now;
+        table.m_tokens_filled_at = now;
         table.m_rumour_tokens =
             std::min(rumour_burst, table.m_rumour_tokens + seconds * rumours_per_second);
         table.m_reply_tokens =
@@ -80,7 +80,7 @@
 } // namespace
 
 void start_budgets(membership_table& table, time_point now) {
-    table.m_tokens_filled = now;
+    table.m_tokens_filled_at = now;
     table.m_rumour_tokens = rumour_burst;
     table.m_reply_tokens = reply_burst;
     table.m_gossip_bytes = gossip_byte_burst;
--- a/src/decide/move_evidence.cpp
+++ b/src/decide/move_evidence.cpp
@@ -92,8 +92,9 @@
 // A stage doesn't end while the log of a ratio is above this share of the log threshold.
 constexpr double doubt_share = 0.6;
 
-// A route passes at a log-likelihood ratio of ln 20 against "10 points more failures" and against
-// "odds of a slow call three times higher". 29 calls without a failure reach the former.
+// Score at which a route passes, a log-likelihood ratio of ln 20. For failures, it compares an
+// unchanged failure share with one that is 10 percentage points higher; for latency, unchanged odds
+// of a slow call with three times these odds. 29 calls without a failure reach it for failures.
 constexpr double pass_score = 3.0;
 constexpr double bad_failure_excess = 0.10;
 // Bounds of the scores, so that the effect of a burst (one crashed server) can be compensated
@@ -122,35 +123,36 @@
                             std::uint64_t s, double r) {
     const std::uint64_t low = s > n_old ? s - n_old : 0;
     const std::uint64_t high = std::min(s, n_new);
-    // Sums of the unnormalised weights of both distributions, relative to their value at low and
-    // rescaled when they become large.
+    // Sums of the unnormalised weights of the central (odds 1) and the noncentral (odds r)
+    // hypergeometric distribution, relative to their value at low and rescaled when they become
+    // large.
     double central = 1;
-    double tilted = 1;
+    double noncentral = 1;
     double central_sum = 1;
-    double tilted_sum = 1;
+    double noncentral_sum = 1;
     double central_scale = 0;
-    double tilted_scale = 0;
+    double noncentral_scale = 0;
     constexpr double large = 1e200;
     for (std::uint64_t i = low; i < high; ++i) {
         const double step = static_cast<double>(n_new - i) * static_cast<double>(s - i) /
                             (static_cast<double>(i + 1) * static_cast<double>(n_old + i + 1 - s));
         central *= step;
-        tilted *= step * r;
+        noncentral *= step * r;
         central_sum += central;
-        tilted_sum += tilted;
+        noncentral_sum += noncentral;
         if (central_sum > large) {
             central /= large;
             central_sum /= large;
             central_scale += std::log(large);
         }
-        if (tilted_sum > large) {
-            tilted /= large;
-            tilted_sum /= large;
-            tilted_scale += std::log(large);
+        if (noncentral_sum > large) {
+            noncentral /= large;
+            noncentral_sum /= large;
+            noncentral_scale += std::log(large);
         }
     }
     return static_cast<double>(x - low) * std::log(r) + std::log(central_sum) + central_scale -
-           std::log(tilted_sum) - tilted_scale;
+           std::log(noncentral_sum) - noncentral_scale;
 }
 
 // Returns log(1/a) as explained above, the log of the value of R that decides. instances is 0 for
--- a/src/decide/move_evidence.hpp
+++ b/src/decide/move_evidence.hpp
@@ -98,7 +98,8 @@
     ratio_test<failure_alternatives> m_failures;
     ratio_test<latency_alternatives> m_latency;
     bool m_old_version_seen = false; // the old version has had calls on some route
-    // The next interval includes calls from before and after a raise of the weight.
+    // The weight was increased after the last evaluated interval, so the next interval includes
+    // calls from before and after the increase.
     bool m_weight_changed = false;
     // Number of instances that may suspend the new version on their own evidence. They share a part
     // of the false-alarm bound.
--- a/src/decide/version_move.hpp
+++ b/src/decide/version_move.hpp
@@ -20,7 +20,7 @@
 constexpr std::array<std::uint32_t, move_stages> stage_weights_permille{10,  40,  250,
                                                                         500, 900, 1000};
 
-// Next action of the holder on its record.
+// Next action of the holder of a move: wait, or write a new move record.
 struct move_step {
     enum class kind : std::uint8_t { wait, write };
     kind m_kind = kind::wait;
--- a/src/node/control.hpp
+++ b/src/node/control.hpp
@@ -59,9 +59,9 @@
 struct lease_role {
     lease_keeper m_keeper;
     bool m_call_pending = false;
-    bool m_was_held = false;  // whether the last log line reported it as held
-    bool m_candidate = false; // result of the last candidate check
-    time_point m_next_check;  // when m_candidate is computed again
+    bool m_logged_as_held = false; // whether the last log line reported it as held
+    bool m_candidate = false;      // result of the last candidate check
+    time_point m_next_check;       // when m_candidate is computed again
 };
 
 // One of the two readers of a data centre. A reader watches the accepted state in the store and
@@ -109,11 +109,13 @@
     lease_role m_lease;
     bool m_call_pending = false;
     bool m_active = false;
-    std::uint64_t m_text_revision = 0;           // of the last text validated, accepted or not
-    std::uint64_t m_refused_revision = 0;        // of the last text refused
-    std::uint64_t m_latest_text_revision = 0;    // highest revision of a submitted text seen
-    time_point m_latest_text_seen_at;            // when that revision was first seen
-    std::uint64_t m_unusable_delta_revision = 0; // of a submitted delta against an older text
+    std::uint64_t m_text_revision = 0;        // of the last text validated, accepted or not
+    std::uint64_t m_refused_revision = 0;     // of the last text refused
+    std::uint64_t m_latest_text_revision = 0; // highest revision of a submitted text seen
+    time_point m_latest_text_seen_at;         // when that revision was first seen
+    // Revision of the last submitted delta that is malformed or doesn't belong to the submitted
+    // text.
+    std::uint64_t m_unusable_delta_revision = 0;
     std::uint64_t m_listed_revision = 0; // highest revision of the submitted keys when last listed
     std::optional<accepted_record> m_accepted;
     std::uint64_t m_accepted_revision = 0;
@@ -308,7 +310,8 @@
 // Rebuilds the routing snapshot if it is marked as out of date.
 void refresh_snapshot(control& state);
 
-// operator_watch.cpp: watching the operators' items in the store.
+// operator_watch.cpp: reading and watching the operators' items (configuration and move orders) in
+// the store, and writing entry points.
 
 // Writes a member's address to an entry point slot of the own data centre, for joining nodes.
 void write_entry_point(control& state, const std::string& slot, const ip_endpoint& address);
--- a/src/node/move_control.cpp
+++ b/src/node/move_control.cpp
@@ -28,7 +28,7 @@
     return state.m_adapter.m_move_key_prefix + std::string(service);
 }
 
-// Returns the own service if the text has a move of it, otherwise null.
+// Returns this node's service if the current configuration contains a move of it, otherwise null.
 const service_spec* find_own_moving_service(const control& state) {
     if (!state.m_mesh) {
         return nullptr;
@@ -105,7 +105,8 @@
                        });
 }
 
-// Uses a record that the store holds as the current one and spreads it to the members.
+// Makes a record that was read from or written to the store this node's current move record, and
+// spreads it to the members.
 void adopt_record(control& state, const move_record& record) {
     move_role& role = state.m_move;
     role.m_record = record;
@@ -217,7 +218,7 @@
     }
     if (!role.m_record || role.m_record->m_move_id != role.m_move_id) {
         const std::uint64_t revision = role.m_record ? role.m_record->m_revision : 0;
-        write_record(state, decide_move_start(state, service), revision);
+        write_record(state, create_first_move_record(state, service), revision);
         return;
     }
     if (role.m_record->m_state != move_state::running) {
--- a/src/node/operator_watch.cpp
+++ b/src/node/operator_watch.cpp
@@ -1,7 +1,8 @@
-// Reads the operators' configuration and orders directly from the store, for platforms whose store
-// accepts only valid items. All items below one prefix form one text, whose version is the revision
-// of its latest change. A few members of each data centre watch the store, so that the number of
-// store calls doesn't grow with the fleet; the others fetch each text from members.
+// Reads the operators' configuration and move orders directly from the store, for platforms whose
+// store itself rejects invalid items. All items whose keys have the operators' prefix together form
+// one configuration text. Its version is the store revision of its latest change. A few members of
+// each data centre watch the store, so that the number of store calls doesn't grow with the fleet;
+// the others fetch each text from members.
 
 #include <algorithm>
 
--- a/src/node/recorded.cpp
+++ b/src/node/recorded.cpp
@@ -75,7 +75,8 @@
 // Returns the share of the own service's calls that the new version gets, in permille, according to
 // the facts known to this node.
 std::uint64_t local_move_weight(const control& state) {
-    return move_weight(state.m_facts, state.m_settings.m_service, state.m_move.m_move_id);
+    return new_version_weight_permille(state.m_facts, state.m_settings.m_service,
+                                       state.m_move.m_move_id);
 }
 
 } // namespace
@@ -324,7 +325,7 @@
     }
 }
 
-move_record decide_move_start(const control& state, const service_spec& service) {
+move_record create_first_move_record(const control& state, const service_spec& service) {
     const wall_time wall_time_now = state.m_clock.wall_now();
     const std::string& id = state.m_move.m_move_id;
     // A duration counts from the time at which this node first saw the order.
--- a/src/node/recorded.hpp
+++ b/src/node/recorded.hpp
@@ -79,7 +79,7 @@
 void begin_local_evidence_stage(control& state);
 // Creates the record of a new move (start_move). The deadline of a move given by a duration counts
 // from the time when this node first saw the order.
-move_record decide_move_start(const control& state, const service_spec& service);
+move_record create_first_move_record(const control& state, const service_spec& service);
 // Returns the record with this node as the holder of the move (take_over_move).
 move_record decide_move_takeover(const control& state, const move_record& record);
 // Returns the next step of a move that this node holds (step_move).
--- a/src/node/snapshot_builder.cpp
+++ b/src/node/snapshot_builder.cpp
@@ -40,7 +40,7 @@
     if (spec.m_move) {
         view.m_new_version = spec.m_move->m_to;
         view.m_new_weight_permille =
-            move_weight(facts, spec.m_name, move_id(spec.m_name, *spec.m_move));
+            new_version_weight_permille(facts, spec.m_name, move_id(spec.m_name, *spec.m_move));
     }
     return view;
 }
--- a/src/node/store_roles.cpp
+++ b/src/node/store_roles.cpp
@@ -207,8 +207,8 @@
 void run_lease(control& state, lease_role& role, bool wanted) {
     const time_point now = state.now();
     const bool held = lease_held(role.m_keeper, now);
-    if (held != role.m_was_held) {
-        role.m_was_held = held;
+    if (held != role.m_logged_as_held) {
+        role.m_logged_as_held = held;
         log_event(log_level::info, held ? "lease_won" : "lease_ended",
                   {{"lease", role.m_keeper.m_key}});
     }
--- a/src/node/stored_text.cpp
+++ b/src/node/stored_text.cpp
@@ -19,8 +19,8 @@
     return text ? std::make_shared<const std::string>(std::move(*text)) : nullptr;
 }
 
-// Reads the text stored in full on which the record's text is based, and restores the record's text
-// from it. `delta` may be empty if the record's text is itself stored in full.
+// Reads the full text that `record` refers to, and restores the record's text from it with `delta`.
+// `delta` may be empty if the record's text is itself stored in full.
 void read_full_text(control& state, const accepted_record& record, std::optional<packed_text> delta,
                     text_callback done) {
     const text_id full_text_id = full_text_of(record);
--- a/src/peer/transport.cpp
+++ b/src/peer/transport.cpp
@@ -64,14 +64,15 @@
 
     void receive() {
         m_socket.async_receive_from(
-            asio::buffer(m_buffer), m_from,
+            asio::buffer(m_buffer), m_sender_endpoint,
             [self = shared_from_this()](const boost::system::error_code& ec, std::size_t size) {
                 if (ec == asio::error::operation_aborted || !self->m_socket.is_open()) {
                     return;
                 }
                 if (!ec) {
                     self->m_count_bytes(0, size);
-                    const ip_endpoint from{self->m_from.address().to_string(), self->m_from.port()};
+                    const ip_endpoint from{self->m_sender_endpoint.address().to_string(),
+                                           self->m_sender_endpoint.port()};
                     self->m_on_packet(from, {self->m_buffer.data(), size});
                 }
                 self->receive();
@@ -98,7 +99,7 @@
     udp::socket m_socket;
     receiver m_on_packet;
     byte_counter m_count_bytes;
-    udp::endpoint m_from;
+    udp::endpoint m_sender_endpoint;
     std::array<char, 2048> m_buffer{};
 };
 
@@ -156,7 +157,7 @@
         for (std::size_t i = 0; status == 0 && i < max_concurrent_requests_served; ++i) {
             auto slot = std::make_unique<serving_slot>();
             slot->m_owner = this;
-            status = nng_ctx_open(&slot->m_context, m_server_socket);
+            status = nng_ctx_open(&slot->m_nng_context, m_server_socket);
             if (status == 0) {
                 status = nng_aio_alloc(&slot->m_aio, &impl::on_server_event, slot.get());
             }
@@ -172,7 +173,7 @@
         }
         m_weak_self = weak_from_this();
         for (const auto& slot : m_slots) {
-            nng_ctx_recv(slot->m_context, slot->m_aio);
+            nng_ctx_recv(slot->m_nng_context, slot->m_aio);
         }
         return true;
     }
@@ -225,7 +226,7 @@
     // Receives and answers one request after another.
     struct serving_slot {
         impl* m_owner = nullptr;
-        nng_ctx m_context = NNG_CTX_INITIALIZER;
+        nng_ctx m_nng_context = NNG_CTX_INITIALIZER;
         nng_aio* m_aio = nullptr;
         bool m_sending = false;
     };
@@ -255,7 +256,7 @@
                 nng_msg_free(nng_aio_get_msg(slot->m_aio));
             }
             slot->m_sending = false;
-            nng_ctx_recv(slot->m_context, slot->m_aio);
+            nng_ctx_recv(slot->m_nng_context, slot->m_aio);
             return;
         }
         nng_msg* message = nng_aio_get_msg(slot->m_aio);
@@ -278,7 +279,7 @@
         nng_msg_append(message, reply.data(), reply.size());
         slot->m_sending = true;
         nng_aio_set_msg(slot->m_aio, message);
-        nng_ctx_send(slot->m_context, slot->m_aio);
+        nng_ctx_send(slot->m_nng_context, slot->m_aio);
     }
 
     // Runs on an nng thread after the request was sent, the reply was received, or either failed.
--- a/src/peer/wire.cpp
+++ b/src/peer/wire.cpp
@@ -26,10 +26,11 @@
 constexpr int max_window_log = 21;
 constexpr int min_window_log = 10; // smallest window log that zstd accepts
 
-// Upper bound of the repeated entries in one bulk message: a whole member table with all facts. An
-// empty member takes 2 bytes on the wire and about 500 in memory, so with only the size limit of 8
-// MiB one message could allocate 2 GB. Members count twice, since count_repeated_entries also
-// counts their names; the factor applies to facts, too.
+// Maximum number of elements of repeated fields in one bulk message: a whole member table and all
+// facts. With only the size limit of 8 MiB, one message could allocate 2 GB, since an empty member
+// takes 2 bytes on the wire and about 500 in memory. The factor 2 is needed because
+// count_repeated_entries also counts each member's name; for facts it is a margin. The other
+// fields of a body are counted, too; the 64 leaves room for them.
 constexpr std::size_t max_repeated_entries = 2 * (max_members + max_facts) + 64;
 
 // By default, Protobuf prints each malformed message to standard error as plain text. The handler
@@ -508,8 +509,8 @@
     case wire::Reply::kFetchFacts:
         return reject_invalid_records(facts_from_wire(in.fetch_facts().facts()), reason);
     case wire::Reply::kMembersDigest: {
-        const auto& differing = in.members_digest().differing();
-        return members_digest_reply{{differing.begin(), differing.end()},
+        const auto& differing_buckets = in.members_digest().differing();
+        return members_digest_reply{{differing_buckets.begin(), differing_buckets.end()},
                                     messages_from_wire<member>(in.members_digest().members())};
     }
     case wire::Reply::kDone:
--- a/src/peer/wire.hpp
+++ b/src/peer/wire.hpp
@@ -46,7 +46,7 @@
 // Asks a peer for a configuration text of at least m_want_version. m_have_version is the version
 // that the requester holds.
 struct fetch_config_request {
-    std::string m_instance;
+    std::string m_instance; // the requester
     std::uint64_t m_have_version = 0;
     std::uint64_t m_want_version = 0; // lowest version that the requester accepts
 };
@@ -74,15 +74,17 @@
 struct merge_members_request {
     std::vector<member> m_members;
 };
-// Sent to the global collector: how many members of one shard of a data centre have a version in
+// Sent by the collector of a shard to the global collector, the node that writes the in-force
+// verdict: how many members of the shard (a part of a data centre's members) have a version in
 // force.
 struct in_force_summary {
     std::string m_data_centre;
     std::uint32_t m_shard = 0;
     std::uint64_t m_version = 0;
     std::uint32_t m_in_force = 0;
-    std::uint32_t m_members = 0;        // all live members of the shard
-    std::vector<std::string> m_missing; // instances without it, up to max_missing_names
+    std::uint32_t m_members = 0; // all live members of the shard
+    // Instances on which the version is not in force, at most max_missing_names.
+    std::vector<std::string> m_missing;
 };
 // Acknowledges a request that has no other reply.
 struct ack_reply {};
--- a/src/store/store_client.cpp
+++ b/src/store/store_client.cpp
@@ -93,7 +93,7 @@
     // Discards the callbacks of all calls in progress.
     void stop() {
         m_stopped = true;
-        m_idle.clear();
+        m_idle_connections.clear();
     }
 
     milliseconds timeout() const { return m_timeout; }
@@ -141,9 +141,10 @@
             out.m_error_text = ec.message();
             return out;
         }
-        if (out.m_response.keep_alive() && m_idle.size() < max_idle_connections && !m_stopped) {
+        if (out.m_response.keep_alive() && m_idle_connections.size() < max_idle_connections &&
+            !m_stopped) {
             stream->expires_never();
-            m_idle.push_back(std::move(stream));
+            m_idle_connections.push_back(std::move(stream));
         }
         return out;
     }
@@ -169,9 +170,9 @@
 
     // Returns an idle connection that the store has not closed, or null if there is none.
     std::unique_ptr<beast::tcp_stream> take_idle() {
-        while (!m_idle.empty()) {
-            std::unique_ptr<beast::tcp_stream> stream = std::move(m_idle.back());
-            m_idle.pop_back();
+        while (!m_idle_connections.empty()) {
+            std::unique_ptr<beast::tcp_stream> stream = std::move(m_idle_connections.back());
+            m_idle_connections.pop_back();
             beast::error_code ec;
             char peeked_byte = 0;
             stream->socket().non_blocking(true, ec);
@@ -189,7 +190,7 @@
     store_codec m_codec;
     milliseconds m_timeout;
     store_observer m_observer;
-    std::deque<std::unique_ptr<beast::tcp_stream>> m_idle;
+    std::deque<std::unique_ptr<beast::tcp_stream>> m_idle_connections;
     bool m_stopped = false;
 };
 
--- a/src/store/store_client.hpp
+++ b/src/store/store_client.hpp
@@ -57,8 +57,7 @@
                 store_callback done);
     // Lists the keys with the prefix and their values, in as many requests as there are pages.
     void list(std::string_view prefix, store_callback done);
-    // Lists like list(), but may return data that is some seconds old, which costs the service
-    // less.
+    // Lists like list(), but may return data that is some seconds old, which costs the store less.
     void list_stale(std::string_view prefix, store_callback done);
     // Returns the changes of keys with the prefix since the store revision `after`. If there are
     // none, waits for one for at most `wait`. An empty reply with the same revision means that
--- a/src/store/store_codec.hpp
+++ b/src/store/store_codec.hpp
@@ -59,8 +59,8 @@
 // Returns the name of an operation in metrics and logs.
 std::string_view store_operation_name(store_operation value);
 
-// Returns true for operations that change nothing. A lost answer to one of these leaves no outcome
-// unknown.
+// Returns true for operations that change nothing. Only after a lost answer to one of the others is
+// it unknown whether a change was made.
 bool is_read(store_operation value);
 
 // One operation with its arguments. Each member names the operations that use it.
--- a/tests/facts_test.cpp
+++ b/tests/facts_test.cpp
@@ -70,7 +70,7 @@
                 BOOST_REQUIRE(changed != same(before, table));
                 for (const auto& [move, value] : before.m_suspensions) {
                     BOOST_REQUIRE(is_suspended(table, move));
-                    BOOST_REQUIRE(move_weight(table, "surveys", move) == 0U);
+                    BOOST_REQUIRE(new_version_weight_permille(table, "surveys", move) == 0U);
                 }
                 for (const auto& [service, value] : before.m_records) {
                     BOOST_REQUIRE(table.m_records.at(service).m_revision >= value.m_revision);
