--- a/tests/claim_test.cpp
+++ b/tests/claim_test.cpp
@@ -365,9 +365,9 @@
         return milliseconds(hash_bytes(node.m_name, hash_bytes(viewer.m_name, m_seed)) % limit);
     }
 
-    // Returns the viewer's view of the instance, or nothing if it doesn't know the name. A viewer
-    // that has forgotten a name that others still know takes its return for its first start until
-    // it receives the earlier one.
+    // Returns the viewer's view of the instance, or nothing if it doesn't know the name. If the
+    // viewer has forgotten an instance that others still know, and the instance returns, the viewer
+    // uses the time of the return as the instance's first start until it learns the earlier time.
     std::optional<known_instance> view_of(const member& viewer, const member& node) const {
         const time_point viewer_start = viewer.m_table.m_started;
         const milliseconds delay = view_delay(viewer, node);
@@ -423,8 +423,8 @@
             m_keys.push_back(key);
         }
         const std::size_t recent = std::min<std::size_t>(m_keys.size(), 6);
-        const std::size_t number = m_keys.size() - 1 - m_random.below(recent);
-        const key_record& key = m_keys[number];
+        const std::size_t key_index = m_keys.size() - 1 - m_random.below(recent);
+        const key_record& key = m_keys[key_index];
         if (is_too_old(key)) {
             return;
         }
@@ -585,9 +585,10 @@
     BOOST_TEST(held > 7'000U);
 }
 
-// Guards against a key that runs on both sides of a partition, or again after it, because instances
-// join on one side only or because the partition outlasts the retention time. The same schedules
-// must show the fault if losses are ignored.
+// Guards against requests with the same key that run on both sides of a partition, or again after
+// it, because instances join on one side only or because the partition lasts longer than the
+// retention time of dead members. Without the rule for losses (registrar_selection::losses), the
+// same schedules must run some key twice.
 BOOST_AUTO_TEST_CASE(no_key_runs_on_both_sides_of_a_partition) {
     for (const fault_profile profile :
          {fault_profile::partitions, fault_profile::long_partitions}) {
--- a/tests/distribution_test.cpp
+++ b/tests/distribution_test.cpp
@@ -229,10 +229,10 @@
         for (std::size_t index = 0; index < 7; ++index) {
             read_store(schedule, index);
         }
-        const auto usual = schedule.m_link;
+        const auto usual_link = schedule.m_link;
         bool split = true;
-        schedule.m_bulk = [usual, &split](std::size_t from, std::size_t to) {
-            return split && (from <= 2) != (to <= 2) ? std::nullopt : usual(from, to);
+        schedule.m_bulk = [usual_link, &split](std::size_t from, std::size_t to) {
+            return split && (from <= 2) != (to <= 2) ? std::nullopt : usual_link(from, to);
         };
         run_for(schedule, std::chrono::seconds(5));
         schedule.m_store = 5;
@@ -244,9 +244,9 @@
         run_for(schedule, milliseconds(schedule.m_random.below(40'000)));
         // The joiner reaches every member by bulk transfer; the others still can't reach each
         // other.
-        schedule.m_bulk = [usual, &split](std::size_t from, std::size_t to) {
+        schedule.m_bulk = [usual_link, &split](std::size_t from, std::size_t to) {
             const bool lagging_pair = from != 0 && to != 0 && (from <= 2) != (to <= 2);
-            return split && lagging_pair ? std::nullopt : usual(from, to);
+            return split && lagging_pair ? std::nullopt : usual_link(from, to);
         };
         start_node(schedule, 0);
         std::vector<std::size_t> others{1, 2, 3, 4, 5, 6};
@@ -266,8 +266,9 @@
     }
 }
 
-// Guards against versions that decrease or lag in a whole mesh with lost packets, members that are
-// killed and restarted, versions in quick succession, and readers that die.
+// Guards against nodes whose version decreases or stays behind. The schedule loses packets, kills
+// and restarts members, nodes that have just read the store among them, and issues versions in
+// quick succession.
 BOOST_AUTO_TEST_CASE(mesh_converges_and_never_falls) {
     for (const std::uint64_t seed : schedule_seeds(60)) {
         constexpr std::size_t count = 8;
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -307,7 +307,7 @@
             return "an address changes when formatted and parsed again";
         }
     }
-    // carawayctl parses and prints any value of the store.
+    // carawayctl parses and prints any value of the store, so no input may crash these functions.
     if (const auto stored = parse_accepted(value)) {
         describe(*stored);
     }
--- a/tests/integration/calls_test.py
+++ b/tests/integration/calls_test.py
@@ -1,4 +1,5 @@
-"""Calls under faults: guarantees 5, 7, 8 and 9 with real processes behind the proxy."""
+"""Calls under faults: guarantees 5, 7, 8 and 9 (docs/design.md, 1.2) with real processes behind
+the proxy."""
 import random
 import time
 
@@ -6,8 +7,9 @@
 from mesh import Mesh, check_calls, mesh_text, wait_ignoring_errors
 
 READY_AGAIN_S = 18.0
-# A node can be a registrar only of keys first sent at least 12 s after the first start under its
-# name.
+# A node can be a registrar of a key (one that records the key's claim) only if the key was first
+# sent more than 12 s after an instance with the node's name first started. The tests wait this long
+# before they send keys.
 KEYS_READY_S = 12.5
 
 
--- a/tests/integration/config_faults_test.py
+++ b/tests/integration/config_faults_test.py
@@ -1,4 +1,5 @@
-"""Configuration under faults: guarantees 1, 2, 3 and 12 with real processes behind the proxy."""
+"""Configuration under faults: guarantees 1, 2, 3 and 12 (docs/design.md, 1.2) with real processes
+behind the proxy."""
 import threading
 import time
 
@@ -138,16 +139,17 @@
 
         def edit_repeatedly(service):
             path = f"{mesh.dir}/operator-{service}.toml"
-            base = first_queue[service]
+            first_queue_size = first_queue[service]
             end = time.monotonic() + 9
             while time.monotonic() < end:
                 if mesh.ctl("fetch", path, check=False).returncode != 0:
                     continue
                 with open(path) as source:
-                    edited = source.read().replace(f"queue = {base + edits[service]}\n", "")
+                    edited = source.read().replace(
+                        f"queue = {first_queue_size + edits[service]}\n", "")
                 edited = edited.replace(
                     f"[service.{service}]\n",
-                    f"[service.{service}]\nqueue = {base + 1 + edits[service]}\n")
+                    f"[service.{service}]\nqueue = {first_queue_size + 1 + edits[service]}\n")
                 with open(path, "w") as out:
                     out.write(edited)
                 if mesh.ctl("apply", path, "--by", service, check=False).returncode == 0:
@@ -184,7 +186,8 @@
 
 def test_bad_text_is_refused_whole():
     """Guards against a text that takes effect in part, and against a route to a service that does
-    not exist (guarantees 2 and 3). The faulty texts also take a data centre out."""
+    not exist (guarantees 2 and 3). The faulty texts also take a data centre out of
+    service, so that a partly applied text is visible."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, 4)
         load = start_load(mesh, "refused", 9)
--- a/tests/integration/data_centre_test.py
+++ b/tests/integration/data_centre_test.py
@@ -72,8 +72,8 @@
         return_s = wait_ignoring_errors(lambda: is_serving(mesh, "harris"), CONVERGENCE_S,
                                         "work again")
         summary = mesh.summary(calls)
-        falls = [mesh.executions(n)["falls"] for n in names_in(mesh, "harris")]
-        assert falls == [0, 0], falls
+        overload_failures = [mesh.executions(n)["falls"] for n in names_in(mesh, "harris")]
+        assert overload_failures == [0, 0], overload_failures
         assert summary["answered"] == summary["sent"], summary["not_run_reasons"]
         return f"last call {last_call_s:.2f} s after acceptance, works {return_s:.2f} s after " \
                f"return; {check_calls(summary)}; {mesh.finish()}"
--- a/tests/integration/leave_test.py
+++ b/tests/integration/leave_test.py
@@ -1,4 +1,5 @@
-"""Planned stops: guarantees 10 and 11 with real processes behind the proxy."""
+"""Planned stops of instances: guarantees 10 and 11 (docs/design.md, 1.2) with real processes behind
+the proxy."""
 import time
 
 from harness import run_tests, wait_until
--- a/tests/integration/move_faults_test.py
+++ b/tests/integration/move_faults_test.py
@@ -145,8 +145,9 @@
 
 
 def test_bad_version_slow_under_load():
-    """Guards against a version that is slow only under load, which a small share of calls cannot
-    show. The share is counted from the move's start to the first slow call."""
+    """Guards against a version that is slow only under load, which can't be seen while it
+    gets few calls. From the move's start to the first slow call, the version may get at most
+    SHARE_LIMIT of all calls."""
     with Mesh(proxied=True) as mesh:
         start_mesh(mesh, behaviour="slow_under_load", slots=2, service_ms=15)
         load, _ = start_move(mesh, 30, 40)
@@ -294,8 +295,9 @@
 
 
 def test_good_version_with_an_outage_before_the_raise():
-    """Guards against a schedule that leaves no time for the next holder to get the lease and
-    evidence after an outage of a third of the time given, just before the weight rises above 4%."""
+    """Guards against a schedule that is too tight after an outage. The store is down for a third of
+    the move's time, starting just before the weight would rise above 4%; after that, the next
+    holder still needs time to acquire the lease and collect evidence."""
     return run_good_move(0.34, 40)
 
 
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -231,7 +231,8 @@
             candidate& chosen = simulation.m_candidates[simulation.m_random.below(3)];
             switch (simulation.m_random.below(5)) {
             case 4:
-                // No longer wanted and wanted again, possibly while a request is pending.
+                // The candidate stops wanting the lease and soon wants it again, possibly while a
+                // request is pending.
                 chosen.m_wanted = false;
                 run_simulation(simulation, milliseconds(10 * simulation.m_random.below(4)));
                 chosen.m_wanted = true;
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -42,7 +42,7 @@
         auto parsed = parse_mesh(text, wall_time{}, nullptr, faults);
         BOOST_REQUIRE(parsed);
         m_mesh = std::make_shared<const mesh>(std::move(*parsed));
-        m_id = move_id("pour", *m_mesh->m_services.at("pour").m_move);
+        m_pour_move_id = move_id("pour", *m_mesh->m_services.at("pour").m_move);
     }
     void add(const member& value) {
         tracked_member tracked;
@@ -55,7 +55,7 @@
     }
 
     std::shared_ptr<const mesh> m_mesh;
-    std::string m_id;
+    std::string m_pour_move_id;
     membership_table m_members;
     fact_table m_facts;
     counter_map m_counters;
@@ -100,7 +100,7 @@
 // work although its version or its data centre must not serve.
 BOOST_AUTO_TEST_CASE(suspension_stops_the_new_version) {
     move_record record;
-    record.m_move_id = m_id;
+    record.m_move_id = m_pour_move_id;
     record.m_service = "pour";
     record.m_weight_permille = 50;
     record.m_revision = 4;
@@ -108,7 +108,7 @@
     BOOST_TEST(build()->m_services.at("pour").m_new_weight_permille == 50U);
     const member newer = make_member("self", "north", "2");
     BOOST_TEST((own_refusal(*m_mesh, newer, m_facts, false) == error_kind::none));
-    merge_suspension(m_facts, {m_id, "pour", "2", "a", "fails", 1});
+    merge_suspension(m_facts, {m_pour_move_id, "pour", "2", "a", "fails", 1});
     BOOST_TEST(build()->m_services.at("pour").m_new_weight_permille == 0U);
     BOOST_TEST((own_refusal(*m_mesh, newer, m_facts, false) == error_kind::version_suspended));
     const member unknown = make_member("self", "north", "3");
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -241,7 +241,7 @@
             IN_FORCE_LIMIT_S, "a text accepted")
         wait_ignoring_errors(lambda: self.mesh.accepted_version() > before, IN_FORCE_LIMIT_S,
                              "a newer version")
-        in_force = self.mesh.wait_version(self.mesh.accepted_version(), IN_FORCE_LIMIT_S)
+        in_force_s = self.mesh.wait_version(self.mesh.accepted_version(), IN_FORCE_LIMIT_S)
         self.mesh.wait_members(READY_LIMIT_S)
 
         def all_answered():
@@ -253,7 +253,7 @@
             return summary["answered"] == summary["sent"] > 0
 
         wait_ignoring_errors(all_answered, CALLS_ANSWERED_LIMIT_S, "every call answered")
-        return f"ready after {ready:.1f} s, in force after {in_force:.1f} s"
+        return f"ready after {ready:.1f} s, in force after {in_force_s:.1f} s"
 
 
 def soak(bins, seed, seconds):
--- a/tests/traffic_fixture.hpp
+++ b/tests/traffic_fixture.hpp
@@ -143,7 +143,8 @@
         }
         return false;
     }
-    // Answers the request as its path selects. Returns true if the connection stays open.
+    // Sends the answer that the last segment of the path names, or for /healthz the one that
+    // m_health names. Returns true if the connection stays open.
     bool answer(tcp::socket& socket, const http::request<http::string_body>& request) {
         const std::string target(request.target());
         const std::string action =
--- a/tests/version_move_test.cpp
+++ b/tests/version_move_test.cpp
@@ -240,7 +240,7 @@
         random_source random(seed_or_default());
         move_record record = first_record();
         move_evidence evidence;
-        std::uint32_t largest = 0;
+        std::uint32_t largest_weight_permille = 0;
         for (int elapsed_s = 1; elapsed_s <= 301; ++elapsed_s) {
             const double share = record.m_weight_permille / 1000.0;
             std::vector<evidence_report> reports{
@@ -259,14 +259,15 @@
                     begin_stage(evidence);
                 }
                 record = step.m_record;
-                largest = std::max(largest, record.m_weight_permille);
+                largest_weight_permille =
+                    std::max(largest_weight_permille, record.m_weight_permille);
                 if (served && record.m_weight_permille == 1000) {
                     BOOST_TEST(elapsed_s <= 200); // two thirds of the time given
                 }
             }
         }
         BOOST_TEST((record.m_state == (served ? move_state::done : move_state::taken_back)));
-        BOOST_TEST((served ? largest == 1000 : largest <= 50));
+        BOOST_TEST((served ? largest_weight_permille == 1000 : largest_weight_permille <= 50));
     }
 }
 
